--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -12,11 +12,11 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-var errImproper = errors.New("answer isn't a target's own")
+var errImproper = errors.New("invalid response: no signature, wrong request ID or disallowed status")
 
-// proper reports whether an answer may be passed on. A success needs its
-// target's signature and the id of this request. A status that promises that
-// the request did not run needs the target's word for it.
+// validResponse reports whether a response may be forwarded. A success needs the target's
+// signature and the ID of this request. A status that callers take to mean that the
+// request did not run needs the target's confirmation (platform.NotRun).
 func (q *request) proper(a *forward.Answer) bool {
 	switch {
 	case platform.NotRun(a.Status, a.Header):
@@ -29,8 +29,8 @@
 	return true
 }
 
-// promises reports whether callers take a status for the promise that the
-// request did not run and never will.
+// impliesNotRun reports whether callers take a status to mean that the request did not
+// run and never will.
 func promises(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -39,7 +39,7 @@
 	return false
 }
 
-// pass passes the answer of a try on.
+// forwardResponse sends the response of a dispatch to the caller.
 func (q *request) pass(i int) {
 	t := &q.tries[i]
 	a := t.answer
@@ -55,7 +55,7 @@
 	}
 	forward.Copy(q.w, a, func(f *forward.Failure) {
 		if f != nil {
-			q.gateway.log.WithFields(q.fields()).WithError(f.Cause).Info("answer cut")
+			q.gateway.log.WithFields(q.fields()).WithError(f.Cause).Info("response to the caller broke off")
 			return
 		}
 		if a.Body != nil {
@@ -64,12 +64,12 @@
 	})
 }
 
-// giveUp answers in place of a target.
+// respondFailed sends the caller the final error when no target's response is forwarded.
 func (q *request) giveUp() {
 	f := q.call.Final()
 	switch {
 	case q.r.Context().Err() != nil:
-		// The caller is gone; nobody reads an answer.
+		// The caller has closed the connection.
 		panic(http.ErrAbortHandler)
 	case f.Outcome == call.NotRun:
 		reason := string(f.Reason)
@@ -88,7 +88,7 @@
 	}
 }
 
-// refuse answers that the request has not run and never will.
+// refuse responds with status 503: the request has not run and never will.
 func (q *request) refuse(reason string, retry time.Duration) {
 	if retry > 0 {
 		platform.RetryAfter(q.w.Header(), retry)
@@ -96,7 +96,7 @@
 	q.final(http.StatusServiceUnavailable, reason)
 }
 
-// final answers a request that no target answered.
+// respond sends an error response that comes from this entry and not from a target.
 func (q *request) final(status int, reason string) {
 	q.logFinal(status, reason)
 	if q.service != nil {
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -12,53 +12,54 @@
 )
 
 const (
-	// retryMargin keeps the entries together below the share of repeats that the
-	// platform allows: requests at the edge of a window count late.
+	// retryShareMargin scales down the share of retries and hedges that the platform
+	// allows, so that all entries together stay below it: requests at the edge of a
+	// window are counted late.
 	retryMargin = 0.85
-	// burstParts is in how many parts an entry's part of the slack is cut: the
-	// budget keeps two buckets, and half is left for entries that hear nothing of
-	// each other and for those whose requests have just gone to others.
+	// burstDivisor divides an entry's part of the slack. The budget keeps two buckets,
+	// and half is reserved for entries that do not receive each other's reports and for
+	// entries whose callers have just moved to others.
 	burstParts = 4
-	// burstShare is the largest part of all requests that an entry reckons with.
-	// One that is cut off from all others would take all for its own.
+	// maxBurstShare is the largest share of the traffic on which an entry bases its
+	// burst. An entry that is cut off from all others sees itself as serving all of it.
 	burstShare = 0.5
 )
 
-// retryBudget is this entry's part of the budget that all entries share.
-// Repeats come out of its own requests; shareRetries tells what it may save up.
+// retryBudget returns this entry's part of the budget that all entries share. Its own
+// requests fill it; shareRetries sets how much it may save up.
 func retryBudget(b platform.Bounds) *call.Budget {
 	budget := call.NewBudget(call.BudgetConfig{Burst: 1})
 	budget.SetShare(b.RetryShare * retryMargin)
 	return budget
 }
 
-// retryBurst is what an entry with such a part of all requests may save up in
-// each bucket, so that together they keep to the slack though none knows what
-// the others spend. Cut by the number of entries instead, it lies at
-// entries that callers aren't sent to, and one that knows of few others takes
-// too much: with 123 that start together, seven times the slack.
+// retryBurst returns how many retries and hedges an entry with this share of all requests
+// may save up in each bucket. It keeps all entries together within the slack, although
+// none knows what the others spend. The slack is not divided by the number of entries:
+// part of it would go to entries without callers, and an entry that knows few others
+// would take too much. When 123 entries started together, they took seven times the slack.
 func retryBurst(b platform.Bounds, share float64) int {
 	return int(float64(b.RetrySlack) * min(share, burstShare) / burstParts)
 }
 
-// shareRetries sets the ratio of the budgets of all services, and lets them save up by
-// this entry's part of all requests. What is saved up ages by the window in which repeats
-// are counted.
+// shareRetries updates the retry budgets of all services: the ratio from the settings and
+// the burst from this entry's share of all requests. Once per retry window it also ages
+// what the budgets have saved up.
 func (c *control) shareRetries(now time.Time) {
 	b := *c.gateway.bounds.Load()
 	aged := now.Sub(c.aged) >= b.RetryWindow
 	if aged {
 		c.aged = now
 	}
-	part := c.share()
-	burst := retryBurst(b, part)
+	share := c.share()
+	burst := retryBurst(b, share)
 	for _, s := range c.services {
 		s.shareRetries(b.RetryShare, burst, aged)
 	}
 	for _, s := range c.dropped {
 		s.shareRetries(b.RetryShare, burst, aged)
 	}
-	c.logRetries(retryShare{part: part, ratio: b.RetryShare, burst: burst})
+	c.logRetries(retryShare{part: share, ratio: b.RetryShare, burst: burst})
 }
 
 func (s *service) shareRetries(ratio float64, burst int, aged bool) {
@@ -69,19 +70,20 @@
 	s.budget.SetBurst(burst)
 }
 
-// retryShare is what this entry takes of the budget that all entries share.
+// retryShare is this entry's part of the budget that all entries share.
 type retryShare struct {
-	part  float64 // of all requests
-	ratio float64 // repeats for each request
-	burst int     // repeats that may be saved up in each bucket
+	part  float64 // share of all requests that this entry gets
+	ratio float64 // retries and hedges per request
+	burst int     // retries and hedges that may be saved up in each bucket
 }
 
-// logRetries logs what the entry takes of the budget where that has changed much.
+// logRetryShare logs this entry's part of the budget if the ratio has changed or the burst
+// has changed by more than a factor of two.
 func (c *control) logRetries(r retryShare) {
-	const much = 2
+	const loggedFactor = 2
 	c.shared = r
 	old := c.believed.retries
-	if r.ratio == old.ratio && r.burst <= much*max(old.burst, 1) && old.burst <= much*max(r.burst, 1) {
+	if r.ratio == old.ratio && r.burst <= loggedFactor*max(old.burst, 1) && old.burst <= loggedFactor*max(r.burst, 1) {
 		return
 	}
 	c.believed.retries = r
@@ -90,13 +92,13 @@
 	}).Info("part of the retry budget changed")
 }
 
-// share is this entry's part of all requests. Of a host on which there is no word
-// yet, all entries are taken to get as many.
+// trafficShare returns this entry's share of all requests. For a host without a reported
+// rate it assumes that every live entry gets as many requests as this one.
 func (c *control) share() float64 {
 	var own, all float64
 	for host, r := range c.hosts.rates {
 		own += r.mean
-		if n, told := c.numbers.Of(owner.HostID(host)); told {
+		if n, ok := c.numbers.Of(owner.HostID(host)); ok {
 			all += max(n.Rate, r.mean)
 		} else {
 			all += r.mean * float64(len(c.live()))
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,30 +1,32 @@
-// Package gateway is the process that serves callers on the users' platform.
+// Package gateway implements the load balancer process that forwards callers' requests
+// to targets.
 //
-// One control loop owns what is known of the configuration, the targets, the evacuated
-// failure domains and the other entries; it publishes snapshots that traffic reads. Each
-// service has a book of slots behind a lock of its own.
+// A single control loop owns the state: the configuration, the targets, the evacuated
+// failure domains and the other entries. It publishes immutable snapshots (view) that
+// request handlers read. Each service has its own balancer behind its own lock.
 //
-// # Knowledge
+// # Store data
 //
-// Three kinds come from the store, each a duty: the configuration, the targets, and the
-// marks on evacuated failure domains. All go the same way, in these files:
+// Three resources come from the store: the configuration, the targets, and the
+// evacuations of failure domains. All three are handled the same way:
 //
-//   - reader.go: who reads a kind and when. The live entries have an order for each duty,
-//     and each reads when what it knows is older than its place in the order says, so
-//     that one keeps the others from ever having to.
-//   - begin.go: the same for an entry that knows nothing yet.
-//   - knowledge.go, evacuation.go: what follows from an answer of the store.
-//   - spread.go, pull.go: others are told by versions, revisions and ages; whoever lacks
-//     something pulls it. Word may come twice, late and in any order: it counts by its
-//     version or revision alone.
-//   - fresh.go: how old a kind may be where a request is served by it. An entry with
+//   - reader.go decides which entry reads a resource, and when. The live entries are
+//     ranked for each resource. An entry reads when its copy is older than the age set
+//     for its rank, so usually the first one reads and the others receive its result.
+//   - begin.go does the same for an entry that has no data yet.
+//   - knowledge.go and evacuation.go apply a response of the store.
+//   - spread.go and pull.go distribute the data. Entries gossip versions, revisions and
+//     ages; an entry that lacks something pulls it. Messages may be duplicated, delayed
+//     and reordered, so only the version or revision decides whether one is applied.
+//   - fresh.go limits the age of the data by which a request is served. An entry with
 //     callers reads for itself before that age, and the first request after a pause
-//     waits for the answer.
-//   - outage.go: what is kept while the store is away. The configuration and the marks
-//     hold until something newer is known; targets whose records lapse meanwhile are
-//     awaited for a while.
+//     waits for the read.
+//   - outage.go covers an unavailable store. The configuration and the evacuations stay
+//     in force until newer ones arrive. Targets whose records expire in the meantime are
+//     kept for a limited time.
 //
-// The bound of a kind is that of the settings: until a configuration is in force, until a
-// leaving target gets nothing more, until a domain is empty. Nobody is served before all
-// kinds are known that the settings ask for (control.complete).
+// The settings bound the delay of each resource: until a configuration is in force, until
+// a leaving target gets no more requests, until an evacuated domain is empty. An entry
+// serves no request before it has all resources that the settings require
+// (control.complete).
 package gateway
--- a/internal/gateway/dropped.go
+++ b/internal/gateway/dropped.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// droppedKept is how long a service is remembered that the configuration has no more:
-	// one that is rolled back brings it back with the same targets.
+	// removedServiceTTL is how long a service is kept after the configuration removed it.
+	// A rollback of the configuration brings it back with the same targets.
 	droppedKept = 10 * time.Minute
-	// droppedMost bounds how many are remembered without requests.
+	// maxRemovedServices bounds the kept services that have no requests.
 	droppedMost = 256
 )
 
-// droppedService is a service that the configuration has no more. What its targets have
-// reported in responses is still to hold when it is back.
+// removedService is a service that the configuration no longer contains. It is kept so
+// that its targets' reports, such as leaving, still apply if the service comes back.
 type droppedService struct {
 	*service
 	since time.Time
 }
 
-// drop remembers services that the next ones lack, and forgets those that are back or
-// have been away for long.
+// updateRemoved keeps the current services that are not in next, and deletes kept ones
+// that are in next again or have expired. A service with requests does not expire.
 func (c *control) drop(now time.Time, next map[string]*service) {
 	for name, sv := range c.services {
 		if next[name] != sv {
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -13,10 +13,10 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// Each request ends with one line, and each dispatch that failed has one of its
-// own. Together they tell by what each decision was made.
+// Each request logs one line at its end and one line for each failed dispatch. Together
+// they contain the inputs of each decision.
 
-// fields are those of each line about the request.
+// logFields returns the fields common to all log lines of the request.
 func (q *request) fields() log.Fields {
 	f := log.Fields{logs.FieldRequest: q.id, "ms": time.Since(q.arrived).Milliseconds()}
 	if q.route != nil {
@@ -25,9 +25,9 @@
 	return f
 }
 
-// choice adds by what a target was chosen: requests there, its pace and the age
-// of that word in ms where it has told any, how long the answer should take, how
-// many were asked.
+// addDecision adds the inputs of the choice of a target: its requests in flight, its pace
+// and the age in ms of the load report if there is one, the expected response time, the
+// number of probed targets, the wait and the time left.
 func choice(f log.Fields, t *try) {
 	f["target"], f["inflight"], f["asked"] = t.target.ID, t.why.InFlight, t.why.Asked
 	if t.why.Told {
@@ -36,6 +36,7 @@
 	f["waited"], f["expected"], f["left"] = t.why.Waited.Milliseconds(), t.why.Expected.Milliseconds(), t.left.Milliseconds()
 }
 
+// logResponse logs that a target's response is forwarded.
 func (q *request) logAnswer(t *try, status int, connect time.Duration) {
 	f := q.fields()
 	choice(f, t)
@@ -44,8 +45,8 @@
 	q.gateway.log.WithFields(f).Info("answered by its target")
 }
 
-// logRepeat tells why a request is sent again, or beside a slow target, and how many more
-// repeats the budget has.
+// logExtraDispatch logs why a request is retried or hedged, and how many more retries and
+// hedges the budget allows.
 func (q *request) logRepeat(t *try, why call.Reason) {
 	f := q.fields()
 	choice(f, t)
@@ -53,7 +54,7 @@
 	q.gateway.log.WithFields(f).Warn("sent again")
 }
 
-// logCleared tells that a request isn't suspected any more of crashing its targets.
+// logCleared logs that a request is no longer suspected of crashing targets.
 func (q *request) logCleared(t *try, status int) {
 	f := q.fields()
 	choice(f, t)
@@ -61,13 +62,14 @@
 	q.gateway.log.WithFields(f).Warn("request is cleared, its target answered")
 }
 
-// logSpent adds that a request wasn't sent again for want of budget.
+// addBudgetDenied adds a field if the budget denied a retry or hedge of the request.
 func (q *request) logSpent(f log.Fields) {
 	if q.call.Spent() {
 		f["spent"] = true
 	}
 }
 
+// logFailure logs a failed dispatch.
 func (q *request) logFailure(t *try, fail *forward.Failure) {
 	f := q.fields()
 	choice(f, t)
@@ -78,6 +80,7 @@
 	q.gateway.log.WithFields(f).WithError(fail.Cause).Warn("dispatch failed")
 }
 
+// logFinal logs an error response of this entry.
 func (q *request) logFinal(status int, reason string) {
 	f := q.fields()
 	f["status"], f["reason"], f["tries"] = status, reason, q.next()
@@ -91,7 +94,7 @@
 	q.gateway.log.WithFields(f).Warn("answered in place of a target")
 }
 
-// ran is the word for what is known of an execution.
+// executionText returns the log value of an execution: "yes", "no" or "maybe".
 func ran(e call.Execution) string {
 	switch e {
 	case call.DidRun:
--- a/internal/gateway/fresh.go
+++ b/internal/gateway/fresh.go
@@ -11,53 +11,52 @@
 	"plumpitch.example/plumpitch/internal/logs"
 )
 
-// A leaving target may get requests for as long as the platform's bound allows, 2 s
-// and more after the store's word, and a configuration has as long until it is in
-// force. Entries learn of both from the few that read the store for all. Where these
-// are dead, stopping, or cut off from the store alone, the next in the order read later
-// and later: the last of ten, with the nine others cut off, sent requests to a removed
-// target until 5.9 s after the store's word. So an entry that has callers doesn't rely
-// on the others beyond a certain age of what it knows: it reads for itself, and a
-// request that comes first after a pause waits for that read. The age of what each
-// request goes by then stays within the bounds, for as long as the store answers.
+// The settings bound how long a leaving target may still get requests (2 s or more after
+// its change in the store) and how long a configuration may take to come into force.
+// Entries receive both from the few entries that read the store for all. If these are
+// dead, stopping, or cut off from the store, the lower ranks read only after growing
+// delays: the last of ten entries, with the nine others cut off, sent requests to a
+// removed target until 5.9 s after the change. Therefore an entry with callers relies on
+// the others only up to a maximum age of its data. After that it reads for itself, and
+// the first request after a pause waits for the read. As long as the store responds, each
+// request is served by data within the bounds.
 const (
-	// staleReserve is kept of a bound for what comes after the last moment at which
-	// knowledge is young enough: a reader's tick of 50 ms, its call of up to 20 ms, a
-	// new connection to the target of up to 250 ms, and packets that take longer than
-	// the age they tell accounts for.
+	// stalenessReserve is subtracted from a bound for the delays after the age check: a
+	// reader's tick of 50 ms, its call of up to 20 ms, a new connection to the target of
+	// up to 250 ms, and packets in transit for longer than their reported age includes.
 	staleReserve = 500 * time.Millisecond
-	// servingTime is how long after a request an entry counts as having callers.
+	// recentRequestWindow is how long after a request an entry counts as having callers.
 	servingTime = time.Second
-	// refreshWait is for how long requests wait for the store from the first one on that
-	// does. Its answer takes 4 ms, and the shortest objective is 150 ms. With a wait of
-	// its own for each request, a store that fell silent held them up until a call had
-	// failed, and 93 of 255 in two seconds were late; now 12.
+	// maxRefreshWait bounds the wait of all requests for one read, from the first one that
+	// waits. The store responds within 4 ms, and the shortest objective is 150 ms. When
+	// each request had its own limit, a store that stopped responding delayed 93 of 255
+	// requests in two seconds; with a common limit it delays 12.
 	refreshWait = 50 * time.Millisecond
-	// refreshLook is how often a request that waits looks whether that is over.
+	// refreshPollInterval is how often a waiting request checks the age again.
 	refreshLook = 5 * time.Millisecond
 )
 
-// ages is an age for each kind of knowledge.
+// resourceAges is an age for each resource.
 type ages [duties]time.Duration
 
-// stale are the ages from which on knowledge is too old to serve requests by.
+// maxAges returns the ages at which store data is too old to serve requests.
 func (g *Gateway) stale() ages {
 	b := g.bounds.Load()
 	return ages{dutyConfig: staleAt(b.Apply), dutyTargets: staleAt(b.Drain), dutyEvacuations: staleAt(b.Evacuate)}
 }
 
-// staleAt is the age that leaves the reserve of a bound; of a short one, half of it.
+// maxAge returns the bound less the reserve, but at least half of the bound.
 func staleAt(bound time.Duration) time.Duration { return max(bound-staleReserve, bound/2) }
 
-// freshness is what traffic and the readers have to know of each other. It is safe for
-// concurrent use.
+// freshness connects request handlers, which need recent store data, with the control
+// loop and the readers, which provide it. It is safe for concurrent use.
 type freshness struct {
 	mu        sync.Mutex
-	confirmed [duties]time.Time     // when the store confirmed what is in force
-	away      bool                  // the store doesn't answer, so that nothing waits for it
-	moved     chan struct{}         // closed when any of these changes
-	used      time.Time             // when the last request came
-	asked     [duties]time.Time     // when the first one began to wait for the next confirmation
+	confirmed [duties]time.Time     // when the store confirmed the data in force
+	away      bool                  // the store doesn't respond; requests don't wait for it
+	moved     chan struct{}         // closed when confirmed or away changes
+	used      time.Time             // arrival of the last request
+	asked     [duties]time.Time     // when the first request began to wait for a confirmation
 	wanted    [duties]chan struct{} // wake the readers
 }
 
@@ -69,7 +68,7 @@
 	return f
 }
 
-// set tells traffic what the control loop knows.
+// update sets the control loop's state and wakes waiting requests if it has changed.
 func (f *freshness) set(confirmed [duties]time.Time, away bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,8 +80,8 @@
 	f.moved = make(chan struct{})
 }
 
-// use notes a request, and tells what newer word of the store it should wait for, and by
-// what channel it hears of one.
+// recordRequest records a request. It returns the resources that the request should wait
+// for, and a channel that is closed at the next change.
 func (f *freshness) use(now time.Time, stale ages) (wait []duty, moved <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,14 +101,14 @@
 	return wait, f.moved
 }
 
-// serving tells whether a request came lately.
+// hasCallers reports whether a request arrived within recentRequestWindow.
 func (f *freshness) serving(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.used.IsZero() && now.Sub(f.used) < servingTime
 }
 
-// wake has the readers of these read now.
+// wakeReaders makes the readers of these resources read now.
 func (f *freshness) wake(ds []duty) {
 	for _, d := range ds {
 		select {
@@ -119,8 +118,8 @@
 	}
 }
 
-// await lets a request wait until what is known is young enough to serve it by, for as
-// long as the store may be expected to answer.
+// awaitFresh makes a request wait until the store data is recent enough to serve it, for
+// maxRefreshWait at the most.
 func (g *Gateway) await(ctx context.Context, arrived time.Time, id string) {
 	stale := g.stale()
 	wait, moved := g.freshness.use(arrived, stale)
@@ -128,19 +127,19 @@
 		return
 	}
 	g.instruments.waits.Inc(1)
-	first := wait
+	awaited := wait
 	defer func() {
 		g.log.WithFields(log.Fields{
-			logs.FieldRequest: id, "for": dutiesText(first), "ms": time.Since(arrived).Milliseconds(),
+			logs.FieldRequest: id, "for": dutiesText(awaited), "ms": time.Since(arrived).Milliseconds(),
 		}).Info("request waited for newer knowledge")
 	}()
-	t := time.NewTicker(refreshLook)
-	defer t.Stop()
+	ticker := time.NewTicker(refreshLook)
+	defer ticker.Stop()
 	for len(wait) > 0 {
 		g.freshness.wake(wait)
 		select {
 		case <-moved:
-		case <-t.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
@@ -148,6 +147,7 @@
 	}
 }
 
+// resourceNames joins the names of resources for a log line.
 func dutiesText(ds []duty) string {
 	var names []string
 	for _, d := range ds {
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -13,11 +13,12 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// directoryTTL is how long a directory answer counts. Callers whose owner died
-// ask again within it.
+// directoryTTL is how long callers may use a directory response. Callers whose owner died
+// resolve the host again within it.
 const directoryTTL = time.Second
 
-// sideHandler answers readiness checks and callers that ask where to connect.
+// sideHandler serves readiness checks and the directory, which tells callers where to
+// connect.
 func (g *Gateway) sideHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(platform.PathReady, func(w http.ResponseWriter, _ *http.Request) {
@@ -26,20 +27,20 @@
 		}
 	})
 	mux.HandleFunc(platform.PathResolve, func(w http.ResponseWriter, r *http.Request) {
-		q := platform.ReadQuestion(r)
-		list := g.view.Load().addresses(q.Host, q.Region, g.self)
-		if len(list) == 0 {
+		query := platform.ReadQuestion(r)
+		addresses := g.view.Load().addresses(query.Host, query.Region, g.self)
+		if len(addresses) == 0 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if err := platform.WriteResolve(w, list, min(directoryTTL, g.bounds.Load().MaxTTL)); err != nil {
-			g.log.WithError(err).Debug("directory answer not written")
+		if err := platform.WriteResolve(w, addresses, min(directoryTTL, g.bounds.Load().MaxTTL)); err != nil {
+			g.log.WithError(err).Debug("could not write the directory response")
 		}
 	})
 	return mux
 }
 
-// serve serves one request of a caller.
+// serve handles one request of a caller.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	if g.leaving.Load() {
@@ -72,26 +73,26 @@
 		q.final(http.StatusRequestEntityTooLarge, "toolong")
 		return
 	case err != nil:
-		g.log.WithError(err).WithField(logs.FieldRequest, q.id).Info("request not read")
+		g.log.WithError(err).WithField(logs.FieldRequest, q.id).Info("could not read the request body")
 		panic(http.ErrAbortHandler)
 	}
 	q.body = body
 	q.run(v)
 }
 
-// Times of requests that meet an entry which has just started.
+// Waits of requests that arrive while the entry starts.
 const (
-	// startTime is how long after its start an entry holds requests until it
-	// knows a configuration and targets. Where all started together they know
-	// them within 0.1 s; refused, their callers came back 0.2 s later.
+	// startupWindow is how long after its start an entry holds requests until it has a
+	// configuration and targets. Entries that start together have both within 0.1 s;
+	// a refused caller would retry only 0.2 s later.
 	startTime = 250 * time.Millisecond
-	// startWait bounds the wait of one request: less than the shortest objective,
-	// 150 ms.
+	// maxStartupWait bounds the wait of one request. It is shorter than the shortest
+	// objective, 150 ms.
 	startWait = 100 * time.Millisecond
 )
 
-// settled returns what traffic knows, after a wait where the entry has just
-// started and knows nothing yet.
+// viewAfterStart returns the current view. If the entry has just started and has no
+// targets yet, it waits for them first.
 func (g *Gateway) settled(ctx context.Context, now time.Time) *view {
 	v := g.view.Load()
 	wait := min(startWait, startTime-now.Sub(g.started))
@@ -108,11 +109,11 @@
 	return g.view.Load()
 }
 
-// noConfigRetry is when to come back to an entry that knows no configuration:
-// it reads one within that time unless the store is away.
+// noConfigRetry is the Retry-After value while an entry has no configuration. It reads
+// one within that time unless the store is unavailable.
 const noConfigRetry = 200 * time.Millisecond
 
-// headerBytes is the size of a request's header lines.
+// headerBytes returns the size of a request's header lines.
 func headerBytes(r *http.Request) (n int) {
 	const colonAndBreak = 4
 	for name, values := range r.Header {
@@ -125,8 +126,8 @@
 
 var errLong = errors.New("request body is too long")
 
-// readBody reads a whole body. Only then may its request be sent to a target
-// and, where it surely didn't run, to another one.
+// readBody reads the complete body. The request is dispatched only after that, so that it
+// can be sent to another target if the first one certainly did not run it.
 func readBody(r *http.Request, l route.Limits) (body []byte, err error) {
 	if r.ContentLength == 0 {
 		return nil, nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,11 +21,11 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// Config builds a Gateway.
+// Config configures a Gateway.
 type Config struct {
 	Settings platform.Settings
 	Boot     uint64 // incarnation; grows with each start
-	Metrics  int    // port of scrapes; 0 takes a free one
+	Metrics  int    // port of the metrics and the status; 0 takes a free one
 	Log      log.Interface
 }
 
@@ -41,12 +41,12 @@
 	suspects *call.Suspects
 	refused  *refusals
 	leaving  atomic.Bool
-	run      atomic.Pointer[member.ID] // this process, as the others know it
+	run      atomic.Pointer[member.ID] // this incarnation's name in the membership
 	recorded atomic.Bool               // this entry has a record in the store
-	restores atomic.Uint64             // of the store from a copy, since the start
+	restores atomic.Uint64             // restores of the store from a copy since the start
 	started  time.Time
-	known    chan struct{} // closed once a configuration and targets are known
-	ending   chan struct{} // closed when a stop gives up what is still under way
+	known    chan struct{} // closed once the entry has a configuration and targets
+	ending   chan struct{} // closed when a stop gives up the unfinished requests
 	bounds   atomic.Pointer[platform.Bounds]
 	view     atomic.Pointer[view]
 
@@ -57,24 +57,25 @@
 	front, ready, directory, scrapes net.Listener
 }
 
-// Limits of connections to targets. The figures are said beside each.
+// Limits of connections to targets.
 const (
-	// targetSilence is the time after which unacknowledged bytes show that a
-	// connection has gone silent: several times the round trip and the first
-	// retransmission of a lost packet, and less than the shortest deadline.
+	// targetAckTimeout is how long sent bytes may stay unacknowledged before the
+	// connection counts as broken. It covers several round trips and the first
+	// retransmission of a lost packet, and is shorter than the shortest deadline.
 	targetSilence = 500 * time.Millisecond
-	// targetConnect is how long a connection may take: a hundred round trips.
-	// What was not sent for lack of one goes to another target.
+	// targetConnectTimeout is how long connecting may take: a hundred round trips. A
+	// request without a connection was not sent and goes to another target.
 	targetConnect = 250 * time.Millisecond
-	// targetIdle is below the 10 s after which targets close idle connections,
-	// so that a request seldom meets a connection that is just being closed.
+	// targetIdleTimeout is shorter than the 10 s after which targets close idle
+	// connections, so that requests seldom use a connection that is about to close.
 	targetIdle = 8 * time.Second
-	// wholeAnswer bounds an answer that is read before any of it is passed on.
+	// maxBufferedResponse is the largest response, in bytes, that is read completely
+	// before it is forwarded.
 	wholeAnswer = 1 << 20
 )
 
-// New opens the listeners, so that a taken address is told before anything
-// starts.
+// New creates a gateway and opens its listeners, so that an address in use is reported
+// before anything starts.
 func New(cfg Config) (g *Gateway, err error) {
 	defer func() { err = errors.WithMessage(err, "gateway "+cfg.Settings.Name) }()
 	s := cfg.Settings
@@ -116,20 +117,20 @@
 	return g, nil
 }
 
-// What an entry is fit for, by what it has.
+// Capacity of an entry by its resources.
 const (
-	// coreRate is how many requests a second a core serves with most of it to
-	// spare for a burst: a request with its questions takes 0.6 ms of it. Each
-	// further owner knows less of what the targets hold. Worth with owners by what
-	// hosts really get, mean of five days: 0.747, 0.700 and 0.626 on three sites at
-	// 800, and 0.752, 0.691 and 0.609 at 300.
+	// requestsPerCore is the capacity of a core in requests per second, with room for
+	// bursts: a request with its load probes takes 0.6 ms of CPU time. A lower capacity
+	// means more owners per host, each of which knows less about the load of the targets.
+	// With owner counts by real traffic, the mean score over five days on three sites was
+	// 0.747, 0.700 and 0.626 at 800, and 0.752, 0.691 and 0.609 at 300.
 	coreRate = 800
-	// linkRate is how many requests a second a Mbit/s carries: up to 5 KB go
-	// each way, twice.
+	// requestsPerMbps is the capacity of 1 Mbit/s in requests per second: each request
+	// transfers up to 5 KB in each direction, twice.
 	linkRate = 10
 )
 
-// capacity is how many requests a second an entry is fit for.
+// capacity returns an entry's capacity in requests per second.
 func capacity(s platform.Settings) float64 {
 	c := s.Cores * coreRate
 	if s.Link > 0 {
@@ -138,24 +139,24 @@
 	return c
 }
 
-// crashLimit is how many targets in a row a request may crash before it is sent
-// to none any more.
+// crashLimit is how many targets in a row a request may crash before it is quarantined.
 const crashLimit = 3
 
+// listen opens all listeners, or none if one fails.
 func (g *Gateway) listen() (err error) {
 	cfg := g.cfg
 	s := cfg.Settings
 	for _, l := range []struct {
-		name string
-		on   *net.Listener
-		addr string
+		name     string
+		listener *net.Listener
+		addr     string
 	}{
 		{"front", &g.front, s.Front},
 		{"ready", &g.ready, s.Ready},
 		{"directory", &g.directory, s.Directory},
 		{"metrics", &g.scrapes, net.JoinHostPort(s.Address, strconv.Itoa(cfg.Metrics))},
 	} {
-		if *l.on, err = net.Listen("tcp", l.addr); err != nil {
+		if *l.listener, err = net.Listen("tcp", l.addr); err != nil {
 			g.unlisten()
 			return errors.WithMessage(err, l.name)
 		}
@@ -163,6 +164,7 @@
 	return nil
 }
 
+// closeListeners closes the listeners that are open.
 func (g *Gateway) unlisten() {
 	for _, l := range []net.Listener{g.front, g.ready, g.directory, g.scrapes} {
 		if l != nil {
@@ -184,15 +186,15 @@
 	s.Add(newConfigReader(g))
 	s.Add(newTargetReader(g))
 	s.Add(newEvacuationReader(g))
-	below := s.ServeBackground(traffic)
+	supervisor := s.ServeBackground(traffic)
 	front := g.frontServer()
-	side := &http.Server{Handler: g.sideHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: callerIdle}
+	aux := &http.Server{Handler: g.sideHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: callerIdle}
 	failed := make(chan error, 4)
 	go func() { failed <- front.Serve(g.front) }()
-	go func() { failed <- side.Serve(g.ready) }()
-	go func() { failed <- side.Serve(g.directory) }()
-	scrape := &http.Server{Handler: g.operatorHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: callerIdle}
-	go func() { failed <- scrape.Serve(g.scrapes) }()
+	go func() { failed <- aux.Serve(g.ready) }()
+	go func() { failed <- aux.Serve(g.directory) }()
+	operator := &http.Server{Handler: g.operatorHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: callerIdle}
+	go func() { failed <- operator.Serve(g.scrapes) }()
 	defer g.instruments.Close()
 	g.log.WithFields(log.Fields{
 		"front": g.self.Front, "peer": g.self.Peer, "metrics": g.scrapes.Addr().String(), "capacity": g.self.Capacity,
@@ -202,14 +204,14 @@
 		g.leave(front)
 	case err = <-failed:
 		err = errors.WithMessage(err, "listener")
-	case err = <-below:
+	case err = <-supervisor:
 		err = errors.WithMessage(err, "control")
 	}
 	g.log.WithField("cause", cause(err)).Info("gateway stopped")
 	return err
 }
 
-// frontServer serves callers' requests.
+// frontServer returns the server for callers' requests.
 func (g *Gateway) frontServer() *http.Server {
 	idle := newIdlers()
 	return &http.Server{
@@ -218,18 +220,19 @@
 	}
 }
 
+// stopCause returns the log text for the reason of a stop.
 func cause(err error) string {
 	if err == nil {
-		return "asked to stop"
+		return "stop requested"
 	}
 	return err.Error()
 }
 
-// Times of callers' connections.
+// Timeouts of callers' connections.
 const (
-	// headerTime bounds a request head.
+	// headerTimeout bounds the reading of a request header.
 	headerTime = 10 * time.Second
-	// callerIdle bounds an idle connection and the reading of a request while no
-	// configuration says less.
+	// callerTimeout bounds an idle connection and the reading of a request. The
+	// configuration may set a shorter idle timeout.
 	callerIdle = 2 * time.Minute
 )
--- a/internal/gateway/gone.go
+++ b/internal/gateway/gone.go
@@ -7,18 +7,17 @@
 	"syscall"
 )
 
-// connKey is the key of a caller's connection in the context of its requests.
+// callerConnKey is the context key of a request's connection.
 type connKey struct{}
 
-// withConn keeps a caller's connection for gone.
+// withCallerConn stores a caller's connection in the context for callerClosed.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// gone reports whether the caller of a request has closed its connection. The
-// server notices that by a read of its own, which comes late on a busy VM: the
-// request and the end of its connection then lie there together, and the
-// request would be sent to a target for nobody.
+// callerClosed reports whether the caller of a request has closed its connection. The
+// server detects this by a background read, which is late on a busy VM. Without this
+// check, a request whose connection is already closed would still be sent to a target.
 func gone(r *http.Request) bool {
 	if r.Context().Err() != nil {
 		return true
@@ -31,11 +30,11 @@
 	if err != nil {
 		return true
 	}
-	ended := false
+	eof := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		ended = n == 0 && err == nil
+		eof = n == 0 && err == nil
 	})
-	return ended || err != nil
+	return eof || err != nil
 }
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -11,15 +11,15 @@
 	"plumpitch.example/plumpitch/pkg/route"
 )
 
-// hosts is what the control loop knows of the requests of each host.
+// hosts holds the control loop's request rate and owner count of each host.
 type hosts struct {
 	table *route.Table
-	rates map[string]*rate // of this entry; never changed once it was published
+	rates map[string]*rate // at this entry; the map is not modified once it is published
 	sizes map[string]*owner.Size
 }
 
-// configure takes the hosts of a configuration. What is known of those that
-// stay is kept.
+// configure sets the hosts of a configuration. Hosts that were in the previous one keep
+// their rate and owner count.
 func (h *hosts) configure(t *route.Table) {
 	if t == nil || t == h.table {
 		return
@@ -34,13 +34,14 @@
 	}
 }
 
+// tick updates the rates.
 func (h *hosts) tick(now time.Time) {
 	for _, r := range h.rates {
 		r.tick(now)
 	}
 }
 
-// rate is how many requests a second this entry gets.
+// rate returns the requests per second at this entry, over all hosts.
 func (h *hosts) rate() (sum float64) {
 	for _, r := range h.rates {
 		sum += r.mean
@@ -48,21 +49,22 @@
 	return sum
 }
 
-// leastRate is the rate in requests a second from which on a host's first owners
-// are told of it.
+// minReportedRate is the rate in requests per second from which a host is reported to its
+// first owners.
 const leastRate = 0.5
 
-// loadsHeard is what another entry told of the requests that it gets.
+// rateReport is another entry's report of its request rate for each host.
 type loadsHeard struct {
-	at   time.Time
+	at   time.Time // when it was received
 	list []relay.Load
 }
 
-// loadsHold is how long such word counts: several ticks, as datagrams are lost.
+// rateReportTTL is how long a report counts: several ticks, since datagrams may be lost.
 const loadsHold = 4 * tickPeriod
 
-// tellLoads tells the first owners of each host what this entry gets of it: the
-// first decides the host's number of owners by the sum, and the next may have to.
+// sendRateReports reports this entry's request rate for each host to the host's first
+// owners. The first owner decides the owner count by the sum of all reports; the others
+// receive them as well since they may have to take over.
 func (c *control) tellLoads(now time.Time) {
 	reports := make(map[string][]relay.Load)
 	for host, r := range c.hosts.rates {
@@ -83,8 +85,9 @@
 	maps.DeleteFunc(c.loads, func(_ string, l loadsHeard) bool { return now.Sub(l.at) > loadsHold })
 }
 
-// dealing deals out hosts among the live entries, anew only where either has
-// changed: at 472 entries it takes 0.1 ms, and each tick asks for it.
+// currentAssignment returns the assignment of hosts to the live entries. It is computed
+// again only if either has changed: that takes 0.1 ms with 472 entries, and each tick
+// needs the assignment.
 func (c *control) dealing(live []owner.Candidate) *owner.Deal {
 	if c.deal == nil || c.dealt != c.hosts.table {
 		c.deal, c.dealt = owner.New(live, slices.Collect(maps.Keys(c.hosts.sizes))), c.hosts.table
@@ -92,8 +95,8 @@
 	return c.deal
 }
 
-// counts gives the number of owners of each host: as this entry decides where it
-// is the first of them, else as the first one has told.
+// ownerCounts returns the owner count of each host. This entry decides it for hosts of
+// which it is the first owner; for others it uses the count that the first owner announced.
 func (c *control) counts(now time.Time, deal *owner.Deal) map[string]int {
 	counts := make(map[string]int, len(c.hosts.sizes))
 	for host, size := range c.hosts.sizes {
@@ -117,15 +120,15 @@
 	return counts
 }
 
-// load is how many requests a second a host gets at all entries, as its first
-// owners are told.
+// totalRate returns the requests per second for a host over all entries, from the rate
+// reports that this entry has received.
 func (c *control) load(host string) (sum float64) {
 	id := owner.HostID(host)
 	sum = c.hosts.rates[host].mean
-	for _, l := range c.loads {
-		for _, of := range l.list {
-			if of.Host == id {
-				sum += of.Rate
+	for _, report := range c.loads {
+		for _, hostRate := range report.list {
+			if hostRate.Host == id {
+				sum += hostRate.Rate
 			}
 		}
 	}
--- a/internal/gateway/idle.go
+++ b/internal/gateway/idle.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// idlers closes callers' connections that stay idle for longer than the
-// configuration allows. An http.Server has one idle time for its whole life,
-// and the configuration's changes while it runs. Without a bound, callers that
-// never come back would use up the descriptors of a small VM.
+// idleCloser closes callers' connections that are idle for longer than the configuration
+// allows. It replaces http.Server's idle timeout, which cannot change while the server
+// runs. Without a limit, abandoned connections would use up the file descriptors of a
+// small VM.
 type idlers struct {
 	mu     sync.Mutex
 	timers map[net.Conn]*time.Timer
@@ -20,9 +20,9 @@
 	return &idlers{timers: make(map[net.Conn]*time.Timer)}
 }
 
-// track is an http.Server's ConnState. Callers use a connection again that has
-// been idle for up to four fifths of limit, so that none is closed under a
-// request that they send.
+// track handles a state change of a connection (http.Server.ConnState). Callers reuse a
+// connection only if it has been idle for at most four fifths of limit, so none is closed
+// while a caller sends a request on it.
 func (i *idlers) track(c net.Conn, s http.ConnState, limit time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -36,7 +36,7 @@
 	i.timers[c] = time.AfterFunc(limit, func() { i.end(c) })
 }
 
-// end closes a connection unless a request has come on it meanwhile.
+// close closes a connection unless a request has arrived on it in the meantime.
 func (i *idlers) end(c net.Conn) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -47,8 +47,8 @@
 	c.Close()
 }
 
-// idleLimit is how long a caller's connection may stay idle by the
-// configuration in force; 0 where none is.
+// idleTimeout returns the idle timeout of callers' connections from the configuration in
+// force, or 0 without one.
 func (g *Gateway) idleLimit() time.Duration {
 	table := g.view.Load().table
 	if table == nil {
--- a/internal/gateway/instruments.go
+++ b/internal/gateway/instruments.go
@@ -9,20 +9,20 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// instruments are the counters of the whole process, made once so that the
-// request path looks nothing up.
+// instruments are the metrics of the whole process. They are created once, so that
+// requests need no lookup by name.
 type instruments struct {
 	metrics.Metrics
-	restores tally.Counter // of the store from a copy
-	packets  tally.Counter // heard from other entries
-	sent     tally.Counter // bytes of packets to other entries
-	pulls    tally.Counter // asked of other entries
-	waits    tally.Counter // requests that waited for newer knowledge
+	restores tally.Counter // restores of the store from a copy
+	packets  tally.Counter // packets received from other entries
+	sent     tally.Counter // bytes of packets sent to other entries
+	pulls    tally.Counter // pulls from other entries
+	waits    tally.Counter // requests that waited for newer store data
 	reads    [duties]tally.Counter
-	failed   [duties]tally.Counter // reads that the store didn't answer
+	failed   [duties]tally.Counter // reads without a response of the store
 	config   tally.Gauge           // version in force
-	age      [duties]tally.Gauge   // seconds since the store confirmed what is known
-	live     tally.Gauge           // entries known to be up
+	age      [duties]tally.Gauge   // seconds since the store confirmed the data
+	live     tally.Gauge           // live entries
 	targets  tally.Gauge
 	marks    tally.Gauge // evacuated failure domains
 }
@@ -43,23 +43,24 @@
 	return i
 }
 
-// serviceInstruments are the instruments of one service.
+// serviceInstruments are the metrics of one service.
 type serviceInstruments struct {
-	latency  tally.Histogram // of answers that targets gave
-	answered tally.Counter
-	final    func(reason string) tally.Counter // answers in place of a target's
-	refused  map[slot.Reason]tally.Counter     // by the book
-	sent     tally.Counter
-	again    func(why string) tally.Counter // sent after the first time: retries and hedges
-	denied   tally.Counter                  // requests that weren't sent again for want of budget
-	saved    tally.Gauge                    // repeats that the budget has
-	burst    tally.Gauge                    // and may have in each of its buckets
-	crashes  tally.Counter                  // targets that ended under a request
-	pauses   tally.Counter                  // responses of targets that want nothing for a time
-	asked    tally.Counter
-	failures tally.Counter // dispatches without an answer
+	latency  tally.Histogram                   // of forwarded responses
+	answered tally.Counter                     // requests with a forwarded response
+	final    func(reason string) tally.Counter // error responses of this entry
+	refused  map[slot.Reason]tally.Counter     // refusals of the balancer
+	sent     tally.Counter                     // dispatches
+	again    func(why string) tally.Counter    // retries and hedges
+	denied   tally.Counter                     // requests without a retry or hedge for lack of budget
+	saved    tally.Gauge                       // retries and hedges that the budget has saved up
+	burst    tally.Gauge                       // the most that it may save up in each bucket
+	crashes  tally.Counter                     // dispatches during which the target may have crashed
+	pauses   tally.Counter                     // responses in which a target asked for a pause
+	asked    tally.Counter                     // load probes
+	failures tally.Counter                     // dispatches without a valid response
 }
 
+// service creates the metrics of a service.
 func (i instruments) service(name string) serviceInstruments {
 	s := i.Scope.Tagged(map[string]string{"service": name})
 	si := serviceInstruments{
@@ -81,7 +82,7 @@
 	return si
 }
 
-// report sets the gauges of the control loop's state.
+// updateGauges sets the gauges from the control loop's state.
 func (c *control) report(now time.Time) {
 	i := &c.gateway.instruments
 	i.config.Update(float64(c.config.Version))
--- a/internal/gateway/net.go
+++ b/internal/gateway/net.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Connections to the store may go silent without a reset while new ones work.
-// Keep-alive probes then end a waiting watch within storeProbe times
-// storeProbes, and an entry learns of the next change by a new one.
+// Timeouts of connections to the store. A connection may stop working without a reset
+// while new ones work. TCP keep-alive then closes it after storeKeepAliveInterval without
+// data and storeKeepAliveProbes unanswered probes, one per interval, and the entry opens
+// its watch again on a new connection.
 const (
 	storeDial   = time.Second
 	storeProbe  = time.Second
@@ -16,11 +17,12 @@
 	storeIdle   = 30 * time.Second
 )
 
+// storeClient returns the HTTP client for the store.
 func storeClient() *http.Client {
-	d := net.Dialer{Timeout: storeDial, KeepAliveConfig: net.KeepAliveConfig{
+	dialer := net.Dialer{Timeout: storeDial, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: storeProbe, Interval: storeProbe, Count: storeProbes,
 	}}
 	return &http.Client{Transport: &http.Transport{
-		DialContext: d.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: storeIdle, DisableCompression: true,
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: storeIdle, DisableCompression: true,
 	}}
 }
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// rate counts requests and tells how many a second there are.
+// rate measures the request rate as an exponential moving average.
 type rate struct {
 	count atomic.Int64
-	seen  int64
-	at    time.Time
-	mean  float64 // requests a second
+	seen  int64     // count at the last tick
+	at    time.Time // last tick
+	mean  float64   // requests per second
 }
 
-// rateHalf is the time in which the mean goes half of the way to a new rate:
-// within a burst of a few seconds, and well over a tick.
+// rateHalfLife is the half-life of the average: short enough to follow a burst of a few
+// seconds, and much longer than a tick.
 const rateHalf = 700 * time.Millisecond
 
 func (r *rate) add() { r.count.Add(1) }
 
-// tick brings the mean up to date. It has one caller.
+// tick updates the average. Only the control loop calls it.
 func (r *rate) tick(now time.Time) {
 	count := r.count.Load()
-	if took := now.Sub(r.at).Seconds(); !r.at.IsZero() && took > 0 {
-		weight := 1 - math.Exp2(-took/rateHalf.Seconds())
-		r.mean += (float64(count-r.seen)/took - r.mean) * weight
+	if elapsed := now.Sub(r.at).Seconds(); !r.at.IsZero() && elapsed > 0 {
+		weight := 1 - math.Exp2(-elapsed/rateHalf.Seconds())
+		r.mean += (float64(count-r.seen)/elapsed - r.mean) * weight
 	}
 	r.seen, r.at = count, now
 }
--- a/internal/gateway/refused.go
+++ b/internal/gateway/refused.go
@@ -8,20 +8,20 @@
 	limiter "golang.org/x/time/rate"
 )
 
-// Bounds of the lines about objects of the store and headers of targets that can't
-// be read. Such an object is read again with each list and each write of its owner,
-// more than once a second, and a header with each response.
+// Rate limits of the log lines about store objects and response headers that can't be
+// parsed. Such an object is parsed again with each list and each write by its owner, more
+// than once a second, and a header with each response.
 const (
-	// refusedEvery is how often there is a line about one object or target.
+	// parseErrorInterval is the time between two lines about the same object or target.
 	refusedEvery = time.Minute
-	// refusedLines and refusedBurst bound the lines a second about all.
+	// parseErrorsPerSecond and parseErrorBurst limit the lines about all of them.
 	refusedLines = 1
 	refusedBurst = 50
-	// refusedKept bounds the objects and targets that are remembered.
+	// maxParseErrors bounds the objects and targets that are remembered.
 	refusedKept = 1024
 )
 
-// refusals logs what can't be read. It is safe for concurrent use.
+// parseErrorLog logs parse errors at a limited rate. It is safe for concurrent use.
 type refusals struct {
 	log   log.Interface
 	lines *limiter.Limiter
@@ -34,7 +34,7 @@
 	return &refusals{log: l, lines: limiter.NewLimiter(refusedLines, refusedBurst), told: make(map[string]time.Time)}
 }
 
-// note takes an object of the store that names nothing because of err.
+// logObject logs that an object of the store could not be parsed.
 func (r *refusals) note(now time.Time, kind, name string, err error) {
 	if !r.due(now, kind+"/"+name) {
 		return
@@ -42,7 +42,7 @@
 	r.log.WithError(err).WithFields(log.Fields{"kind": kind, "name": name}).Warn("store: object not understood")
 }
 
-// response takes a response of a target of which a header can't be read.
+// logHeader logs that a response header of a target could not be parsed.
 func (r *refusals) response(now time.Time, target string, err error) {
 	if !r.due(now, "response/"+target) {
 		return
@@ -50,6 +50,7 @@
 	r.log.WithError(err).WithField("target", target).Warn("target: header not understood")
 }
 
+// allow reports whether a line about key may be logged now.
 func (r *refusals) due(now time.Time, key string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -9,17 +9,16 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// reloaded is told when settings have changed.
+// settingsReloaded makes the control loop apply changed settings to all services.
 type reloaded struct{}
 
-// apply has all services take their bounds anew.
 func (reloaded) apply(_ time.Time, c *control) { c.dirty = true }
 
-// Reload takes settings that have changed. Addresses and names stay those of
-// the start: only the bounds may move while the process runs.
+// Reload applies changed settings. Only the bounds change while the process runs;
+// addresses and names keep their values from the start.
 func (g *Gateway) Reload(s platform.Settings, err error) {
 	if err != nil {
-		g.log.WithError(err).Error("settings refused, those in force stay")
+		g.log.WithError(err).Error("invalid settings; keeping those in force")
 		return
 	}
 	g.bounds.Store(&s.Bounds)
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -8,8 +8,8 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// reported reads what a target reports of itself at the end of a dispatch, whatever
-// becomes of the response.
+// resultReport returns the load report in the response of a dispatch. It is also read
+// from a response that is not forwarded.
 func (g *Gateway) reported(target string, res result) slot.Report {
 	switch {
 	case res.answer != nil:
@@ -20,11 +20,11 @@
 	return slot.Report{}
 }
 
-// report reads what a target reports of itself in a response.
+// parseReport returns the load report in a target's response.
 func (g *Gateway) report(target string, status int, h http.Header) slot.Report {
-	r, err := platform.Report(status, h)
+	report, err := platform.Report(status, h)
 	if err != nil {
 		g.refused.response(time.Now(), target, err)
 	}
-	return r
+	return report
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -15,7 +15,7 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// request is one caller's attempt on its way.
+// request is the state of one caller request while it is served.
 type request struct {
 	gateway *Gateway
 	w       http.ResponseWriter
@@ -23,47 +23,47 @@
 	id      string
 	arrived time.Time
 	body    []byte
-	digest  uint64 // fingerprint
+	digest  uint64 // identifies repeated requests for the crash quarantine
 	route   *route.Entry
 	service *service
-	version route.Version // of the configuration that the request is served by
-	// objective is until when an answer counts in full, from the caller's first
-	// attempt on.
+	version route.Version // of the configuration used for this request
+	// objective is the time by which the response should arrive, counted from the
+	// caller's first attempt.
 	objective time.Time
 
 	call    call.Call
 	tries   [call.MaxTries]try
-	sought  uint64 // id in the book while a target is sought
+	sought  uint64 // ID of the pending target request in the balancer; 0 if none
 	slots   chan slot.Action
 	results chan result
-	flying  int
+	flying  int // dispatches in flight
 	hedge   *time.Timer
-	refused slot.Action // why no target was had
+	refused slot.Action // refusal of the balancer, if it gave no target
 }
 
-// try is one dispatch.
+// dispatch is one dispatch of a request to a target.
 type try struct {
-	id     uint64 // in the book
+	id     uint64 // in the balancer
 	target slot.Target
-	why    slot.Why // of the choice
+	why    slot.Why // data behind the choice of the target
 	began  time.Time
-	left   time.Duration // that its target was given
+	left   time.Duration // timeout that was sent to the target
 	cancel context.CancelFunc
 	answer *forward.Answer
 }
 
-// result is how a dispatch ended.
+// result is the outcome of a dispatch.
 type result struct {
 	try    int
 	answer *forward.Answer
 	fail   *forward.Failure
 }
 
-// endMargin is how long before the end of its time a request is given up, so
-// that the answer is back by then.
+// responseMargin is how long before its deadline a request is given up, so that the
+// response reaches the caller in time.
 const endMargin = 2 * time.Millisecond
 
-// run seeks a target, sends the request there and passes the answer on.
+// run acquires a target, dispatches the request and forwards the response.
 func (q *request) run(v *view) {
 	q.service = v.services[q.route.Split.Next()]
 	if q.service == nil {
@@ -71,34 +71,34 @@
 		return
 	}
 	now := time.Now()
-	end := q.end()
-	expiry := time.NewTimer(end.Sub(now))
+	deadline := q.end()
+	expiry := time.NewTimer(deadline.Sub(now))
 	defer expiry.Stop()
-	q.hedge = time.NewTimer(end.Sub(now)) // until DoTimer sets it
+	q.hedge = time.NewTimer(deadline.Sub(now)) // reset by DoTimer
 	defer q.hedge.Stop()
 	defer q.release()
-	acts := q.arrive(now, end)
-	for !q.do(acts.All()) {
+	actions := q.arrive(now, deadline)
+	for !q.do(actions.All()) {
 		select {
 		case a := <-q.slots:
-			acts = q.chosen(time.Now(), a)
+			actions = q.chosen(time.Now(), a)
 		case res := <-q.results:
 			q.flying--
-			acts = q.ended(time.Now(), res)
+			actions = q.ended(time.Now(), res)
 		case <-q.hedge.C:
-			acts = q.call.Hedge(time.Now())
+			actions = q.call.Hedge(time.Now())
 		case <-expiry.C:
-			acts = q.call.Expire(time.Now())
+			actions = q.call.Expire(time.Now())
 		case <-q.gateway.ending:
-			acts = q.call.Expire(time.Now())
+			actions = q.call.Expire(time.Now())
 		case <-q.r.Context().Done():
-			acts = q.call.Leave(time.Now())
+			actions = q.call.Leave(time.Now())
 		}
 	}
 }
 
-// arrive begins the request's life.
-func (q *request) arrive(now, end time.Time) call.Actions {
+// start initializes the request and passes it to the call state machine.
+func (q *request) arrive(now, deadline time.Time) call.Actions {
 	q.slots = make(chan slot.Action, 1)
 	q.results = make(chan result, call.MaxTries)
 	q.digest = q.fingerprint()
@@ -110,38 +110,39 @@
 		Tries: min(q.route.Attempts, call.MaxTries), Margin: endMargin, Budget: q.service.budget,
 	})
 	return q.call.Arrive(now, call.Arrival{
-		Deadline: end, Idempotent: q.route.Idempotent, Hedge: q.service.hedge(q.route.Name, q.objective.Sub(now)),
+		Deadline: deadline, Idempotent: q.route.Idempotent, Hedge: q.service.hedge(q.route.Name, q.objective.Sub(now)),
 		Quarantined: q.gateway.suspects.Quarantined(now, q.digest),
 	})
 }
 
-// end is when the request gets its final answer at the latest: the caller's
-// deadline, or the route's timeout if that comes first.
+// deadline returns the latest time of the final response: the caller's deadline or the
+// route's timeout, whichever is earlier.
 func (q *request) end() time.Time {
-	limit := q.route.Timeout
+	timeout := q.route.Timeout
 	if left, ok := platform.RequestTime(q.r.Header); ok {
-		limit = min(limit, left)
+		timeout = min(timeout, left)
 	}
-	return q.arrived.Add(limit)
+	return q.arrived.Add(timeout)
 }
 
-// fingerprint names what a request asks for, so that one that crashes targets
-// is known when it comes again: path, caller and body.
+// computeFingerprint hashes the caller's address, the method, the path and the body, so
+// that a request that crashes targets is recognized when it is repeated.
 func (q *request) fingerprint() uint64 {
-	var h xxhash.Digest
-	h.Reset()
+	var hash xxhash.Digest
+	hash.Reset()
 	host, _, err := net.SplitHostPort(q.r.RemoteAddr)
 	if err != nil {
 		host = q.r.RemoteAddr
 	}
-	_, _ = h.WriteString(host + "\x00" + q.r.Method + "\x00" + q.r.URL.RequestURI() + "\x00")
-	_, _ = h.Write(q.body)
-	return h.Sum64()
+	_, _ = hash.WriteString(host + "\x00" + q.r.Method + "\x00" + q.r.URL.RequestURI() + "\x00")
+	_, _ = hash.Write(q.body)
+	return hash.Sum64()
 }
 
-// do does what the call decided, and reports whether the request has ended.
-func (q *request) do(acts []call.Action) (ended bool) {
-	for _, a := range acts {
+// perform executes the actions of the call state machine and reports whether the request
+// has ended.
+func (q *request) do(actions []call.Action) (ended bool) {
+	for _, a := range actions {
 		switch a.Do {
 		case call.DoSeek:
 			q.seek(false)
@@ -167,6 +168,7 @@
 	return false
 }
 
+// acquire asks the balancer for a target that has not been tried yet.
 func (q *request) seek(hedge bool) {
 	now := time.Now()
 	r := slot.Request{
@@ -177,7 +179,7 @@
 	q.sought = q.service.arrive(now, r, q.slots)
 }
 
-// chosen takes the book's decision.
+// handleDecision handles the balancer's decision: a target or a refusal.
 func (q *request) chosen(now time.Time, a slot.Action) call.Actions {
 	if a.Do == slot.Refuse {
 		q.refused = a
@@ -193,12 +195,13 @@
 	return q.call.Choose(now, call.Choice{Target: a.Target.ID})
 }
 
-// next is the number of the dispatch that comes next.
+// dispatchCount returns the number of dispatches so far.
 func (q *request) next() (n int) {
 	q.call.Tried(func(string) { n++ })
 	return n
 }
 
+// dispatch sends the request to the chosen target.
 func (q *request) dispatch(a call.Action) {
 	t := &q.tries[a.Try]
 	t.id, q.sought = q.sought, 0
@@ -223,38 +226,38 @@
 	}()
 }
 
-// ended takes the end of a dispatch.
+// handleResult handles the outcome of a dispatch.
 func (q *request) ended(now time.Time, res result) call.Actions {
 	t := &q.tries[res.try]
-	e := slot.End{ID: t.id, Report: q.gateway.reported(t.target.ID, res)}
+	completion := slot.End{ID: t.id, Report: q.gateway.reported(t.target.ID, res)}
 	if res.fail == nil && !q.proper(res.answer) {
 		res.fail = &forward.Failure{Target: t.target.Address, Stage: call.StageInvalid, Status: res.answer.Status, Cause: errImproper, Replay: true}
 		res.answer.Close()
 	}
 	if f := res.fail; f != nil {
-		e.Kind = kindOf(f.Stage)
-		q.service.done(now, e)
+		completion.Kind = kindOf(f.Stage)
+		q.service.done(now, completion)
 		q.service.counts.failures.Inc(1)
-		crash := false
+		quarantined := false
 		if f.Stage.Crash() {
 			q.service.counts.crashes.Inc(1)
-			crash = q.gateway.suspects.Crashed(now, q.digest, t.target.Run(), t.began)
+			quarantined = q.gateway.suspects.Crashed(now, q.digest, t.target.Run(), t.began)
 		}
 		q.logFailure(t, f)
-		return q.call.Fail(now, call.Failed{Try: res.try, Stage: f.Stage, Ran: f.Ran, Replay: true, Quarantined: crash})
+		return q.call.Fail(now, call.Failed{Try: res.try, Stage: f.Stage, Ran: f.Ran, Replay: true, Quarantined: quarantined})
 	}
 	a := res.answer
 	t.answer = a
 	shed := platform.NotRun(a.Status, a.Header)
-	e.Moved = platform.Misdirected(a.Status)
+	completion.Moved = platform.Misdirected(a.Status)
 	switch {
 	case shed:
-		e.Kind = slot.Shed
+		completion.Kind = slot.Shed
 	case a.Status >= http.StatusInternalServerError:
-		e.Kind = slot.Failed
+		completion.Kind = slot.Failed
 	}
-	q.service.done(now, e)
-	if whole := a.Body == nil; whole && !shed {
+	q.service.done(now, completion)
+	if complete := a.Body == nil; complete && !shed {
 		q.clear(now, t, a.Status)
 	}
 	return q.call.Head(now, call.Head{
@@ -262,14 +265,15 @@
 	})
 }
 
-// clear notes that a target has run the request and has given its whole answer.
+// clearSuspicion records that a target ran the request and sent its complete response.
 func (q *request) clear(now time.Time, t *try, status int) {
 	if q.gateway.suspects.Answered(now, q.digest) {
 		q.logCleared(t, status)
 	}
 }
 
-// kindOf says what a failed dispatch says of its target.
+// endKind maps the stage at which a dispatch failed to the outcome that the slot
+// scheduler records for the target.
 func kindOf(s call.Stage) slot.Kind {
 	switch s {
 	case call.StageCancelled, call.StageCaller:
@@ -280,8 +284,8 @@
 	return slot.Lost
 }
 
-// release gives back what the request holds. Dispatches that are still under
-// way are cancelled; their ends are awaited apart.
+// release frees the resources of the request. It cancels the dispatches in flight; their
+// results are collected in the background.
 func (q *request) release() {
 	if q.call.Spent() {
 		q.service.counts.denied.Inc(1)
@@ -299,17 +303,18 @@
 	}
 }
 
+// awaitCancelled waits for the results of cancelled dispatches and frees their slots.
 func (q *request) reap() {
 	for ; q.flying > 0; q.flying-- {
 		res := <-q.results
 		t := &q.tries[res.try]
-		e := slot.End{ID: t.id, Kind: slot.Cancelled, Report: q.gateway.reported(t.target.ID, res)}
+		completion := slot.End{ID: t.id, Kind: slot.Cancelled, Report: q.gateway.reported(t.target.ID, res)}
 		if res.answer != nil {
 			res.answer.Close()
 		}
 		if res.fail != nil && res.fail.Stage == call.StageTimeout {
-			e.Kind = slot.TimedOut
+			completion.Kind = slot.TimedOut
 		}
-		q.service.done(time.Now(), e)
+		q.service.done(time.Now(), completion)
 	}
 }
--- a/internal/gateway/senders.go
+++ b/internal/gateway/senders.go
@@ -8,13 +8,13 @@
 	"plumpitch.example/plumpitch/pkg/quota"
 )
 
-// shareCold tells each service which entries send to it: what a cold target bears is
-// divided among these. Callers that come to another entry, by an answer of the directory
-// that has grown old, are served by warm targets.
+// updateSenders tells each service which entries send requests to it. The request rate
+// that a cold target can take is divided among these entries. Any other entry, which
+// callers may reach by an outdated directory response, uses targets that are warmed up.
 //
-// An entry that hears none of the others sends to no cold target. It takes itself for
-// the owner of everything, as any other does that was cut off with it, and their shares
-// together would be more than a target bears.
+// An entry that receives nothing from the others sends to no cold target. Each entry that
+// is cut off assumes that it owns all hosts, so together their shares would exceed what a
+// cold target can take.
 func (c *control) shareCold(now time.Time, owners map[string][]owner.Entry) {
 	senders := c.senders(owners)
 	if c.isolated(now) {
@@ -25,8 +25,8 @@
 	}
 }
 
-// senders are the names of the owners of all hosts with requests for a service, by
-// service.
+// senders returns, for each service, the names of the entries that own a host with a
+// route to it.
 func (c *control) senders(owners map[string][]owner.Entry) map[string][]string {
 	senders := make(map[string][]string)
 	for _, r := range c.config.Routes {
@@ -44,7 +44,7 @@
 	return senders
 }
 
-// share takes the names of the entries that send to the service.
+// setSenders sets the names of the entries that send requests to the service.
 func (s *service) share(now time.Time, names []string, self string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -17,7 +17,7 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// service drives the book of one service.
+// service owns the balancer of one service and executes its decisions.
 type service struct {
 	gateway *Gateway
 	budget  *call.Budget
@@ -28,12 +28,12 @@
 	book    *slot.Book
 	waiting map[uint64]chan<- slot.Action
 	last    uint64
-	senders []string     // names of the entries that send to it
-	alarm   *alarm.Alarm // for the book's timer
+	senders []string     // names of the entries that send requests to this service
+	alarm   *alarm.Alarm // for the balancer's next timer
 }
 
-// askGrace is how long an answer to a question may take. A choice doesn't wait
-// for it that long; cutting it off sooner would cost its connection.
+// probeTimeout bounds a load probe. The choice of a target does not wait that long for
+// it, but aborting the probe earlier would close its connection.
 const askGrace = time.Second
 
 func newService(g *Gateway, s route.Service) *service {
@@ -46,42 +46,46 @@
 	return sv
 }
 
-// hedgeReserve is how much more time than usual a hedge is given.
+// hedgeTimeFactor is the time reserved for a hedge, as a multiple of the baseline service
+// time.
 const hedgeReserve = 1.4
 
-// hedge tells after how long without an answer a request with so much time for
-// its objective is sent a second time: as late as a target that is not slow can
-// still answer it by then.
+// hedgeDelay returns how long a request of a class waits for a response before it is also
+// sent to a second target. It is the latest time at which a target that is not slow can
+// still respond within the time left for the objective, and never earlier than the
+// baseline service time.
 func (s *service) hedge(class string, left time.Duration) time.Duration {
 	s.mu.Lock()
-	usual := s.book.Usual(class)
+	baseline := s.book.Usual(class)
 	s.mu.Unlock()
-	return max(left-time.Duration(hedgeReserve*float64(usual)), usual)
+	return max(left-time.Duration(hedgeReserve*float64(baseline)), baseline)
 }
 
-// back tells when a request may come back that its targets refused.
+// retryAfter returns when a caller may retry a request that its targets refused.
 func (s *service) back(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Back(now)
 }
 
-func (s *service) configure(now time.Time, is route.Service) {
+// configure applies the service's configuration and the bounds in force.
+func (s *service) configure(now time.Time, cfg route.Service) {
 	b := s.gateway.bounds.Load()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.is = is
-	s.book.Warmup(now, slot.Warmup{Bound: quota.NewColdBound(is.WarmRate, b.WarmFactor, b.WarmSlack), Time: is.Warmup})
+	s.is = cfg
+	s.book.Warmup(now, slot.Warmup{Bound: quota.NewColdBound(cfg.WarmRate, b.WarmFactor, b.WarmSlack), Time: cfg.Warmup})
 }
 
-// take takes the whole list of targets.
+// setTargets replaces the list of targets.
 func (s *service) take(now time.Time, list []slot.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.act(now, s.book.Targets(now, list, nil))
 }
 
-// busy tells whether requests seek a target or are at one, and may seek another.
+// active reports whether any request is pending or in flight. A request in flight may
+// still need another target.
 func (s *service) busy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,26 +93,26 @@
 	return seeking+flying > 0
 }
 
-// size is the number of targets.
+// targetCount returns the number of targets.
 func (s *service) size() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Size()
 }
 
-// arrive asks for a target. One Send or Refuse comes through answer, which has
-// room for it.
-func (s *service) arrive(now time.Time, r slot.Request, answer chan<- slot.Action) (id uint64) {
+// acquire asks the balancer for a target. The decision, a target or a refusal, is sent to
+// the decision channel, which must have room for it.
+func (s *service) arrive(now time.Time, r slot.Request, decision chan<- slot.Action) (id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last++
 	r.ID = s.last
-	s.waiting[r.ID] = answer
+	s.waiting[r.ID] = decision
 	s.act(now, s.book.Arrive(now, r, nil))
 	return r.ID
 }
 
-// cancel takes a request back that seeks a target or is at one.
+// cancel withdraws a request that is pending or in flight.
 func (s *service) cancel(now time.Time, id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,13 +120,15 @@
 	s.act(now, s.book.Cancel(now, id, nil))
 }
 
-func (s *service) done(now time.Time, e slot.End) {
+// complete records how a dispatched request ended.
+func (s *service) done(now time.Time, completion slot.End) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, s.book.Done(now, e, nil))
+	s.act(now, s.book.Done(now, completion, nil))
 }
 
-// act does what the book decided. The lock is held, so nothing here blocks.
+// perform executes the balancer's actions. The caller holds the lock, so perform must not
+// block.
 func (s *service) act(now time.Time, actions []slot.Action) {
 	for _, a := range actions {
 		switch a.Do {
@@ -130,9 +136,9 @@
 			if a.Do == slot.Refuse {
 				s.counts.refused[a.Reason].Inc(1)
 			}
-			if c, ok := s.waiting[a.ID]; ok {
+			if decision, ok := s.waiting[a.ID]; ok {
 				delete(s.waiting, a.ID)
-				c <- a
+				decision <- a
 			}
 		case slot.Ask:
 			s.counts.asked.Inc(1)
@@ -140,7 +146,7 @@
 		case slot.Rest:
 			s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID}).Warn("target is out, it fails what it is sent")
 		case slot.Back:
-			s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID}).Info("target is back")
+			s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID}).Info("target readmitted")
 		case slot.Leaves:
 			s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID}).Info("target says that it leaves")
 		case slot.Limit:
@@ -156,14 +162,15 @@
 }
 
 func (s *service) logLimit(a slot.Action) {
-	l := s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID})
+	entry := s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID})
 	if !a.Named {
-		l.Info("target names no limit any more")
+		entry.Info("target names no limit any more")
 		return
 	}
-	l.WithField("rate", a.Rate).Info("target names a limit")
+	entry.WithField("rate", a.Rate).Info("target names a limit")
 }
 
+// tick runs the balancer's timer.
 func (s *service) tick() {
 	now := time.Now()
 	s.mu.Lock()
@@ -172,19 +179,19 @@
 	s.act(now, s.book.Tick(now, nil))
 }
 
-// ask asks a target for its load.
+// probe asks a target for its load and passes the result to the balancer.
 func (s *service) ask(a slot.Action, path string) {
 	ctx, cancel := context.WithTimeout(context.Background(), askGrace)
 	defer cancel()
-	status, h, err := s.gateway.forward.Ask(ctx, a.Target.Address, path)
-	r := slot.Reply{Target: a.Target.ID}
-	if err == nil && platform.Instance(h) == a.Target.ID {
-		r.Well = status == http.StatusOK
-		r.Report = s.gateway.report(a.Target.ID, status, h)
-		r.Cold, r.Warmth = platform.Cold(h)
+	status, header, err := s.gateway.forward.Ask(ctx, a.Target.Address, path)
+	result := slot.Reply{Target: a.Target.ID}
+	if err == nil && platform.Instance(header) == a.Target.ID {
+		result.Well = status == http.StatusOK
+		result.Report = s.gateway.report(a.Target.ID, status, header)
+		result.Cold, result.Warmth = platform.Cold(header)
 	}
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, s.book.Replied(now, r, nil))
+	s.act(now, s.book.Replied(now, result, nil))
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -16,21 +16,20 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// PathStatus is where a gateway tells operators what it believes, on the
-// listener of its metrics.
+// PathStatus is the path of the status on the listener of the metrics.
 const PathStatus = "/status"
 
-// Status is what a gateway believes.
+// Status is the current state of a gateway, for operators.
 type Status struct {
 	Entry    string          `json:"entry"`
 	Boot     uint64          `json:"boot"`
-	Version  uint64          `json:"version"` // of the configuration in force, 0 for none
-	Age      float64         `json:"age"`     // seconds since the store confirmed that version
-	Epoch    uint64          `json:"epoch"`   // of the store: how often it was restored from a copy
-	Revision uint64          `json:"revision"`
-	Fresh    float64         `json:"fresh"`  // seconds since the store confirmed the targets
-	Marked   float64         `json:"marked"` // seconds since the store confirmed the evacuations
-	Shut     bool            `json:"shut"`   // the store doesn't serve this entry
+	Version  uint64          `json:"version"`  // of the configuration in force, 0 for none
+	Age      float64         `json:"age"`      // seconds since the store confirmed that version
+	Epoch    uint64          `json:"epoch"`    // of the store: how often it was restored from a copy
+	Revision uint64          `json:"revision"` // of the last change of the targets
+	Fresh    float64         `json:"fresh"`    // seconds since the store confirmed the targets
+	Marked   float64         `json:"marked"`   // seconds since the store confirmed the evacuations
+	Shut     bool            `json:"shut"`     // the store doesn't serve this entry
 	Leaving  bool            `json:"leaving"`
 	Strained bool            `json:"strained"`
 	Entries  []EntryStatus   `json:"entries"`
@@ -43,17 +42,17 @@
 // EvacuationStatus is a failure domain that gets no requests.
 type EvacuationStatus struct {
 	Place    string  `json:"place"`
-	Revision uint64  `json:"revision"` // of the mark
-	Since    float64 `json:"since"`    // seconds that this entry has known of it
+	Revision uint64  `json:"revision"` // of the evacuation in the store
+	Since    float64 `json:"since"`    // seconds since this entry received the evacuation
 	Targets  int     `json:"targets"`  // in the domain
-	Flying   int     `json:"flying"`   // requests of this entry that still run there
+	Flying   int     `json:"flying"`   // requests of this entry still in flight there
 }
 
-// HostStatus is a host with the entries that its callers are sent to.
+// HostStatus is a host with its owners, the entries that its callers are sent to.
 type HostStatus struct {
 	Name   string   `json:"name"`
 	Owners []string `json:"owners"`
-	Rate   float64  `json:"rate"` // requests a second at all entries
+	Rate   float64  `json:"rate"` // requests per second at all entries
 }
 
 // EntryStatus is another entry.
@@ -63,49 +62,49 @@
 	Front    string  `json:"front"`
 	Live     bool    `json:"live"`
 	State    string  `json:"state"`
-	Since    float64 `json:"since"`    // seconds ago that the state was told
-	Version  uint64  `json:"version"`  // as it last said itself to this entry, 0 if never
-	Revision uint64  `json:"revision"` // the same
+	Since    float64 `json:"since"`    // seconds since this entry received the state
+	Version  uint64  `json:"version"`  // of its configuration as it last reported it to this entry, 0 if never
+	Revision uint64  `json:"revision"` // of its targets, reported likewise
 	Strained bool    `json:"strained"`
 	Shut     bool    `json:"shut"`
-	Rate     float64 `json:"rate"` // requests a second, where this entry is told of them
+	Rate     float64 `json:"rate"` // requests per second, for hosts whose rates it reports to this entry
 }
 
 // ServiceStatus is a service with its targets.
 type ServiceStatus struct {
 	Name    string         `json:"name"`
-	Seeking int            `json:"seeking"` // requests without a target
-	Flying  int            `json:"flying"`  // requests at targets
-	Saved   float64        `json:"saved"`   // repeats that the retry budget has
+	Seeking int            `json:"seeking"` // pending requests, without a target
+	Flying  int            `json:"flying"`  // requests in flight
+	Saved   float64        `json:"saved"`   // retries and hedges that the budget has saved up
 	Targets []TargetStatus `json:"targets"`
 }
 
-// TargetStatus is a target as this entry judges it.
+// TargetStatus is the state of a target as this entry sees it.
 type TargetStatus struct {
 	ID       string  `json:"id"`
 	Address  string  `json:"address"`
 	Place    string  `json:"place"`
 	State    string  `json:"state"`
-	Until    float64 `json:"until"` // seconds that the state lasts at least
+	Until    float64 `json:"until"` // minimum seconds until the state ends
 	InFlight int     `json:"inflight"`
-	Foreign  int     `json:"foreign"` // requests of other entries, as last told
-	Pace     float64 `json:"pace"`    // 0 where it has told none
-	Age      float64 `json:"age"`     // seconds of that word
-	// Leaves is for how many seconds this entry has known from a response that the
-	// target leaves; missing where it doesn't.
+	Foreign  int     `json:"foreign"` // requests of other entries in flight, by the last load report
+	Pace     float64 `json:"pace"`    // 0 without a load report
+	Age      float64 `json:"age"`     // seconds since the load report
+	// Leaves is the time in seconds since this entry learned from a response that the
+	// target is leaving; nil if it has not.
 	Leaves *float64 `json:"leaves,omitempty"`
-	// Limit is how many requests a second the target says that it takes from all
-	// entries; missing where it names no limit.
+	// Limit is the request rate that the target accepts from all entries together; nil if
+	// it reports no limit.
 	Limit *LimitStatus `json:"limit,omitempty"`
 }
 
-// LimitStatus is the limit that a target names.
+// LimitStatus is the limit that a target reports.
 type LimitStatus struct {
-	Rate  float64 `json:"rate"`  // requests a second, from all entries
-	Since float64 `json:"since"` // seconds that this entry has known of one
+	Rate  float64 `json:"rate"`  // requests per second, from all entries
+	Since float64 `json:"since"` // seconds since this entry first received a limit
 }
 
-// statusAsked asks the control loop for what it believes.
+// statusRequest asks the control loop for the status.
 type statusAsked struct{ answer chan Status }
 
 func (m statusAsked) apply(now time.Time, c *control) { m.answer <- c.status(now) }
@@ -137,16 +136,17 @@
 		s.Services = append(s.Services, sv.status(now, name))
 	}
 	slices.SortFunc(s.Services, func(a, b ServiceStatus) int { return cmp.Compare(a.Name, b.Name) })
-	for place, it := range c.marks(now) {
+	for place, evacuation := range c.marks(now) {
 		s.Evacuations = append(s.Evacuations, evacuationStatus(s.Services, EvacuationStatus{
-			Place: place, Revision: it.Revision.Position(), Since: now.Sub(c.evacuatedAt[place]).Seconds(),
+			Place: place, Revision: evacuation.Revision.Position(), Since: now.Sub(c.evacuatedAt[place]).Seconds(),
 		}))
 	}
 	slices.SortFunc(s.Evacuations, func(a, b EvacuationStatus) int { return cmp.Compare(a.Place, b.Place) })
 	return s
 }
 
-// evacuationStatus adds what the services tell of an evacuated failure domain.
+// evacuationStatus adds the targets of an evacuated failure domain and their requests in
+// flight.
 func evacuationStatus(services []ServiceStatus, e EvacuationStatus) EvacuationStatus {
 	for _, s := range services {
 		for _, t := range s.Targets {
@@ -201,12 +201,12 @@
 	return t
 }
 
-// Status returns what this gateway believes.
+// Status returns the state of this gateway.
 func (g *Gateway) Status(ctx context.Context) (s Status, err error) {
-	q := statusAsked{answer: make(chan Status, 1)}
-	g.control.tell(ctx, q)
+	request := statusAsked{answer: make(chan Status, 1)}
+	g.control.tell(ctx, request)
 	select {
-	case s = <-q.answer:
+	case s = <-request.answer:
 		return s, nil
 	case <-ctx.Done():
 		return s, errors.WithMessage(ctx.Err(), "control")
@@ -225,7 +225,7 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(s); err != nil {
-			g.log.WithError(err).Debug("status not written")
+			g.log.WithError(err).Debug("could not write the status")
 		}
 	})
 	return mux
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -10,23 +10,23 @@
 
 // Times of a graceful stop.
 const (
-	// serveOn is how long a stopping entry still serves whoever comes: callers
-	// keep a directory answer up to three times as long as it says.
+	// drainTime is how long a stopping entry still accepts requests: callers may use a
+	// directory response for up to three times its TTL.
 	serveOn = 3 * directoryTTL
-	// acceptTime is how long requests are awaited on connections that were made
-	// just before the listener closed: a round trip to callers and a busy VM's
-	// delay. An http.Server drops what it reads once its shutdown has begun, and
-	// a caller whose connection was taken would see it end without an answer.
+	// lastRequestWait is how long the entry waits for requests on connections that were
+	// accepted just before the listener closed: a round trip to callers and the delay of a
+	// busy VM. An http.Server drops requests that it reads after its shutdown has begun,
+	// and such a caller would see its connection close without a response.
 	acceptTime = 100 * time.Millisecond
-	// stopReserve is what is kept of the grace for the end of the process.
+	// stopReserve is the part of the grace period reserved for the exit of the process.
 	stopReserve = 500 * time.Millisecond
-	// answerTime is how long before that requests are given up, so that their callers
-	// have an answer when their connections close.
+	// responseReserve is how long before the shutdown deadline unfinished requests are
+	// given up, so that callers get a response before their connections close.
 	answerTime = 100 * time.Millisecond
 )
 
-// leave stops gracefully: out of the directory and not ready at once, then
-// serving until nobody is sent here any more, then closing between requests.
+// stop stops the entry gracefully. It reports not ready and leaves the directory at once,
+// serves requests until callers no longer use its address, and then shuts down.
 func (g *Gateway) leave(front *http.Server) {
 	grace := g.bounds.Load().Grace
 	deadline := time.Now().Add(grace - stopReserve)
@@ -42,14 +42,14 @@
 			return
 		}
 		if err := g.store.Leave(ctx, g.self.Name, 0); err != nil {
-			g.log.WithError(err).Warn("still on record")
+			g.log.WithError(err).Warn("could not remove this entry's record from the store")
 		}
 	}()
 	sleep(ctx, min(serveOn, grace/2))
 	g.front.Close()
 	sleep(ctx, acceptTime)
 	if err := front.Shutdown(ctx); err != nil {
-		g.log.WithError(err).Warn("requests cut by the stop")
+		g.log.WithError(err).Warn("shutdown deadline passed with requests unfinished")
 	}
 	g.control.tell(ctx, departs{})
 }
--- a/internal/gateway/strain.go
+++ b/internal/gateway/strain.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// strain tells whether this entry keeps up. It is judged by how late the
-// control loop's own timer is: where that comes late, so does every request.
+// overloadDetector detects that this entry is overloaded. It measures how late the control
+// loop's ticks are, since requests are delayed by as much.
 type strain struct {
-	last  time.Time
-	late  int // ticks in a row
-	until time.Time
+	last  time.Time // previous tick
+	late  int       // consecutive late ticks
+	until time.Time // end of the overloaded state
 }
 
 const (
-	// strainLate is how late a tick may be. An answer that is held up that long
-	// on each of its ways through the entry has spent half of the shortest
-	// objective.
+	// maxTickDelay is how late a tick may be. A request and its response that are each
+	// delayed by that much have used half of the shortest objective.
 	strainLate = 40 * time.Millisecond
-	// strainTicks is how many late ticks in a row show that it lasts.
+	// overloadTicks is how many consecutive late ticks mean overload.
 	strainTicks = 2
-	// strainHold is how long an entry goes without callers then: a slow VM
-	// that gets none looks well, and would be given them again at once.
+	// overloadHold is how long an entry stays overloaded after the last detection. A slow
+	// VM without callers appears healthy, so without this time it would get them back at
+	// once.
 	strainHold = 6 * time.Second
 )
 
-// tick takes a tick that was due period after the one before.
+// tick records a tick that was due one period after the previous one.
 func (s *strain) tick(now time.Time, period time.Duration) {
 	late := !s.last.IsZero() && now.Sub(s.last) > period+strainLate
 	s.last = now
@@ -36,7 +36,7 @@
 	}
 }
 
-// strained tells whether callers should be sent elsewhere.
+// overloaded reports whether callers should be sent to other entries.
 func (s *strain) strained(now time.Time) bool {
 	return now.Before(s.until)
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// maxSuspects is how many suspects are looked through for news at a time.
+	// maxSuspects is how many suspects are checked for changes at a time.
 	maxSuspects = 16
-	// maxTold bounds what is kept of suspects that were told of; beyond that they
-	// are told once more.
+	// maxAnnounced bounds the suspects that are remembered as announced. When it is
+	// exceeded, all are forgotten and announced once more.
 	maxTold = 4096
 )
 
 const (
-	// tellerTime is how long an entry has to be live before it tells others at their
-	// start: by then it has been told itself.
+	// notifierMinUptime is how long an entry must have been live before it sends its
+	// quarantine to entries that start: by then it has received the quarantine itself.
 	tellerTime = 2 * time.Second
-	// mostTellers is how many tell one that starts, since datagrams are lost.
+	// maxNotifiers is how many entries notify one that starts; several, since datagrams
+	// may be lost.
 	mostTellers = 3
 )
 
-// liveRun is a run of an entry, and since when it is live as far as is known here.
+// liveInstance is a live incarnation of an entry.
 type liveRun struct {
 	boot  uint64
-	since time.Time
+	since time.Time // when this entry first saw it live
 }
 
-// tellStarted tells entries that have started, or are live again, of requests in quarantine.
-// Those that were live when it began were told then.
+// notifyStarted sends the quarantined requests to entries that have started or are live
+// again. Entries that were live when a quarantine began received it then.
 func (c *control) tellStarted(now time.Time) {
 	live := c.live()
 	if c.rolls == c.rollTold {
@@ -56,17 +57,17 @@
 	if !c.tells(now) {
 		return
 	}
-	held := c.quarantined(now)
-	if len(held) == 0 {
+	quarantined := c.quarantined(now)
+	if len(quarantined) == 0 {
 		return
 	}
 	for _, e := range started {
-		c.send(e.Peer, relay.Packet{Kind: relay.Suspects, Suspects: held, ID: c.members.Self()})
+		c.send(e.Peer, relay.Packet{Kind: relay.Suspects, Suspects: quarantined, ID: c.members.Self()})
 	}
 }
 
-// tells reports whether this entry is one of those that tell others at their start: the
-// first in the order of names that have been live for long.
+// isNotifier reports whether this entry notifies entries that start. The notifiers are
+// the first maxNotifiers entries, by name, that have been live for notifierMinUptime.
 func (c *control) tells(now time.Time) bool {
 	n := 0
 	for _, e := range c.live() {
@@ -83,18 +84,18 @@
 	return false
 }
 
-// quarantined are the requests in quarantine, as others are told of them.
-func (c *control) quarantined(now time.Time) (held []call.Suspect) {
+// quarantined returns the requests in quarantine, in the form sent to other entries.
+func (c *control) quarantined(now time.Time) (list []call.Suspect) {
 	for _, s := range c.gateway.suspects.Export(now, maxSuspects) {
 		if c.gateway.suspects.Quarantined(now, s.Print) > 0 {
-			held = append(held, s)
+			list = append(list, s)
 		}
 	}
-	return held
+	return list
 }
 
-// hearSuspects takes what another entry has told of requests that crash targets. It has told
-// all others of those in quarantine.
+// receiveSuspects merges another entry's report of requests that crash targets. That entry
+// has announced the quarantined ones to all entries, so they are recorded as announced.
 func (c *control) hearSuspects(now time.Time, by string, list []call.Suspect) {
 	for _, s := range list {
 		c.logTold(s.Print, uint32(s.Crashes), by)
@@ -105,42 +106,41 @@
 	c.gateway.suspects.Merge(now, by, list)
 }
 
-// learned takes requests in quarantine that other entries have told of.
+// receiveRumours merges quarantined requests that were received by gossip.
 func (c *control) learned(now time.Time, r member.Rumours) {
 	for _, s := range r.Crashers {
 		c.logTold(s.Print, s.Crashes, s.By)
-		seen := call.Suspect{Print: s.Print, Crashes: int(s.Crashes), Age: now.Sub(s.At)}
-		c.gateway.suspects.Merge(now, s.By, []call.Suspect{seen})
+		suspect := call.Suspect{Print: s.Print, Crashes: int(s.Crashes), Age: now.Sub(s.At)}
+		c.gateway.suspects.Merge(now, s.By, []call.Suspect{suspect})
 	}
 }
 
-// logTold logs what another entry has told of a request that crashes targets.
-func (c *control) logTold(fp uint64, crashes uint32, by string) {
+// logReceivedSuspect logs another entry's report of a request that crashes targets.
+func (c *control) logTold(fingerprint uint64, crashes uint32, by string) {
 	c.gateway.log.WithFields(log.Fields{
-		"print": strconv.FormatUint(fp, 36), "crashes": crashes, "by": by,
+		"print": strconv.FormatUint(fingerprint, 36), "crashes": crashes, "by": by,
 	}).Info("told of a request that crashes targets")
 }
 
-// tellSuspects tells the others of crashes of targets that this entry has seen
-// since it last did. Where their caller sends such a request again it comes to an
-// owner, so that only these are told of each; that one is in quarantine is told to
-// all. With each told to all 472 entries, a fault of 105 targets made half of all
-// packets' bytes.
+// announceSuspects announces the target crashes that this entry has seen since the last
+// announcement. A crash goes to the owners only, since a caller sends its retry to an
+// owner; a quarantine goes to all entries. When each crash went to all 472 entries, a
+// fault of 105 targets caused half of all bytes sent between entries.
 func (c *control) tellSuspects(now time.Time) {
 	var rumours member.Rumours
-	var news []call.Suspect
+	var changed []call.Suspect
 	for _, s := range c.gateway.suspects.Export(now, maxSuspects) {
-		held := c.gateway.suspects.Quarantined(now, s.Print) > 0
-		if held {
+		quarantined := c.gateway.suspects.Quarantined(now, s.Print) > 0
+		if quarantined {
 			s.Crashes = crashLimit
 		}
-		told, ok := c.suspects[s.Print]
-		if ok && told == s.Crashes {
+		announced, ok := c.suspects[s.Print]
+		if ok && announced == s.Crashes {
 			continue
 		}
 		c.suspects[s.Print] = s.Crashes
-		news = append(news, s)
-		if held || told == crashLimit {
+		changed = append(changed, s)
+		if quarantined || announced == crashLimit {
 			rumours.Crashers = append(rumours.Crashers, c.crasher(now, s))
 		}
 	}
@@ -150,14 +150,15 @@
 	if len(rumours.Crashers) > 0 {
 		c.drive(now, member.Tell{Rumours: rumours})
 	}
-	if len(news) == 0 {
+	if len(changed) == 0 {
 		return
 	}
 	for _, e := range c.otherOwners() {
-		c.send(e.Peer, relay.Packet{Kind: relay.Suspects, Suspects: news, ID: c.members.Self()})
+		c.send(e.Peer, relay.Packet{Kind: relay.Suspects, Suspects: changed, ID: c.members.Self()})
 	}
 }
 
+// suspectRumour returns the gossip record of a suspect.
 func (c *control) crasher(now time.Time, s call.Suspect) member.Crasher {
 	c.said++
 	return member.Crasher{
@@ -165,7 +166,7 @@
 	}
 }
 
-// otherOwners are the owners of any host but for this entry.
+// otherOwners returns all other entries that own at least one host.
 func (c *control) otherOwners() (list []owner.Entry) {
 	seen := map[string]bool{c.gateway.self.Name: true}
 	for _, entries := range c.owners {
