--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -17,14 +17,14 @@
 // validResponse reports whether a response may be forwarded. A success needs the target's
 // signature and the ID of this request. A status that callers take to mean that the
 // request did not run needs the target's confirmation (platform.NotRun).
-func (q *request) proper(a *forward.Answer) bool {
+func (q *request) proper(resp *forward.Answer) bool {
 	switch {
-	case platform.NotRun(a.Status, a.Header):
+	case platform.NotRun(resp.Status, resp.Header):
 		return true
-	case a.Status < http.StatusOK || promises(a.Status):
+	case resp.Status < http.StatusOK || promises(resp.Status):
 		return false
-	case a.Status < http.StatusMultipleChoices:
-		return platform.Signed(a.Header) && platform.RequestID(a.Header) == q.id
+	case resp.Status < http.StatusMultipleChoices:
+		return platform.Signed(resp.Header) && platform.RequestID(resp.Header) == q.id
 	}
 	return true
 }
@@ -41,50 +41,50 @@
 
 // forwardResponse sends the response of a dispatch to the caller.
 func (q *request) pass(i int) {
-	t := &q.tries[i]
-	a := t.answer
-	t.answer = nil
+	d := &q.tries[i]
+	resp := d.answer
+	d.answer = nil
 	q.service.counts.answered.Inc(1)
 	q.service.counts.latency.RecordDuration(time.Since(q.arrived))
-	q.logAnswer(t, a.Status, a.Connect)
+	q.logAnswer(d, resp.Status, resp.Connect)
 	for _, name := range platform.TargetsOnly {
-		a.Header.Del(name)
+		resp.Header.Del(name)
 	}
-	if a.Body == nil {
-		a.Header.Set("Content-Length", strconv.Itoa(len(a.Whole)))
+	if resp.Body == nil {
+		resp.Header.Set("Content-Length", strconv.Itoa(len(resp.Whole)))
 	}
-	forward.Copy(q.w, a, func(f *forward.Failure) {
+	forward.Copy(q.w, resp, func(f *forward.Failure) {
 		if f != nil {
 			q.gateway.log.WithFields(q.fields()).WithError(f.Cause).Info("response to the caller broke off")
 			return
 		}
-		if a.Body != nil {
-			q.clear(time.Now(), t, a.Status)
+		if resp.Body != nil {
+			q.clear(time.Now(), d, resp.Status)
 		}
 	})
 }
 
 // respondFailed sends the caller the final error when no target's response is forwarded.
 func (q *request) giveUp() {
-	f := q.call.Final()
+	final := q.call.Final()
 	switch {
 	case q.r.Context().Err() != nil:
 		// The caller has closed the connection.
 		panic(http.ErrAbortHandler)
-	case f.Outcome == call.NotRun:
-		reason := string(f.Reason)
-		retry := f.Retry
+	case final.Outcome == call.NotRun:
+		reason := string(final.Reason)
+		retry := final.Retry
 		switch {
 		case q.refused.Do != 0:
 			reason = q.refused.Reason.String()
-		case f.Reason == call.ReasonShed:
+		case final.Reason == call.ReasonShed:
 			retry = q.service.back(time.Now())
 		}
 		q.refuse(reason, retry)
-	case f.Reason == call.ReasonTimeout || f.Reason == call.ReasonDeadline:
-		q.final(http.StatusGatewayTimeout, string(f.Reason))
+	case final.Reason == call.ReasonTimeout || final.Reason == call.ReasonDeadline:
+		q.final(http.StatusGatewayTimeout, string(final.Reason))
 	default:
-		q.final(http.StatusBadGateway, string(f.Reason))
+		q.final(http.StatusBadGateway, string(final.Reason))
 	}
 }
 
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -28,18 +28,18 @@
 // addDecision adds the inputs of the choice of a target: its requests in flight, its pace
 // and the age in ms of the load report if there is one, the expected response time, the
 // number of probed targets, the wait and the time left.
-func choice(f log.Fields, t *try) {
-	f["target"], f["inflight"], f["asked"] = t.target.ID, t.why.InFlight, t.why.Asked
-	if t.why.Told {
-		f["pace"], f["age"] = math.Round(100*t.why.Pace)/100, t.why.Age.Milliseconds()
+func choice(f log.Fields, d *try) {
+	f["target"], f["inflight"], f["asked"] = d.target.ID, d.why.InFlight, d.why.Asked
+	if d.why.Told {
+		f["pace"], f["age"] = math.Round(100*d.why.Pace)/100, d.why.Age.Milliseconds()
 	}
-	f["waited"], f["expected"], f["left"] = t.why.Waited.Milliseconds(), t.why.Expected.Milliseconds(), t.left.Milliseconds()
+	f["waited"], f["expected"], f["left"] = d.why.Waited.Milliseconds(), d.why.Expected.Milliseconds(), d.left.Milliseconds()
 }
 
 // logResponse logs that a target's response is forwarded.
-func (q *request) logAnswer(t *try, status int, connect time.Duration) {
+func (q *request) logAnswer(d *try, status int, connect time.Duration) {
 	f := q.fields()
-	choice(f, t)
+	choice(f, d)
 	f["status"], f["tries"], f["connect"] = status, q.next(), connect.Milliseconds()
 	q.logSpent(f)
 	q.gateway.log.WithFields(f).Info("answered by its target")
@@ -47,17 +47,17 @@
 
 // logExtraDispatch logs why a request is retried or hedged, and how many more retries and
 // hedges the budget allows.
-func (q *request) logRepeat(t *try, why call.Reason) {
+func (q *request) logRepeat(d *try, why call.Reason) {
 	f := q.fields()
-	choice(f, t)
+	choice(f, d)
 	f["why"], f["saved"] = string(why), math.Round(10*q.service.budget.Saved())/10
 	q.gateway.log.WithFields(f).Warn("sent again")
 }
 
 // logCleared logs that a request is no longer suspected of crashing targets.
-func (q *request) logCleared(t *try, status int) {
+func (q *request) logCleared(d *try, status int) {
 	f := q.fields()
-	choice(f, t)
+	choice(f, d)
 	f["status"], f["print"] = status, strconv.FormatUint(q.digest, 36)
 	q.gateway.log.WithFields(f).Warn("request is cleared, its target answered")
 }
@@ -70,9 +70,9 @@
 }
 
 // logFailure logs a failed dispatch.
-func (q *request) logFailure(t *try, fail *forward.Failure) {
+func (q *request) logFailure(d *try, fail *forward.Failure) {
 	f := q.fields()
-	choice(f, t)
+	choice(f, d)
 	f["stage"], f["ran"], f["connect"] = fail.Stage.String(), ran(fail.Ran), fail.Connect.Milliseconds()
 	if fail.Stage.Crash() {
 		f["print"], f["crashes"] = strconv.FormatUint(q.digest, 36), q.gateway.suspects.Crashes(q.digest)
--- a/internal/gateway/fresh.go
+++ b/internal/gateway/fresh.go
@@ -54,7 +54,7 @@
 	mu        sync.Mutex
 	confirmed [duties]time.Time     // when the store confirmed the data in force
 	away      bool                  // the store doesn't respond; requests don't wait for it
-	moved     chan struct{}         // closed when confirmed or away changes
+	moved     chan struct{}         // closed and replaced when one of the two above changes
 	used      time.Time             // arrival of the last request
 	asked     [duties]time.Time     // when the first request began to wait for a confirmation
 	wanted    [duties]chan struct{} // wake the readers
@@ -69,25 +69,25 @@
 }
 
 // update sets the control loop's state and wakes waiting requests if it has changed.
-func (f *freshness) set(confirmed [duties]time.Time, away bool) {
+func (f *freshness) set(confirmed [duties]time.Time, storeUnavailable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.confirmed == confirmed && f.away == away {
+	if f.confirmed == confirmed && f.away == storeUnavailable {
 		return
 	}
-	f.confirmed, f.away = confirmed, away
+	f.confirmed, f.away = confirmed, storeUnavailable
 	close(f.moved)
 	f.moved = make(chan struct{})
 }
 
 // recordRequest records a request. It returns the resources that the request should wait
 // for, and a channel that is closed at the next change.
-func (f *freshness) use(now time.Time, stale ages) (wait []duty, moved <-chan struct{}) {
+func (f *freshness) use(now time.Time, maxAges ages) (wait []duty, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.used = now
-	for d, at := range f.confirmed {
-		if f.away || at.IsZero() || now.Sub(at) < stale[d] {
+	for d, confirmed := range f.confirmed {
+		if f.away || confirmed.IsZero() || now.Sub(confirmed) < maxAges[d] {
 			f.asked[d] = time.Time{}
 			continue
 		}
@@ -109,8 +109,8 @@
 }
 
 // wakeReaders makes the readers of these resources read now.
-func (f *freshness) wake(ds []duty) {
-	for _, d := range ds {
+func (f *freshness) wake(resources []duty) {
+	for _, d := range resources {
 		select {
 		case f.wanted[d] <- struct{}{}:
 		default:
@@ -121,8 +121,8 @@
 // awaitFresh makes a request wait until the store data is recent enough to serve it, for
 // maxRefreshWait at the most.
 func (g *Gateway) await(ctx context.Context, arrived time.Time, id string) {
-	stale := g.stale()
-	wait, moved := g.freshness.use(arrived, stale)
+	maxAges := g.stale()
+	wait, changed := g.freshness.use(arrived, maxAges)
 	if len(wait) == 0 {
 		return
 	}
@@ -138,19 +138,19 @@
 	for len(wait) > 0 {
 		g.freshness.wake(wait)
 		select {
-		case <-moved:
+		case <-changed:
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		wait, moved = g.freshness.use(time.Now(), stale)
+		wait, changed = g.freshness.use(time.Now(), maxAges)
 	}
 }
 
 // resourceNames joins the names of resources for a log line.
-func dutiesText(ds []duty) string {
+func dutiesText(resources []duty) string {
 	var names []string
-	for _, d := range ds {
+	for _, d := range resources {
 		names = append(names, dutyNames[d])
 	}
 	return strings.Join(names, " ")
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -55,7 +55,7 @@
 
 // rateReport is another entry's report of its request rate for each host.
 type loadsHeard struct {
-	at   time.Time // when it was received
+	at   time.Time
 	list []relay.Load
 }
 
@@ -97,23 +97,23 @@
 
 // ownerCounts returns the owner count of each host. This entry decides it for hosts of
 // which it is the first owner; for others it uses the count that the first owner announced.
-func (c *control) counts(now time.Time, deal *owner.Deal) map[string]int {
+func (c *control) counts(now time.Time, assignment *owner.Deal) map[string]int {
 	counts := make(map[string]int, len(c.hosts.sizes))
 	for host, size := range c.hosts.sizes {
 		counts[host] = owner.Least
-		first := deal.FirstOwners(host)
-		if len(first) == 0 {
+		firstOwners := assignment.FirstOwners(host)
+		if len(firstOwners) == 0 {
 			continue
 		}
 		id := owner.HostID(host)
-		if first[0].Name != c.gateway.self.Name {
+		if firstOwners[0].Name != c.gateway.self.Name {
 			n, _ := c.numbers.Of(id)
 			counts[host] = size.Hear(n.Owners)
 			continue
 		}
-		load := c.load(host)
-		counts[host] = size.Decide(now, load, deal.Fit(host))
-		if c.numbers.Say(id, counts[host], load) {
+		rate := c.load(host)
+		counts[host] = size.Decide(now, rate, assignment.Fit(host))
+		if c.numbers.Say(id, counts[host], rate) {
 			c.drive(now, member.News{})
 		}
 	}
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -9,9 +9,9 @@
 // rate measures the request rate as an exponential moving average.
 type rate struct {
 	count atomic.Int64
-	seen  int64     // count at the last tick
-	at    time.Time // last tick
-	mean  float64   // requests per second
+	seen  int64 // count at the last tick
+	at    time.Time
+	mean  float64 // requests per second
 }
 
 // rateHalfLife is the half-life of the average: short enough to follow a burst of a few
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -190,8 +190,8 @@
 	if gone(q.r) {
 		return q.call.Leave(now)
 	}
-	t := &q.tries[min(q.next(), call.MaxTries-1)]
-	t.target, t.why = a.Target, a.Why
+	d := &q.tries[min(q.next(), call.MaxTries-1)]
+	d.target, d.why = a.Target, a.Why
 	return q.call.Choose(now, call.Choice{Target: a.Target.ID})
 }
 
@@ -203,35 +203,35 @@
 
 // dispatch sends the request to the chosen target.
 func (q *request) dispatch(a call.Action) {
-	t := &q.tries[a.Try]
-	t.id, q.sought = q.sought, 0
-	t.began = time.Now()
+	d := &q.tries[a.Try]
+	d.id, q.sought = q.sought, 0
+	d.began = time.Now()
 	ctx, cancel := context.WithCancel(context.WithoutCancel(q.r.Context()))
-	t.cancel = cancel
+	d.cancel = cancel
 	q.flying++
 	q.service.counts.sent.Inc(1)
-	left := q.end().Sub(t.began)
-	t.left = left
+	timeout := q.end().Sub(d.began)
+	d.left = timeout
 	if a.Try > 0 {
 		q.service.counts.again(string(a.Why)).Inc(1)
-		q.logRepeat(t, a.Why)
+		q.logRepeat(d, a.Why)
 	}
-	send := forward.Try{
-		Target: t.target.Address, Request: q.r, Path: q.r.URL.EscapedPath(), Body: q.body,
-		Timeout: left, Header: platform.Dispatch(t.target.ID), Timed: platform.TimeLeft,
+	outgoing := forward.Try{
+		Target: d.target.Address, Request: q.r, Path: q.r.URL.EscapedPath(), Body: q.body,
+		Timeout: timeout, Header: platform.Dispatch(d.target.ID), Timed: platform.TimeLeft,
 	}
 	go func() {
-		answer, fail := q.gateway.forward.Dispatch(ctx, send)
-		q.results <- result{a.Try, answer, fail}
+		response, failure := q.gateway.forward.Dispatch(ctx, outgoing)
+		q.results <- result{a.Try, response, failure}
 	}()
 }
 
 // handleResult handles the outcome of a dispatch.
 func (q *request) ended(now time.Time, res result) call.Actions {
-	t := &q.tries[res.try]
-	completion := slot.End{ID: t.id, Report: q.gateway.reported(t.target.ID, res)}
+	d := &q.tries[res.try]
+	completion := slot.End{ID: d.id, Report: q.gateway.reported(d.target.ID, res)}
 	if res.fail == nil && !q.proper(res.answer) {
-		res.fail = &forward.Failure{Target: t.target.Address, Stage: call.StageInvalid, Status: res.answer.Status, Cause: errImproper, Replay: true}
+		res.fail = &forward.Failure{Target: d.target.Address, Stage: call.StageInvalid, Status: res.answer.Status, Cause: errImproper, Replay: true}
 		res.answer.Close()
 	}
 	if f := res.fail; f != nil {
@@ -241,41 +241,41 @@
 		quarantined := false
 		if f.Stage.Crash() {
 			q.service.counts.crashes.Inc(1)
-			quarantined = q.gateway.suspects.Crashed(now, q.digest, t.target.Run(), t.began)
+			quarantined = q.gateway.suspects.Crashed(now, q.digest, d.target.Run(), d.began)
 		}
-		q.logFailure(t, f)
+		q.logFailure(d, f)
 		return q.call.Fail(now, call.Failed{Try: res.try, Stage: f.Stage, Ran: f.Ran, Replay: true, Quarantined: quarantined})
 	}
-	a := res.answer
-	t.answer = a
-	shed := platform.NotRun(a.Status, a.Header)
-	completion.Moved = platform.Misdirected(a.Status)
+	resp := res.answer
+	d.answer = resp
+	shed := platform.NotRun(resp.Status, resp.Header)
+	completion.Moved = platform.Misdirected(resp.Status)
 	switch {
 	case shed:
 		completion.Kind = slot.Shed
-	case a.Status >= http.StatusInternalServerError:
+	case resp.Status >= http.StatusInternalServerError:
 		completion.Kind = slot.Failed
 	}
 	q.service.done(now, completion)
-	if complete := a.Body == nil; complete && !shed {
-		q.clear(now, t, a.Status)
+	if complete := resp.Body == nil; complete && !shed {
+		q.clear(now, d, resp.Status)
 	}
 	return q.call.Head(now, call.Head{
-		Try: res.try, Status: a.Status, Shed: shed, Replay: true, Unwell: a.Status >= http.StatusInternalServerError,
+		Try: res.try, Status: resp.Status, Shed: shed, Replay: true, Unwell: resp.Status >= http.StatusInternalServerError,
 	})
 }
 
 // clearSuspicion records that a target ran the request and sent its complete response.
-func (q *request) clear(now time.Time, t *try, status int) {
+func (q *request) clear(now time.Time, d *try, status int) {
 	if q.gateway.suspects.Answered(now, q.digest) {
-		q.logCleared(t, status)
+		q.logCleared(d, status)
 	}
 }
 
 // endKind maps the stage at which a dispatch failed to the outcome that the slot
 // scheduler records for the target.
-func kindOf(s call.Stage) slot.Kind {
-	switch s {
+func kindOf(stage call.Stage) slot.Kind {
+	switch stage {
 	case call.StageCancelled, call.StageCaller:
 		return slot.Cancelled
 	case call.StageTimeout:
@@ -307,8 +307,8 @@
 func (q *request) reap() {
 	for ; q.flying > 0; q.flying-- {
 		res := <-q.results
-		t := &q.tries[res.try]
-		completion := slot.End{ID: t.id, Kind: slot.Cancelled, Report: q.gateway.reported(t.target.ID, res)}
+		d := &q.tries[res.try]
+		completion := slot.End{ID: d.id, Kind: slot.Cancelled, Report: q.gateway.reported(d.target.ID, res)}
 		if res.answer != nil {
 			res.answer.Close()
 		}
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -89,8 +89,8 @@
 func (s *service) busy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seeking, flying := s.book.Len()
-	return seeking+flying > 0
+	pending, inFlight := s.book.Len()
+	return pending+inFlight > 0
 }
 
 // targetCount returns the number of targets.
@@ -162,12 +162,12 @@
 }
 
 func (s *service) logLimit(a slot.Action) {
-	entry := s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID})
+	logger := s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID})
 	if !a.Named {
-		entry.Info("target names no limit any more")
+		logger.Info("target names no limit any more")
 		return
 	}
-	entry.WithField("rate", a.Rate).Info("target names a limit")
+	logger.WithField("rate", a.Rate).Info("target names a limit")
 }
 
 // tick runs the balancer's timer.
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -189,8 +189,8 @@
 		t.Until = max(r.Until.Sub(now).Seconds(), 0)
 	}
 	if !r.Leaves.IsZero() {
-		leaves := now.Sub(r.Leaves).Seconds()
-		t.Leaves = &leaves
+		leavingFor := now.Sub(r.Leaves).Seconds()
+		t.Leaves = &leavingFor
 	}
 	if r.Limited {
 		t.Limit = &LimitStatus{Rate: r.Limit, Since: now.Sub(r.Since).Seconds()}
--- a/internal/gateway/strain.go
+++ b/internal/gateway/strain.go
@@ -5,7 +5,7 @@
 // overloadDetector detects that this entry is overloaded. It measures how late the control
 // loop's ticks are, since requests are delayed by as much.
 type strain struct {
-	last  time.Time // previous tick
+	last  time.Time
 	late  int       // consecutive late ticks
 	until time.Time // end of the overloaded state
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -44,16 +44,16 @@
 	}
 	c.rollTold = c.rolls
 	var started []owner.Candidate
-	runs := make(map[string]liveRun, len(live))
+	instances := make(map[string]liveRun, len(live))
 	for _, e := range live {
-		run, ok := c.runs[e.Name]
-		if !ok || run.boot != e.Boot {
-			run = liveRun{e.Boot, now}
+		instance, ok := c.runs[e.Name]
+		if !ok || instance.boot != e.Boot {
+			instance = liveRun{e.Boot, now}
 			started = append(started, e)
 		}
-		runs[e.Name] = run
+		instances[e.Name] = instance
 	}
-	c.runs = runs
+	c.runs = instances
 	if !c.tells(now) {
 		return
 	}
