--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/answer_test.go
@@ -30,10 +30,10 @@
 	w.c.Assert(w.runs(a.id), qt.Equals, 1)
 }
 
-// The caller of a request that may run once gets its answer, or word that says
-// no more than is certain, whatever the first target does with it. What the
-// target does stands in each row; the other target is well. A second run would
-// book twice, and a refusal of what has run would make the caller book again.
+// A non-idempotent request must run at most once, and its caller must be told that it did
+// not run only if that is certain. Each case is a fault of the first target; the second
+// target is healthy. A second run would duplicate a booking, and a refusal after a run
+// would make the caller book again.
 func TestFirstTargetFails(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -84,22 +84,22 @@
 	}
 }
 
-// earn makes enough requests for the retry budget to allow a retry.
+// fillRetryBudget makes enough requests for the retry budget to allow a retry.
 func earn(e *entry) {
 	for range 30 {
 		e.call("GET", "/a/earn", "")
 	}
 }
 
-// The caller must never get the second answer that a target sends to an earlier
-// request. It comes late, where the answer to the next request on that
-// connection is due; only its id tells it apart.
+// A target sends a second response to an earlier request. It arrives on the connection
+// when the response to the next request is due, and differs only by its request ID. No
+// caller may receive it.
 func TestSecondAnswerReachesNobody(t *testing.T) {
-	for _, late := range []time.Duration{0, 3 * time.Millisecond} {
+	for _, delay := range []time.Duration{0, 3 * time.Millisecond} {
 		w := newWorld(t, site{targets: 1})
 		e := w.entry("a").settled()
 		w.workers[0].Fail(func(r *http.Request) worker.Fault {
-			return worker.Fault{Extra: r.URL.Path != "/health", ExtraIn: late}
+			return worker.Fault{Extra: r.URL.Path != "/health", ExtraIn: delay}
 		})
 		for range 40 {
 			a := e.call("GET", "/a/x", "")
@@ -111,8 +111,8 @@
 	}
 }
 
-// The caller of a target that never answers is told so at the route's timeout,
-// though it would wait longer itself.
+// A target never responds. The caller gets a timeout at the route's timeout, even if its
+// own deadline is later.
 func TestRouteTimeout(t *testing.T) {
 	w := newWorld(t, site{targets: 1, kind: "non_idempotent", timeout: "300ms"})
 	e := w.entry("a").settled()
@@ -122,9 +122,8 @@
 	w.c.Assert(a.took > 250*time.Millisecond && a.took < 700*time.Millisecond, qt.IsTrue, qt.Commentf("%v", a.took))
 }
 
-// A caller closes its connection while its target works. The target's
-// connection must end too: else its slot is lost to a request that nobody
-// waits for.
+// A caller closes its connection while the target processes its request. The connection
+// to the target must be closed too, or the request would keep its slot occupied.
 func TestCallerLeaves(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	e := w.entry("a").settled()
@@ -147,8 +146,8 @@
 	w.c.Assert(e.call("GET", "/b/x", "").status, qt.Equals, http.StatusNotFound)
 }
 
-// A caller closes its connection before its request is looked at. The request
-// must not reach a target.
+// A caller closes its connection before its request is dispatched. callerClosed must
+// detect that, also if unread bytes precede the close, so that no target gets the request.
 func TestCallerGoneBeforeDispatch(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -173,8 +172,8 @@
 	}
 }
 
-// A caller sends more header than the configuration allows. It is told so; the
-// request reaches no target.
+// A request header exceeds the configured limit. The caller gets status 431, and no target
+// gets the request.
 func TestLongHeader(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	e := w.entry("a").settled()
@@ -189,8 +188,8 @@
 	w.c.Assert(w.workers[0].Runs(), qt.HasLen, 0)
 }
 
-// A caller's connection stays idle. It is closed at the configuration's limit,
-// no sooner, and never while a request is served on it.
+// An idle connection is closed at the configured limit and not earlier, and never while a
+// request is served on it.
 func TestIdleConnection(t *testing.T) {
 	const limit = 100 * time.Millisecond
 	tests := []struct {
@@ -212,14 +211,14 @@
 			for _, s := range tt.states {
 				i.track(near, s, limit)
 			}
-			early := make(chan error, 1)
+			readErr := make(chan error, 1)
 			qt.Assert(t, far.SetReadDeadline(time.Now().Add(5*limit)), qt.IsNil)
 			began := time.Now()
 			go func() {
 				_, err := far.Read(make([]byte, 1))
-				early <- err
+				readErr <- err
 			}()
-			err := <-early
+			err := <-readErr
 			qt.Assert(t, errors.Is(err, io.EOF), qt.Equals, tt.closed, qt.Commentf("%v", err))
 			qt.Assert(t, time.Since(began) >= limit*9/10, qt.IsTrue)
 		})
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -11,10 +11,10 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// The targets of a service begin to fail at all entries at once, after a time in
-// which each saved up repeats. Over all entries no window may see more repeats
-// than the share of its requests and the slack, though no entry knows what the
-// others spend.
+// The targets of a service start to fail for all entries at once, after each entry has
+// saved up retries. Although no entry knows what the others spend, all together may make
+// at most the allowed share of the window's requests, plus the slack, in retries and
+// hedges.
 func TestRetryBudgetOverAllEntries(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -38,16 +38,15 @@
 		{"few, busy long ago only", 14, 0, 14, 56},
 		{"one that hears of no other", 1, 3000, 10, 56},
 	}
-	// longAgo is how many requests have filled the budgets before any window that
-	// counts.
-	const longAgo = 20000
+	// earlier is how many requests fill the budgets before the first counted window.
+	const earlier = 20000
 	for _, tt := range tests {
 		b := platform.Bounds{RetryShare: 0.2, RetrySlack: tt.slack}
 		spent := 0
 		for range tt.entries {
 			budget := retryBudget(b)
 			budget.SetBurst(retryBurst(b, 1/float64(tt.entries)))
-			for range longAgo / tt.entries {
+			for range earlier / tt.entries {
 				budget.First(0, 0)
 			}
 			budget.Age()
@@ -56,9 +55,9 @@
 			}
 			budget.Age()
 			for i := range tt.during/tt.entries + 1 {
-				for _, clean := range []bool{true, false} {
+				for _, notRun := range []bool{true, false} {
 					for range 10 {
-						if _, ok := budget.Take(0, 0, clean); ok {
+						if _, ok := budget.Take(0, 0, notRun); ok {
 							spent++
 						}
 					}
@@ -73,7 +72,8 @@
 	}
 }
 
-// Settings that are reloaded lower the ratio while targets fail: from then on repeats keep to it.
+// Reloaded settings lower the retry ratio while all targets fail. From then on retries
+// must stay within the new ratio and slack.
 func TestReloadedRatioBoundsRepeats(t *testing.T) {
 	const (
 		requests = 300
@@ -96,7 +96,7 @@
 	for range requests {
 		e.call("GET", "/a/x", "")
 	}
-	repeats := w.arrivals() - before - requests
-	w.c.Assert(repeats <= requests/5+slack, qt.IsTrue, qt.Commentf("%d repeats of %d requests", repeats, requests))
-	w.c.Assert(repeats > 0, qt.IsTrue)
+	retries := w.arrivals() - before - requests
+	w.c.Assert(retries <= requests/5+slack, qt.IsTrue, qt.Commentf("%d retries of %d requests", retries, requests))
+	w.c.Assert(retries > 0, qt.IsTrue)
 }
--- a/internal/gateway/budget_views_test.go
+++ b/internal/gateway/budget_views_test.go
@@ -11,16 +11,16 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// viewed is an entry whose word on the requests of all is as late as it happens.
+// simulatedEntry is an entry that receives the total request rate with a random delay.
 type viewed struct {
 	budget *call.Budget
-	total  float64 // requests a second at all entries, as it was last told; 0 for no word
-	mean   float64 // requests a second here
+	total  float64 // requests per second at all entries, as last received; 0 if never
+	mean   float64 // requests per second at this entry
 	until  int     // tick until which it is cut off from the others
 	aged   int     // tick at which its budget last aged
 }
 
-// budgetSite is a site of entries in virtual time.
+// budgetSimulation simulates a site of entries in virtual time.
 type budgetSite struct {
 	rnd     *rand.Rand
 	bounds  platform.Bounds
@@ -28,8 +28,8 @@
 	owners  []int // entries that callers are sent to
 	rate    float64
 	failing bool
-	sent    []int // by tick
-	repeats []int // by tick
+	sent    []int // requests, by tick
+	repeats []int // retries, by tick
 }
 
 const ticksPerSecond = int(time.Second / tickPeriod)
@@ -48,10 +48,11 @@
 	return &viewed{budget: retryBudget(s.bounds), aged: tick}
 }
 
-// deal has callers sent to other entries.
+// reassign picks new owners at random.
 func (s *budgetSite) deal() { s.owners = s.rnd.Perm(len(s.entries))[:2+s.rnd.IntN(4)] }
 
-// disturb changes what the site is like: its rate, owners, cuts, starts, and whether all targets fail.
+// disturb makes one random change: the rate, the owners, an entry's isolation or restart,
+// or whether all targets fail.
 func (s *budgetSite) disturb(tick int) {
 	e := s.rnd.IntN(len(s.entries))
 	switch s.rnd.IntN(6) {
@@ -70,13 +71,13 @@
 	}
 }
 
-// tick plays the time between two ticks of the control loops.
+// tick simulates the time between two ticks of the control loops.
 func (s *budgetSite) tick(tick int) {
 	s.sent, s.repeats = append(s.sent, 0), append(s.repeats, 0)
-	got := make([]int, len(s.entries))
+	received := make([]int, len(s.entries))
 	for range int(s.rate / float64(ticksPerSecond)) {
 		e := s.owners[s.rnd.IntN(len(s.owners))]
-		got[e]++
+		received[e]++
 		s.sent[tick]++
 		s.entries[e].budget.First(0, 0)
 		if !s.failing {
@@ -87,15 +88,15 @@
 		}
 	}
 	for i, e := range s.entries {
-		e.mean += (float64(got[i]*ticksPerSecond) - e.mean) / 4
-		if tick >= e.until && s.rnd.IntN(3) == 0 { // word takes some ticks to come
+		e.mean += (float64(received[i]*ticksPerSecond) - e.mean) / 4
+		if tick >= e.until && s.rnd.IntN(3) == 0 { // a report takes some ticks to arrive
 			e.total = s.rate
 		}
 		s.share(e, tick)
 	}
 }
 
-// share does what control.shareRetries does.
+// share sets and ages an entry's budget as control.shareRetries does.
 func (s *budgetSite) share(e *viewed, tick int) {
 	all := max(e.total, e.mean)
 	if e.total == 0 {
@@ -110,12 +111,12 @@
 	}
 }
 
-// worst is the largest part of the repeats that are allowed in any window.
+// maxUsage returns the largest ratio of retries to allowed retries in any window.
 func (s *budgetSite) worst() (part float64) {
 	window := int(s.bounds.RetryWindow / tickPeriod)
-	sum := func(of []int, from int) (n int) {
-		for i := max(from, 0); i < min(from+window, len(of)); i++ {
-			n += of[i]
+	sum := func(counts []int, from int) (n int) {
+		for i := max(from, 0); i < min(from+window, len(counts)); i++ {
+			n += counts[i]
 		}
 		return n
 	}
@@ -127,8 +128,8 @@
 	return part
 }
 
-// Entries start, are cut off, get and lose their callers, and hear late of what all get, while
-// targets fail by turns. Together they keep to the budget of the service.
+// Entries start, are cut off, gain and lose callers, and receive the total rate late, while
+// targets fail from time to time. Together the entries must stay within the retry budget.
 func TestRetryBudgetUnderDifferingViews(t *testing.T) {
 	const seeds = 300
 	worst := 0.0
@@ -142,7 +143,7 @@
 		}
 		part := s.worst()
 		worst = max(worst, part)
-		qt.Assert(t, part <= 1, qt.IsTrue, qt.Commentf("seed %d: %.2f of the repeats that are allowed", seed, part))
+		qt.Assert(t, part <= 1, qt.IsTrue, qt.Commentf("seed %d: %.2f of the allowed retries", seed, part))
 	}
-	t.Logf("at most %.2f of the repeats that are allowed", worst)
+	t.Logf("at most %.2f of the allowed retries", worst)
 }
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -27,7 +27,9 @@
 	return n
 }
 
-// A request that crashes targets is stopped though some of its sends are answered without a run.
+// A request crashes its targets, but some of its dispatches are refused or misdirected and
+// so do not run. These responses must not reset the crash count: the request must still be
+// quarantined, and other requests must be served.
 func TestCrashesAmongRefusals(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -66,8 +68,8 @@
 	}
 }
 
-// Entries are replaced one after the other. The new ones stop a request that crashed targets
-// before they started.
+// Entries are replaced one after the other while a request is in quarantine. Each new entry
+// must receive the quarantine from the others and refuse the request.
 func TestQuarantineOutlivesRestarts(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, site{targets: 8, attempts: 1})
@@ -86,7 +88,8 @@
 		}
 		return true
 	})
-	// Told of it in passing, an entry that starts at once would not show what is guarded.
+	// The first gossip of the quarantine must be over, or the new entries could receive it
+	// that way and the transfer at their start would go untested.
 	time.Sleep(tellerTime + 2*time.Second)
 	before := w.crashes()
 	for i, e := range entries {
@@ -101,8 +104,9 @@
 	w.c.Assert(w.crashes(), qt.Equals, before)
 }
 
-// All targets of a service close their connections for a moment, and none of them ends. What
-// callers asked for then is served again once the targets are well.
+// All targets of a service close their connections for a short time without crashing.
+// Requests made in that time must not stay quarantined: they must be served once the
+// targets are healthy again.
 func TestLostAnswersCondemnNoRequest(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, site{targets: 6})
--- a/internal/gateway/fresh_test.go
+++ b/internal/gateway/fresh_test.go
@@ -11,9 +11,9 @@
 	"plumpitch.example/plumpitch/internal/standin/objects"
 )
 
-// What an entry knows gets old while nobody tells it of anything newer. A request that
-// comes then waits for the store, but not in vain: not while the store doesn't answer,
-// and not before anything is known.
+// An entry's store data is too old because it received nothing newer. A request then waits
+// for the store, but only if waiting can help: not while the store is unavailable, not
+// before there is any data, and not after another request has waited without success.
 func TestWhoWaitsForNewerKnowledge(t *testing.T) {
 	const stale = 1500 * time.Millisecond
 	at := time.Unix(100, 0)
@@ -28,11 +28,11 @@
 		{"old, the store doesn't answer", at.Add(-stale), true, nil},
 		{"nothing known yet", time.Time{}, false, nil},
 	}
-	late := newFreshness()
-	late.set([duties]time.Time{at, at}, false)
-	_, _ = late.use(at.Add(stale), ages{stale, stale})
-	wait, _ := late.use(at.Add(stale+refreshWait), ages{stale, stale})
-	qt.Check(t, wait, qt.HasLen, 0, qt.Commentf("another one has waited in vain"))
+	expired := newFreshness()
+	expired.set([duties]time.Time{at, at}, false)
+	_, _ = expired.use(at.Add(stale), ages{stale, stale})
+	wait, _ := expired.use(at.Add(stale+refreshWait), ages{stale, stale})
+	qt.Check(t, wait, qt.HasLen, 0, qt.Commentf("another request has waited without success"))
 	for _, tt := range tests {
 		f := newFreshness()
 		f.set([duties]time.Time{dutyConfig: at, dutyTargets: tt.confirmed}, tt.away)
@@ -41,13 +41,13 @@
 	}
 }
 
-// Many others read before an entry, and it hears nothing of what they read. With
-// callers it reads for itself in time to stop sending to a leaving target within the
-// bound; without any it leaves the store to the others.
+// Many entries rank before an entry as readers, but it receives none of their results. If
+// it has callers, it must read for itself early enough to stop sending requests to a
+// leaving target within the bound. Without callers it must leave the reads to the others.
 func TestTurnOfAServingEntry(t *testing.T) {
 	tests := []struct {
 		name  string
-		used  time.Duration // before now, that the last request came; 0 for none
+		used  time.Duration // time since the last request; 0 for none
 		drain time.Duration
 		age   time.Duration
 		due   bool
@@ -85,22 +85,22 @@
 	}
 }
 
-// The store falls silent. What an entry knows gets old before a call to the store has
-// failed, so that requests begin to wait for newer knowledge. Few of them may: the store
-// would have answered the first within milliseconds, and each that waits is late by that.
+// The store stops responding. The entry's data becomes too old before a call to the store
+// has failed, so requests start to wait for newer data. Only few may wait, since each wait
+// delays a response, and a healthy store would have responded within milliseconds.
 func TestSilentStoreHoldsUpFewRequests(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	e := w.entry("a").settled()
 	w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Silent: true} })
-	var held time.Duration
+	var delayed time.Duration
 	for began := time.Now(); time.Since(began) < 3*time.Second; time.Sleep(5 * time.Millisecond) {
 		a := e.call("GET", "/a/x", "")
 		w.c.Assert(a.status, qt.Equals, http.StatusOK)
 		if a.took > refreshWait/2 {
-			held += a.took
+			delayed += a.took
 		}
 	}
-	// Once for each kind of knowledge.
-	w.c.Assert(held < 5*refreshWait/2, qt.IsTrue, qt.Commentf("held up for %v", held))
+	// At most one wait for each resource.
+	w.c.Assert(delayed < 5*refreshWait/2, qt.IsTrue, qt.Commentf("delayed by %v", delayed))
 }
--- a/internal/gateway/homes_test.go
+++ b/internal/gateway/homes_test.go
@@ -9,9 +9,9 @@
 	"plumpitch.example/plumpitch/pkg/route"
 )
 
-// Callers ask where to connect for a host of which a route has homes. They are sent to
-// entries there or in their own region, also where the host's owners are elsewhere: a
-// request's body may be read in no other region.
+// A route of a host is restricted to regions (homes). The directory must send its callers
+// to entries in these regions or in the caller's own region, even if the host's owners are
+// elsewhere: the request body must not be read in any other region.
 func TestCallersAreSentHome(t *testing.T) {
 	at := func(name, region string) owner.Candidate {
 		return owner.Candidate{Entry: owner.Entry{Name: name, Front: name, Region: region}}
--- a/internal/gateway/hosts_test.go
+++ b/internal/gateway/hosts_test.go
@@ -10,43 +10,43 @@
 	"plumpitch.example/plumpitch/internal/standin/objects"
 )
 
-// Entries say to each other all the time that nothing has changed. Were a view made
-// for each such word, that would take most of a small VM among hundreds, and
-// callers would wait for it. Word that an entry stops counts at once.
+// Entries exchange messages all the time, most of them without a change. Publishing a view
+// for each would take most of a small VM's CPU time among hundreds of entries and delay
+// requests. A message that an entry is leaving must still take effect at once.
 func TestWordsThatChangeNothing(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	entries := several(w, fanOut+1)
 	time.Sleep(4 * roundPeriod)
 	a := entries[0]
 	views, last := 0, a.view.Load()
-	heard := a.heardAt()
+	lastHeard := a.heardAt()
 	for began := time.Now(); time.Since(began) < 4*tickPeriod; time.Sleep(time.Millisecond) {
 		if v := a.view.Load(); v != last {
 			views, last = views+1, v
 		}
 	}
-	w.c.Assert(a.heardAt().After(heard), qt.IsTrue)
+	w.c.Assert(a.heardAt().After(lastHeard), qt.IsTrue)
 	w.c.Assert(views <= 6, qt.IsTrue, qt.Commentf("%d views in four periods", views))
 	entries[1].control.tell(t.Context(), leaves{})
 	left := time.Now()
-	w.until("the leaving one is out", func() bool { return len(a.view.Load().live) == fanOut })
+	w.until("the leaving entry is not live", func() bool { return len(a.view.Load().live) == fanOut })
 	w.c.Assert(time.Since(left) < tickPeriod/2, qt.IsTrue, qt.Commentf("%v", time.Since(left)))
 }
 
-// heardAt is when the entry was last told anything by another one.
+// lastHeard returns when the entry last received a message from another one.
 func (e *entry) heardAt() time.Time {
-	q := heardAsked{make(chan time.Time, 1)}
-	e.control.tell(e.w.c.Context(), q)
-	return <-q.answer
+	request := heardAsked{make(chan time.Time, 1)}
+	e.control.tell(e.w.c.Context(), request)
+	return <-request.answer
 }
 
 type heardAsked struct{ answer chan time.Time }
 
 func (m heardAsked) apply(_ time.Time, c *control) { m.answer <- c.members.Heard() }
 
-// Versions of the configuration add routes that are hardly used, also from a
-// host to another service. Callers stay where they were: an entry that they are
-// sent to anew has learnt nothing of the targets, and each costs a connection.
+// New configuration versions add routes with hardly any traffic, some of them to another
+// service. The owners must not change: a new owner has no load data of the targets, and
+// each moved caller needs a new connection.
 func TestOwnersStayWhenRoutesCome(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	entries := several(w, 6)
@@ -82,8 +82,8 @@
 	}
 }
 
-// A host's load grows beyond what two owners are fit for. Its first owner says
-// how many there are, and all entries send callers to the same ones.
+// A host's request rate grows beyond the capacity of two owners. The first owner must
+// raise the owner count, and all entries must arrive at the same owners.
 func TestFirstOwnerDecidesTheNumber(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	entries := several(w, 5)
@@ -104,7 +104,8 @@
 	}
 }
 
-// busy makes an entry believe that it gets four times what one is fit for, if it is the first owner, and nothing else.
+// simulateLoad sets the host's rate at the first owner to four times an entry's capacity,
+// and changes nothing at other entries.
 type busy struct {
 	first    string
 	capacity float64
@@ -112,7 +113,7 @@
 
 func (b busy) apply(_ time.Time, c *control) {
 	if c.gateway.self.Name == b.first {
-		// The true rate takes over again, slowly.
+		// The moving average then decays to the real rate.
 		c.hosts.rates["veil.example"].mean = 4 * b.capacity
 	}
 }
--- a/internal/gateway/leaving_response_test.go
+++ b/internal/gateway/leaving_response_test.go
@@ -11,14 +11,15 @@
 	"plumpitch.example/plumpitch/internal/standin/objects"
 )
 
-// leaveCase is what happens after a target has said in a response that it leaves.
+// leaveCase is an event after a target has announced in a response that it is leaving.
 type leaveCase struct {
 	name  string
 	begin func(w *world, e *entry)
 }
 
-// Requests reach a target that has said in a response that it leaves, while the store
-// doesn't say so.
+// A target announces in a response that it is leaving, but the store does not: it does not
+// respond, or the target's record still says ready. The entry must stop using the target
+// within the bound all the same.
 func TestLeavingByAResponse(t *testing.T) {
 	playLeaving(t, []leaveCase{
 		{"store silent", func(w *world, _ *entry) {
@@ -31,8 +32,8 @@
 	})
 }
 
-// What a target has said is forgotten with its record or its service, and requests reach
-// it once these are back.
+// A target announces in a response that it is leaving. Then its record or its service is
+// removed and comes back. The entry must remember the announcement and send no requests.
 func TestLeavingOutlivesItsRecord(t *testing.T) {
 	playLeaving(t, []leaveCase{
 		{"record removed and back", func(w *world, e *entry) {
@@ -55,8 +56,8 @@
 	})
 }
 
-// playLeaving checks that a target gets no request later than the bound after it has said
-// that it leaves.
+// checkLeaving checks that a target gets no request later than the bound after it has
+// announced that it is leaving.
 func playLeaving(t *testing.T, tests []leaveCase) {
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -70,26 +71,26 @@
 			w.workers[1].Work(30 * time.Millisecond) // so that the first one is preferred
 			w.workers[0].KeepSilent()
 			w.workers[0].Leave()
-			w.until("a response that says so", func() bool {
+			w.until("a response that announces it", func() bool {
 				e.call("GET", "/a/x", "")
 				s, err := e.Status(t.Context())
 				w.c.Assert(err, qt.IsNil)
 				return s.Services[0].Targets[0].Leaves != nil
 			})
-			told := time.Now()
+			announced := time.Now()
 			tt.begin(w, e)
 			for end := time.Now().Add(drain + time.Second); time.Now().Before(end); {
 				w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 			}
 			for _, r := range w.workers[0].Runs() {
-				w.c.Assert(r.At.Sub(told) < drain, qt.IsTrue, qt.Commentf("%v", r.At.Sub(told)))
+				w.c.Assert(r.At.Sub(announced) < drain, qt.IsTrue, qt.Commentf("%v", r.At.Sub(announced)))
 			}
 		})
 	}
 }
 
-// All targets of a service say that they leave: requests are refused at once and told
-// when to come back. A new target at the address of one that has left is served.
+// All targets of a service announce that they are leaving. Requests must be refused at once
+// with a Retry-After header. New incarnations at the same addresses must get requests.
 func TestAllLeavingByResponses(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	e := w.entry("a").settled()
@@ -97,7 +98,7 @@
 		k.Leave()
 	}
 	var last reply
-	w.until("both have said that they leave", func() bool {
+	w.until("both targets have announced that they leave", func() bool {
 		last = e.call("GET", "/a/x", "")
 		return last.status == http.StatusServiceUnavailable
 	})
@@ -110,5 +111,5 @@
 		k.Stay()
 		w.record(k, "gowns", "ready")
 	}
-	w.until("new incarnations are served", func() bool { return e.call("GET", "/a/x", "").status == http.StatusOK })
+	w.until("new incarnations get requests", func() bool { return e.call("GET", "/a/x", "").status == http.StatusOK })
 }
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -11,14 +11,14 @@
 	"plumpitch.example/plumpitch/internal/standin/objects"
 )
 
-// drain is how long after the store's word a request may still reach a target
-// that leaves.
+// drainBound is how long after the change in the store a leaving target may still get
+// requests.
 const drain = 2 * time.Second
 
-// Nine of ten entries lose the store without a word, among them all that read it
-// for the others. A target's record is removed at that moment. The tenth, which
-// has callers, must have stopped sending to it when the bound is over: its own way
-// to the store is free.
+// Nine of ten entries, among them all that read the store for the others, get no more
+// responses from the store. A target's record is removed at that moment. The tenth entry
+// has callers and still reaches the store, so it must stop using the target within the
+// bound.
 func TestServingEntryIsInTime(t *testing.T) {
 	tests := []struct {
 		name string
@@ -46,8 +46,8 @@
 	}
 }
 
-// A request waits for a target of a service while a new configuration drops the
-// service, and the target leaves after that. The request must not be sent there.
+// A request waits for a target of a service that a new configuration removes, and then the
+// target's record is removed. The request must not be sent to the target.
 func TestLeavingTargetOfADroppedService(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	e := w.entry("a").settled()
@@ -58,30 +58,30 @@
 	for i := range w.workers[0].Slots + 1 {
 		go e.callWith(t.Context(), fmt.Sprint("q", i), "GET", "/a/x", "")
 	}
-	waits := func() bool {
+	hasPending := func() bool {
 		sv.mu.Lock()
 		defer sv.mu.Unlock()
-		seeking, _ := sv.book.Len()
-		return seeking > 0
+		pending, _ := sv.book.Len()
+		return pending > 0
 	}
-	w.until("a request that waits", waits)
+	w.until("a pending request", hasPending)
 	w.version++
 	w.store.PutConfig(w.version, []objects.Route{{
 		Name: "r-a", Host: "veil.example", Prefix: "/a/", Timeout: "2s", Goal: "1s", Attempts: 3, Service: "veils",
 	}}, []string{"veils"})
 	w.until("the new configuration", func() bool { return int(e.version()) == w.version })
-	w.c.Assert(waits(), qt.IsTrue)
+	w.c.Assert(hasPending(), qt.IsTrue)
 	w.store.Delete("servers", w.workers[0].ID)
-	w.until("the target gone, or nothing left that waits", func() bool {
+	w.until("the target is removed from the balancer", func() bool {
 		sv.mu.Lock()
 		defer sv.mu.Unlock()
 		return !sv.book.Has(w.workers[0].ID)
 	})
 }
 
-// An entry is told to stop and goes on serving for three seconds. A target leaves
-// meanwhile: though nobody is sent to this entry any more and it reads for nobody,
-// its requests must keep away from the target as all others do.
+// A stopping entry serves requests for three more seconds, and a target is removed in that
+// time. The entry no longer reads the store for the others and the directory no longer
+// lists it, but it must still stop using the target within the bound.
 func TestStoppingEntryIsInTime(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	for _, e := range several(w, 3) {
@@ -105,8 +105,8 @@
 	}
 }
 
-// lastReader cuts all of the entries off from the store, without a word, but the one
-// that comes last in the order of those that read for the others. It returns that one.
+// lastReader returns the entry with the lowest rank among the readers of a resource. The
+// store stops responding to all other entries.
 func (w *world) lastReader(entries []*entry, d duty) (last *entry) {
 	readers := ranked(entries, d)
 	last = readers[len(readers)-1]
@@ -118,13 +118,13 @@
 	return last
 }
 
-// Nine of ten entries lose the store without a word while a configuration comes that
-// moves a route. The tenth, which has callers, must serve them by the new one within
-// the bound: its own way to the store is free.
+// Nine of ten entries get no more responses from the store, and then a new configuration
+// moves a route. The tenth entry has callers and still reaches the store, so it must apply
+// the configuration within the bound.
 func TestServingEntryHasTheConfigurationInTime(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	last := w.lastReader(several(w, 10), dutyConfig)
-	time.Sleep(patience[dutyConfig].wait) // until no watch is open any more
+	time.Sleep(patience[dutyConfig].wait) // until no watch is open
 	w.configure(site{})
 	acknowledged := time.Now()
 	for int(last.version()) != w.version {
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// limitTold is how long after a target has named a limit it binds all that send to it.
+	// limitDelay is how long after a target has reported a limit all entries must obey it.
 	limitTold = 500 * time.Millisecond
 	limitSpan = 4 * time.Second
 )
 
-// mostOfLimit is how many requests may reach a target within limitSpan.
+// maxLimited returns how many requests may reach a target within limitWindow.
 func mostOfLimit(rate float64) int { return int(1.5*rate*limitSpan.Seconds() + 5) }
 
-// A target that names a limit gets a multiple of it, from several entries together.
+// A target reports a limit. All entries together must keep to it, still use the target, and
+// refuse requests only if all targets are limited, with a Retry-After header.
 func TestLimitHoldsOverAllEntries(t *testing.T) {
 	const load = 9 * time.Second
 	tests := []struct {
@@ -74,8 +75,8 @@
 	}
 }
 
-// A limit ends while entries without a share send nothing to the target: they find out by
-// their questions, and the target gets its part at all of them again.
+// A limit ends while entries without a share of it send nothing to the target. They must
+// detect the end by load probes, and the target must get its usual part of the requests.
 func TestLimitEnds(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	for _, k := range w.workers {
@@ -89,7 +90,7 @@
 	stop := w.press(t.Context(), entries, 2)
 	time.Sleep(2 * time.Second)
 	one.Limit("")
-	time.Sleep(2 * time.Second) // by then it is to be used in full
+	time.Sleep(2 * time.Second) // the target must be in full use by then
 	from := time.Now()
 	time.Sleep(time.Second)
 	stop()
@@ -102,8 +103,8 @@
 	}
 }
 
-// press has so many callers at each entry send without a pause until stop is called,
-// which returns what they got.
+// callContinuously runs a number of callers at each entry, each with one request after the
+// other, until stop is called. stop returns all responses.
 func (w *world) press(ctx context.Context, entries []*entry, callers int) (stop func() []reply) {
 	ctx, cancel := context.WithCancel(ctx)
 	var all sync.WaitGroup
--- a/internal/gateway/parked_test.go
+++ b/internal/gateway/parked_test.go
@@ -9,8 +9,8 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// parked is the control loop of an entry that doesn't run, so that a test says
-// what it hears and when.
+// parkedControl returns the control loop of an entry that does not run, so that the test
+// controls which messages it receives and when.
 func parked(t *testing.T) *control {
 	w := newWorld(t, site{})
 	g := w.gateway("parked", 1)
@@ -19,7 +19,7 @@
 	return g.control
 }
 
-// others lets an entry know of others that live.
+// addLive adds live entries to the control loop's membership.
 func (c *control) others(now time.Time, names ...string) {
 	var list []member.Entry
 	for _, name := range names {
@@ -35,7 +35,7 @@
 	}
 }
 
-// heardFrom is a message of an entry that lives.
+// messageFrom returns a message of a live entry.
 func heardFrom(name string) member.Event {
 	return member.Request{Message: member.Message{From: member.ID{Name: name, Boot: 1}}}
 }
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -11,13 +11,13 @@
 	"plumpitch.example/plumpitch/internal/standin/worker"
 )
 
-// A target refuses a request and says for how long it wants nothing, and the entry goes
-// on sending to it.
+// A target refuses a request with a Retry-After header. The entry must send it hardly any
+// requests for that time, and pass a Retry-After on to callers if no other target is left.
 func TestRetryAfterOfATarget(t *testing.T) {
 	const (
-		// heedAfter is how long after the refusal the bound begins to hold.
+		// heedAfter is how long after the refusal the limit starts to apply.
 		heedAfter = 500 * time.Millisecond
-		most      = 2 // requests from then to the end of the time
+		most      = 2 // requests from then until the pause ends
 		objective = time.Second
 	)
 	tests := []struct {
@@ -47,7 +47,7 @@
 				a := e.call("GET", "/a/x", "")
 				w.c.Assert(a.err, qt.IsNil)
 				if left <= objective {
-					continue // it may wait for the end of the time
+					continue // the request may wait until the pause ends
 				}
 				if tt.others > 0 {
 					w.c.Assert(a.status, qt.Equals, http.StatusOK)
@@ -57,8 +57,8 @@
 				w.c.Assert(a.took < 500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", a.took))
 				retry, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 				w.c.Assert(err, qt.IsNil)
-				back := time.Duration(retry * float64(time.Second))
-				w.c.Assert(time.Since(first)+back >= tt.hold, qt.IsTrue, qt.Commentf("told to be back after %v", back))
+				retryAfter := time.Duration(retry * float64(time.Second))
+				w.c.Assert(time.Since(first)+retryAfter >= tt.hold, qt.IsTrue, qt.Commentf("Retry-After is %v", retryAfter))
 				time.Sleep(10 * time.Millisecond)
 			}
 			n := 0
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -12,9 +12,9 @@
 	"plumpitch.example/plumpitch/internal/standin/worker"
 )
 
-// An entry is told to stop while a request runs and callers still hold its
-// address. The request is answered, new ones are served until nobody is sent
-// here any more, and the process ends within its grace.
+// An entry stops while a request runs and callers still have its address. It must report
+// not ready, finish the running request, serve new ones until callers no longer use its
+// address, and exit within its grace period.
 func TestGracefulStop(t *testing.T) {
 	w := newWorld(t, site{targets: 2, kind: "non_idempotent"})
 	e := w.entry("a").settled()
@@ -38,8 +38,8 @@
 	w.c.Assert(w.store.Names("entries"), qt.HasLen, 0)
 }
 
-// The owner of a service dies without a word. Within two seconds callers must
-// be sent to another entry.
+// The owner of a host dies without notice. Within two seconds the directory must send
+// callers to another entry.
 func TestDeadEntryLeavesTheDirectory(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	entries := []*entry{w.entry("a").settled(), w.entry("b").settled()}
@@ -59,8 +59,8 @@
 	w.c.Assert(time.Since(began) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
 
-// The time of a stop ends under a request whose target doesn't answer. Its caller is told so
-// in place of finding the connection closed.
+// The grace period of a stop ends while a request waits for its target. The caller must get
+// an error response and not just a closed connection.
 func TestStopAnswersWhatItGivesUp(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -85,7 +85,7 @@
 				w.c.Assert(a.err, qt.IsNil)
 				w.c.Assert(a.status, qt.Equals, http.StatusGatewayTimeout)
 			case <-time.After(stopReserve / 2):
-				w.c.Fatal("the gateway has stopped, and its caller has no answer")
+				w.c.Fatal("the gateway has stopped, and the caller got no response")
 			}
 		})
 	}
--- a/internal/gateway/strain_test.go
+++ b/internal/gateway/strain_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A slow VM serves its callers late without being dead. Its own timer shows it.
-// One late tick, as a collection causes it, shows nothing.
+// A slow VM delays requests although it is alive. The delay of its own ticks must show it,
+// but one late tick, such as a garbage collection causes, must not count as overload.
 func TestStrain(t *testing.T) {
 	const period = tickPeriod
 	tests := []struct {
