--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -13,8 +13,8 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// Each request logs one line at its end and one line for each failed dispatch. Together
-// they contain the inputs of each decision.
+// A request logs one line at its end and one line for each failed dispatch. Together these
+// lines contain the inputs of each decision.
 
 // logFields returns the fields common to all log lines of the request.
 func (q *request) fields() log.Fields {
--- a/internal/gateway/instruments.go
+++ b/internal/gateway/instruments.go
@@ -49,15 +49,15 @@
 	answered tally.Counter                     // requests with a forwarded response
 	final    func(reason string) tally.Counter // error responses of this entry
 	refused  map[slot.Reason]tally.Counter     // refusals of the balancer
-	sent     tally.Counter                     // dispatches
-	again    func(why string) tally.Counter    // retries and hedges
-	denied   tally.Counter                     // requests without a retry or hedge for lack of budget
-	saved    tally.Gauge                       // retries and hedges that the budget has saved up
-	burst    tally.Gauge                       // the most that it may save up in each bucket
-	crashes  tally.Counter                     // dispatches during which the target may have crashed
-	pauses   tally.Counter                     // responses in which a target asked for a pause
-	asked    tally.Counter                     // load probes
-	failures tally.Counter                     // dispatches without a valid response
+	sent     tally.Counter
+	again    func(why string) tally.Counter // retries and hedges
+	denied   tally.Counter                  // requests without a retry or hedge for lack of budget
+	saved    tally.Gauge                    // retries and hedges that the budget has saved up
+	burst    tally.Gauge                    // the most that it may save up in each bucket
+	crashes  tally.Counter                  // dispatches during which the target may have crashed
+	pauses   tally.Counter                  // responses in which a target asked for a pause
+	asked    tally.Counter
+	failures tally.Counter // dispatches without a valid response
 }
 
 // service creates the metrics of a service.
