--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -28,5 +28,5 @@
 // The settings bound the delay of each resource: until a configuration is in force, until
 // a leaving target gets no more requests, until an evacuated domain is empty. An entry
 // serves no request before it has all resources that the settings require
-// (control.complete).
+// (control.initialized).
 package gateway
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -74,7 +74,7 @@
 	deadline := q.end()
 	expiry := time.NewTimer(deadline.Sub(now))
 	defer expiry.Stop()
-	q.hedge = time.NewTimer(deadline.Sub(now)) // reset by DoTimer
+	q.hedge = time.NewTimer(deadline.Sub(now)) // reset when the call starts its hedge timer
 	defer q.hedge.Stop()
 	defer q.release()
 	actions := q.arrive(now, deadline)
