--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -223,7 +223,7 @@
 // stopCause returns the log text for the reason of a stop.
 func cause(err error) string {
 	if err == nil {
-		return "stop requested"
+		return "asked to stop"
 	}
 	return err.Error()
 }
