--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -13,10 +13,10 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// Each request ends with one line, and each dispatch that failed has one of its
-// own. Together they tell by what each decision was made.
+// A request logs one line at its end and one line for each failed dispatch. Together these
+// lines contain the inputs of each decision.
 
-// fields are those of each line about the request.
+// logFields returns the fields common to all log lines of the request.
 func (q *request) fields() log.Fields {
 	f := log.Fields{logs.FieldRequest: q.id, "ms": time.Since(q.arrived).Milliseconds()}
 	if q.route != nil {
@@ -25,52 +25,54 @@
 	return f
 }
 
-// choice adds by what a target was chosen: requests there, its pace and the age
-// of that word in ms where it has told any, how long the answer should take, how
-// many were asked.
-func choice(f log.Fields, t *try) {
-	f["target"], f["inflight"], f["asked"] = t.target.ID, t.why.InFlight, t.why.Asked
-	if t.why.Told {
-		f["pace"], f["age"] = math.Round(100*t.why.Pace)/100, t.why.Age.Milliseconds()
+// addDecision adds the inputs of the choice of a target: its requests in flight, its pace
+// and the age in ms of the load report if there is one, the expected response time, the
+// number of probed targets, the wait and the time left.
+func choice(f log.Fields, d *try) {
+	f["target"], f["inflight"], f["asked"] = d.target.ID, d.why.InFlight, d.why.Asked
+	if d.why.Told {
+		f["pace"], f["age"] = math.Round(100*d.why.Pace)/100, d.why.Age.Milliseconds()
 	}
-	f["waited"], f["expected"], f["left"] = t.why.Waited.Milliseconds(), t.why.Expected.Milliseconds(), t.left.Milliseconds()
+	f["waited"], f["expected"], f["left"] = d.why.Waited.Milliseconds(), d.why.Expected.Milliseconds(), d.left.Milliseconds()
 }
 
-func (q *request) logAnswer(t *try, status int, connect time.Duration) {
+// logResponse logs that a target's response is forwarded.
+func (q *request) logAnswer(d *try, status int, connect time.Duration) {
 	f := q.fields()
-	choice(f, t)
+	choice(f, d)
 	f["status"], f["tries"], f["connect"] = status, q.next(), connect.Milliseconds()
 	q.logSpent(f)
 	q.gateway.log.WithFields(f).Info("answered by its target")
 }
 
-// logRepeat tells why a request is sent again, or beside a slow target, and how many more
-// repeats the budget has.
-func (q *request) logRepeat(t *try, why call.Reason) {
+// logExtraDispatch logs why a request is retried or hedged, and how many more retries and
+// hedges the budget allows.
+func (q *request) logRepeat(d *try, why call.Reason) {
 	f := q.fields()
-	choice(f, t)
+	choice(f, d)
 	f["why"], f["saved"] = string(why), math.Round(10*q.service.budget.Saved())/10
 	q.gateway.log.WithFields(f).Warn("sent again")
 }
 
-// logCleared tells that a request isn't suspected any more of crashing its targets.
-func (q *request) logCleared(t *try, status int) {
+// logCleared logs that a request is no longer suspected of crashing targets.
+func (q *request) logCleared(d *try, status int) {
 	f := q.fields()
-	choice(f, t)
+	choice(f, d)
 	f["status"], f["print"] = status, strconv.FormatUint(q.digest, 36)
 	q.gateway.log.WithFields(f).Warn("request is cleared, its target answered")
 }
 
-// logSpent adds that a request wasn't sent again for want of budget.
+// addBudgetDenied adds a field if the budget denied a retry or hedge of the request.
 func (q *request) logSpent(f log.Fields) {
 	if q.call.Spent() {
 		f["spent"] = true
 	}
 }
 
-func (q *request) logFailure(t *try, fail *forward.Failure) {
+// logFailure logs a failed dispatch.
+func (q *request) logFailure(d *try, fail *forward.Failure) {
 	f := q.fields()
-	choice(f, t)
+	choice(f, d)
 	f["stage"], f["ran"], f["connect"] = fail.Stage.String(), ran(fail.Ran), fail.Connect.Milliseconds()
 	if fail.Stage.Crash() {
 		f["print"], f["crashes"] = strconv.FormatUint(q.digest, 36), q.gateway.suspects.Crashes(q.digest)
@@ -78,6 +80,7 @@
 	q.gateway.log.WithFields(f).WithError(fail.Cause).Warn("dispatch failed")
 }
 
+// logFinal logs an error response of this entry.
 func (q *request) logFinal(status int, reason string) {
 	f := q.fields()
 	f["status"], f["reason"], f["tries"] = status, reason, q.next()
@@ -91,7 +94,7 @@
 	q.gateway.log.WithFields(f).Warn("answered in place of a target")
 }
 
-// ran is the word for what is known of an execution.
+// executionText returns the log value of an execution: "yes", "no" or "maybe".
 func ran(e call.Execution) string {
 	switch e {
 	case call.DidRun:
