--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -14,18 +14,19 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// maxInbox bounds the messages that wait for the control loop.
+// inboxSize bounds the messages that wait for the control loop.
 const maxInbox = 256
 
-// tickPeriod is how often the control loop brings rates and owners up to date.
+// tickInterval is the interval at which the control loop updates rates and owners.
 const tickPeriod = 250 * time.Millisecond
 
-// message is something that the control loop has to know. The set is closed.
+// message is an event for the control loop. The set of types is closed.
 type message interface {
 	apply(now time.Time, c *control)
 }
 
-// control is the one owner of what this entry believes.
+// control holds the state of this entry: configuration, targets, evacuations and
+// membership. Only the control loop reads and writes it; all others send messages.
 type control struct {
 	gateway *Gateway
 	inbox   chan message
@@ -33,64 +34,64 @@
 
 	config  route.Config
 	table   *route.Table
-	raw     []byte // the configuration as the operator wrote it
+	raw     []byte // the encoded configuration, as in the store
 	targets *roster.Roster[slot.Target]
 	lapses  *roster.Lapses[slot.Target]
-	// evacuations are the marks on failure domains, which get no requests.
+	// evacuations names the failure domains that get no requests.
 	evacuations *roster.Roster[slot.Evacuation]
-	evacuatedAt map[string]time.Time // when this entry heard of each mark
-	// marksAwaited are marks that vanished when the store was restored from a copy.
+	evacuatedAt map[string]time.Time // when this entry first received each evacuation
+	// vanishedEvacuations are those that were missing when the store was restored from a copy.
 	marksAwaited *roster.Lapses[slot.Evacuation]
-	restored     time.Time // when this entry last heard that the store was
-	epoch        uint64    // of the store, after its last restore
-	// confirmed is when the store was asked for what is known.
+	restored     time.Time // when this entry last detected a restore of the store
+	epoch        uint64    // store epoch, which grows with each restore
+	// confirmed is the time up to which the store has confirmed each data kind.
 	confirmed [duties]time.Time
-	configAt  roster.Revision // up to which the configuration's history is known
+	configAt  roster.Revision // last revision read from the configuration's history
 
 	members  *member.Table
-	awaits   []awaited       // exchanges of the table
-	newest   relay.Knowledge // that another entry told of last and this one lacked
-	newestAt string          // the address of that entry
-	waiting  map[string]bool // addresses of entries that wait for a first configuration
-	pulling  string          // the entry that was last asked for what it has in force, until it answers
-	pullAt   time.Time       // when it was asked
-	fetching bool            // the entries that another one knows
+	awaits   []awaited       // membership exchanges that wait for an answer
+	newest   relay.Knowledge // last advertised by another entry that has something newer
+	newestAt string          // address of that entry
+	waiting  map[string]bool // addresses of entries that have no configuration yet
+	pulling  string          // address of the entry that the current pull asks; empty after its answer
+	pullAt   time.Time       // when that pull began
+	fetching bool            // a fetch of another entry's members is in progress
 	fetched  time.Time
-	suspects map[uint64]int // crashes of each suspect that the others were told of
-	said     uint64         // words on suspects
+	suspects map[uint64]int // crashes of each suspect, as announced to the other entries
+	said     uint64         // number of the last announcement of a suspect
 	runs     map[string]liveRun
-	rolls    int // how often it was worked out which entries live
-	rollTold int // the last of them after which those that had started were told of suspects
+	rolls    int // grows each time that the live entries are recomputed
+	rollTold int // liveVersion at which new runs were last sent the suspects
 
-	// What follows from which entries live; roll is nil when they have changed.
+	// State derived from membership; liveEntries is nil when the membership has changed.
 	roll  []owner.Candidate
-	order [duties][]owner.Entry // those next to read the store
-	rank  [duties]int           // of this entry among the readers
+	order [duties][]owner.Entry // the first entries in the order of readers
+	rank  [duties]int           // of this entry in the order of readers
 
-	numbers owner.Numbers         // of owners, by host
-	loads   map[string]loadsHeard // what other entries get of each host, by entry
-	recount bool                  // a number of owners has changed
-	deal    *owner.Deal           // nil when live entries have changed
-	dealt   *route.Table          // whose hosts deal has
+	numbers owner.Numbers         // how many owners each host has
+	loads   map[string]loadsHeard // request rates that other entries report, by entry
+	recount bool                  // another entry has changed the number of a host's owners
+	deal    *owner.Deal           // of hosts to owners; nil when the live entries have changed
+	dealt   *route.Table          // the table whose hosts are assigned
 	owners  map[string][]owner.Entry
-	ownedBy *owner.Deal // by which owners were worked out
+	ownedBy *owner.Deal // the assignment that owners was computed from
 	counted map[string]int
-	// unshared says that services don't know yet which entries send to them, and apart
-	// that they go by this entry being cut off from the others.
+	// sendersChanged is set until services know which entries send to them.
+	// sendersIsolated is whether services were last told that this entry is cut off.
 	unshared, apart bool
-	shared          retryShare // that services have
-	aged            time.Time  // when what they have saved up last aged
+	shared          retryShare // last given to the services
+	aged            time.Time  // when the saved retries of the services last aged
 
-	enrolled  time.Time     // when the store named the other entries
-	enrolling time.Duration // how long that took
-	ahead     int           // entries that enrolled before, at a start of all
+	enrolled  time.Time     // when the enrolment listed the other entries; zero before
+	enrolling time.Duration // how long the enrolment took
+	ahead     int           // entries that started at the same time and enrolled earlier
 	services  map[string]*service
 	dropped   map[string]droppedService
 	hosts     hosts
-	told      bool      // requests that were held for the first view go on
-	dirty     bool      // services lag behind what is known
-	shut      bool      // the store doesn't serve this entry
-	failing   time.Time // when the store was first seen to fail since it last confirmed the targets
+	told      bool      // requests are no longer held for the first view
+	dirty     bool      // services lack the latest configuration or targets
+	shut      bool      // the last call to the store failed
+	failing   time.Time // first failed call since the store last confirmed the targets; zero if none
 	strain    strain
 	believed  beliefs
 }
@@ -104,7 +105,7 @@
 	}
 }
 
-// tell hands a message to the control loop; it waits while the inbox is full.
+// enqueue sends a message to the control loop. It blocks while the inbox is full.
 func (c *control) tell(ctx context.Context, m message) {
 	select {
 	case c.inbox <- m:
@@ -112,8 +113,8 @@
 	}
 }
 
-// heard takes a packet of another entry. One that finds the inbox full is
-// dropped: the next one says the same.
+// enqueuePacket sends a packet of another entry to the control loop. While the inbox is
+// full it drops the packet: the next one repeats its content.
 func (c *control) heard(p relay.Packet, from string) {
 	c.gateway.instruments.packets.Inc(1)
 	select {
@@ -123,12 +124,12 @@
 	}
 }
 
-// Serve runs until ctx ends. Its state outlives a restart by the supervisor.
+// Serve runs until ctx ends. The state survives a restart by the supervisor.
 func (c *control) Serve(ctx context.Context) error {
 	tick := time.NewTicker(tickPeriod)
 	defer tick.Stop()
-	round := time.NewTimer(0)
-	defer round.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -137,11 +138,11 @@
 			c.take(m)
 		case <-tick.C:
 			c.tick(time.Now())
-		case <-round.C:
+		case <-timer.C:
 			c.rounds(time.Now())
 			c.refresh(time.Now())
 		}
-		round.Reset(time.Until(c.next()))
+		timer.Reset(time.Until(c.next()))
 	}
 }
 
@@ -159,8 +160,8 @@
 	c.report(now)
 }
 
-// take applies a message and all that wait behind it, then publishes once if
-// they made a difference. Most are packets that say that nothing has changed.
+// processMessages applies a message and all others in the inbox, then publishes once if
+// they changed anything. Most are packets without a change.
 func (c *control) take(m message) {
 	now := time.Now()
 	for {
@@ -175,14 +176,14 @@
 	}
 }
 
-// refresh publishes where anything that traffic goes by has changed.
+// publishIfChanged publishes a view if anything that requests depend on has changed.
 func (c *control) refresh(now time.Time) {
 	if c.dirty || c.recount || c.roll == nil {
 		c.publish(now)
 	}
 }
 
-// publish brings the services in line with what is known and replaces the view.
+// publish updates the services to the current state and replaces the view.
 func (c *control) publish(now time.Time) {
 	if c.dirty || c.awaiting(now) {
 		c.dirty = c.awaiting(now)
@@ -198,8 +199,8 @@
 	}
 	owners := c.owners
 	c.recount = false
-	if alone := c.isolated(now); alone != c.apart || c.unshared {
-		c.apart, c.unshared = alone, false
+	if isolated := c.isolated(now); isolated != c.apart || c.unshared {
+		c.apart, c.unshared = isolated, false
 		c.shareCold(now, owners)
 	}
 	c.shareRetries(now)
@@ -214,12 +215,12 @@
 	}
 }
 
-// supply gives each service of the configuration its targets, and those that it has
-// dropped: with the list of that time, requests that still seek one would be sent to
-// targets that have left since.
+// updateServices gives each service of the configuration its targets. Services that the
+// configuration no longer has get theirs too: with an old list, their remaining requests
+// would be sent to targets that have left since.
 //
-// Before it is known which failure domains are evacuated no service gets any: an entry
-// that starts would send requests to a domain that the others have left.
+// No service gets targets before the evacuations are known: an entry that starts would
+// send requests to an evacuated domain, which the other entries avoid.
 func (c *control) supply(now time.Time) {
 	byService := make(map[string][]slot.Target)
 	if c.complete() {
@@ -243,7 +244,7 @@
 	c.services = services
 }
 
-// complete tells whether all is known that targets are chosen by.
+// initialized reports whether everything needed to choose a target is known.
 func (c *control) complete() bool {
 	for _, d := range []duty{dutyTargets, dutyEvacuations} {
 		if c.gateway.needs(d) && c.confirmed[d].IsZero() {
@@ -253,14 +254,14 @@
 	return true
 }
 
-// byService gives the targets of each service, marked where their failure domain is
-// evacuated.
+// targetsByService returns the targets of each service, with those in an evacuated
+// failure domain marked.
 func (c *control) byService(now time.Time) map[string][]slot.Target {
 	byService := make(map[string][]slot.Target)
-	marks := c.marks(now)
+	evacuations := c.marks(now)
 	for _, it := range c.usable(now) {
 		t := it.Value
-		_, t.Evacuated = marks[t.Place]
+		_, t.Evacuated = evacuations[t.Place]
 		t.Region = c.gateway.cfg.Settings.Regions[t.Place]
 		byService[t.Service] = append(byService[t.Service], t)
 	}
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -12,7 +12,7 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// duty is something that one entry reads from the store for all.
+// dataKind is a kind of store data, which one entry reads from the store for all.
 type duty uint8
 
 const (
@@ -24,57 +24,57 @@
 
 var dutyNames = [duties]string{"configuration", "targets", "evacuations"}
 
-// The store counts each call, and targets write their heartbeats to it all the
-// time, so that a watch of them is answered at once. A watch by each entry
-// would cost a call an event and entry. So the live entries have an order, and
-// each reads when what it knows is older than its place in the order says: the
-// first one keeps the others from ever having to. Where the first is dead, cut
-// off or turned away by the store, the next one's turn comes by itself.
+// readSchedule is when each live entry reads a data kind, by its rank. Each call to the
+// store is counted, and targets write heartbeats all the time, so that a watch of them
+// returns at once. A watch by each entry would cost one call per event and entry.
+// Instead, an entry reads when its copy is older than the age for its rank. The reads of
+// the first entry, which it announces, keep the other copies younger than that. If the
+// first one is dead, cut off or refused by the store, the next one takes over.
 //
-// A watch that hears nothing is no proof that nothing has changed: it may have
-// lost its connection or its history without a word. So none stays open for
-// longer than it may take until a change is known everywhere.
+// A watch without events does not prove that nothing has changed: it may have lost its
+// connection or its history without an error. So a watch stays open for no longer than
+// the time within which all entries must know a change.
 var patience = [duties]struct {
-	first time.Duration // age at which the first entry reads
-	step  time.Duration // how much later each further one takes over
+	first time.Duration // age at which the entry of rank 0 reads
+	step  time.Duration // additional age for each further rank
 	wait  time.Duration // how long a watch stays open
 }{
-	// A configuration has 2 s until it is in force everywhere. The first entry
-	// always watches, and what the others know is then at most as old as one
-	// watch and the time in which word spreads.
+	// A configuration must be in force everywhere within 2 s. The first entry
+	// always watches, so that the copies of the others are at most as old as one
+	// watch plus the time of an announcement.
 	dutyConfig: {first: 0, step: 300 * time.Millisecond, wait: time.Second},
-	// A leaving target has to be known within 2 s as well. Its watch is
-	// answered at once, so the pause is what bounds the calls: with the steps
-	// below, the third entry is in time where the first two are lost.
+	// All entries must know of a leaving target within 2 s as well. A watch of
+	// targets returns at once, so that only the age of 800 ms limits the calls. With
+	// these steps, the third entry reads in time if the first two are lost.
 	dutyTargets: {first: 800 * time.Millisecond, step: 350 * time.Millisecond, wait: briefWait},
-	// An evacuation has 5 s until its domain gets no more requests, and comes
-	// seldom: the first entry always watches, as for the configuration. With the
-	// first two lost without a word, the third one reads within 3.3 s.
+	// An evacuated domain must get no more requests after 5 s. Evacuations are rare,
+	// so the first entry always watches, as for the configuration. If the first two
+	// are lost without notice, the third one reads within 3.3 s.
 	dutyEvacuations: {first: 0, step: 400 * time.Millisecond, wait: 2 * time.Second},
 }
 
 const (
-	// readerTick is how often an entry looks whether it is its turn.
+	// turnCheckInterval is how often a reader checks whether it is its turn.
 	readerTick = 50 * time.Millisecond
-	// distantTick is the same for one that many others read before.
+	// distantTurnCheckInterval is the same for an entry of high rank without callers.
 	distantTick = 5 * readerTick
-	// fastReaders is how many of the first in the order are told at once of each
-	// answer of the store. The others hear of it within their rounds.
+	// notifiedReaders is the number of entries, first in the order of readers, that
+	// get each confirmation of the store at once. The others get it by gossip.
 	fastReaders = 4
-	// briefWait is how long a watch stays open that only asks what has changed.
+	// pollTimeout is how long a watch stays open that doesn't wait for changes.
 	briefWait = time.Millisecond
-	// readTime bounds a call beside the time for which its watch stays open:
-	// the store answers within 4 ms, and is taken for lost when it doesn't
-	// within a hundred times that.
+	// readTimeout bounds a call, in addition to the time for which its watch stays
+	// open. The store answers within 4 ms; after a hundred times that the call has
+	// failed.
 	readTime = 400 * time.Millisecond
-	// listTime bounds a list, which may take several pages of a slow store.
+	// listTimeout bounds a list, which may take several pages of a slow store.
 	listTime = 2 * time.Second
-	// storeRest is the first entry's pause after a call that failed.
+	// storeRetryDelay is the delay of the first reader after a failed call.
 	storeRest    = 300 * time.Millisecond
 	storeRestMax = 3 * time.Second
 )
 
-// due tells whether an entry with that place in the order reads now.
+// due reports whether an entry of this rank reads now.
 func (d duty) due(age time.Duration, rank int) bool {
 	p := patience[d]
 	if rank == 0 {
@@ -86,7 +86,7 @@
 // sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) { doze(ctx, d, nil) }
 
-// doze is sleep that a message on wake ends as well; on a nil channel none comes.
+// sleepUntilWoken is sleep that a message on wake ends as well; wake may be nil.
 func doze(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -97,22 +97,21 @@
 	}
 }
 
-// turn is what a reader has to know of the control loop's state.
+// readTurn tells a reader whether to read now, and from which revision.
 type turn struct {
 	due  bool
-	rank int             // this entry's place in the order
-	age  time.Duration   // of what is known
-	at   roster.Revision // up to which the history is known
-	// fresh says that nothing is known yet.
+	rank int             // of this entry in the order of readers
+	age  time.Duration   // since the store last confirmed the data
+	at   roster.Revision // last known one of the history
+	// initial is set before the data was first read.
 	fresh bool
-	// distant says that many others read before this entry, and that it has no
-	// callers.
+	// distant is set when many others read before this entry and it has no callers.
 	distant bool
-	// brief says that a watch is not to wait for changes.
+	// poll is set when a watch must not wait for changes.
 	brief bool
 }
 
-// pause is how long a reader waits before it asks again.
+// pause returns how long a reader waits before it checks its turn again.
 func (t turn) pause() time.Duration {
 	if t.fresh {
 		return beginStep / 2
@@ -123,7 +122,7 @@
 	return readerTick
 }
 
-// turnAsked is a reader's question.
+// turnRequest asks the control loop whether a reader reads now.
 type turnAsked struct {
 	duty   duty
 	answer chan turn
@@ -132,21 +131,21 @@
 func (m turnAsked) apply(now time.Time, c *control) {
 	t := c.turnOf(now, m.duty)
 	if m.duty == dutyEvacuations && c.shut && c.turnOf(now, dutyTargets).due {
-		// The store fails this entry, which goes on asking it for the targets and so
-		// finds out when it is back. Asked for the marks as well by all entries, a busy
-		// store would get a third more calls, each of them priced.
+		// The store doesn't serve this entry, whose reads of the targets detect the
+		// store's return. If all entries read evacuations too, a busy store would get
+		// a third more calls, and each call costs money.
 		t.due = false
 	}
 	if !c.gateway.needs(m.duty) {
 		t.due, t.fresh, t.distant = false, false, true
 	}
-	// A watch that hears of no change confirms what is known only at its end. Where
-	// that is old already, requests would wait for it.
+	// A watch without changes confirms the known revision only when it ends. If that
+	// is old already, requests would wait for the end of the watch.
 	t.brief = c.gateway.freshness.serving(now) && t.age >= patience[m.duty].wait+tickPeriod
 	m.answer <- t
 }
 
-// turnOf tells whether it is this entry's turn to read a kind.
+// turnFor returns whether this entry reads a data kind now, and how.
 func (c *control) turnOf(now time.Time, d duty) turn {
 	c.live()
 	rank := c.rank[d]
@@ -163,7 +162,7 @@
 	return t
 }
 
-// at is the revision up to which the history of a kind is known.
+// revision returns the last known revision in the history of a data kind.
 func (c *control) at(d duty) roster.Revision {
 	switch d {
 	case dutyTargets:
@@ -174,13 +173,13 @@
 	return c.configAt
 }
 
-// needs tells whether requests are served by a kind of knowledge. Where the settings
-// name no bound for evacuations, none is asked for, and nothing is read of them.
+// needs reports whether requests depend on a data kind. Evacuations are neither needed nor
+// read if the settings have no bound for them.
 func (g *Gateway) needs(d duty) bool {
 	return d != dutyEvacuations || g.bounds.Load().Evacuate > 0
 }
 
-// turn asks the control loop.
+// requestTurn asks the control loop for a reader's turn.
 func (c *control) turn(ctx context.Context, d duty) (t turn) {
 	q := turnAsked{duty: d, answer: make(chan turn, 1)}
 	c.tell(ctx, q)
@@ -191,12 +190,12 @@
 	return t
 }
 
-// reader reads one kind of objects when it is this entry's turn.
+// reader reads one data kind when it is this entry's turn.
 type reader[T any] struct {
 	gateway *Gateway
 	duty    duty
 	kind    platform.Kind[T]
-	unsure  bool // a watch has failed, so that only a list tells what is
+	unsure  bool // a watch has failed and may have missed changes
 	listed  func(items []roster.Item[T], at roster.Revision, asked time.Time) message
 	changed func(changes []roster.Change[T], at roster.Revision, asked time.Time) message
 }
@@ -269,15 +268,15 @@
 	return ctx.Err()
 }
 
-// rest is the pause after a failed call. In an outage all entries would call at
-// once and again and again; so the later ones in the order wait longer, and the
-// first finds out soon that the store is back.
+// retryDelay returns the delay after a failed call. It grows with the rank, so that not
+// all entries call the store at once during an outage, while the first one soon detects
+// that the store is back.
 func rest(rank int) time.Duration {
 	return min(storeRest*time.Duration(1+rank), storeRestMax)
 }
 
-// read watches from the revision that is known, or lists where none is or a watch
-// has failed: it may have missed a change then.
+// read watches from the known revision. It lists the objects if no revision is known or
+// a watch has failed, which may have missed a change.
 func (r *reader[T]) read(ctx context.Context, t turn) (err error) {
 	if t.at > 0 && !r.unsure {
 		err = r.watch(ctx, t)
@@ -315,8 +314,8 @@
 		return err
 	}
 	if len(changes) == 0 && time.Since(asked) >= wait {
-		// The store answers a watch without changes when its time is over, so
-		// that nothing had changed until then.
+		// The store answers a watch without changes when the wait is over, which
+		// confirms that nothing had changed until then.
 		asked = asked.Add(wait)
 	}
 	r.gateway.control.tell(ctx, r.changed(changes, upTo, asked))
