--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -11,7 +11,7 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// configRead is what the store has of the configuration, oldest first.
+// configRead holds the configurations that the store returned, oldest first.
 type configRead struct {
 	raw   [][]byte
 	at    roster.Revision
@@ -27,11 +27,11 @@
 	c.vouch(now, dutyConfig)
 }
 
-// adopt puts a configuration in force that is newer than the one that is.
+// applyConfig puts a configuration in force if it is newer than the current one.
 func (c *control) adopt(now time.Time, raw []byte, source string) {
 	cfg, faults, err := platform.ParseConfig(raw)
 	if err != nil {
-		c.gateway.log.WithError(err).WithField("source", source).Error("configuration refused")
+		c.gateway.log.WithError(err).WithField("source", source).Error("invalid configuration ignored")
 		return
 	}
 	if cfg.Version <= c.config.Version {
@@ -48,19 +48,19 @@
 	c.spread(now)
 }
 
-// maxFaults bounds the lines about the faults of one configuration.
+// maxLoggedFaults bounds the log lines about the faults of one configuration.
 const maxFaults = 20
 
 func (c *control) logFaults(v route.Version, faults platform.Faults) {
 	for _, err := range faults[:min(len(faults), maxFaults)] {
-		c.gateway.log.WithError(err).WithField("version", uint64(v)).Warn("part of the configuration not understood")
+		c.gateway.log.WithError(err).WithField("version", uint64(v)).Warn("invalid part of the configuration ignored")
 	}
 	if more := len(faults) - maxFaults; more > 0 {
-		c.gateway.log.WithFields(log.Fields{"version": uint64(v), "more": more}).Warn("further parts of the configuration not understood")
+		c.gateway.log.WithFields(log.Fields{"version": uint64(v), "more": more}).Warn("more invalid parts of the configuration ignored")
 	}
 }
 
-// targetsListed is the whole list of targets.
+// targetsListed is a full list of targets from the store.
 type targetsListed struct {
 	items []roster.Item[slot.Target]
 	at    roster.Revision
@@ -71,7 +71,7 @@
 	c.targetsRead(now, m.asked, func() bool { return c.targets.Replace(m.items, m.at) })
 }
 
-// targetsChanged are changes of targets since the last ones.
+// targetsChanged holds changes of targets from a watch of the store.
 type targetsChanged struct {
 	changes []roster.Change[slot.Target]
 	at      roster.Revision
@@ -82,8 +82,8 @@
 	c.targetsRead(now, m.asked, func() bool { return c.targets.Told(m.changes, m.at) })
 }
 
-// targetsRead applies what the store said of the targets, and tells the others
-// at once where that matters.
+// applyTargetsRead applies a list or changes from the store, and announces a change of
+// targets to the other entries at once.
 func (c *control) targetsRead(now, asked time.Time, apply func() (moved bool)) {
 	c.confirm(now, dutyTargets, asked)
 	moved := c.change(now, apply)
@@ -93,27 +93,27 @@
 	}
 }
 
-// callFailed tells of a call without an answer, after which the store is asked in
-// another way. That takes up to 2 s where it is silent, and the outage may be over by
-// the time that both have failed.
+// callFailed reports that a watch timed out. The reader then lists the objects, which
+// takes up to 2 s if the store is silent: the outage may be over before both calls have
+// failed, so that the first failure must count.
 type callFailed struct{}
 
 func (callFailed) apply(now time.Time, c *control) { c.fails(now) }
 
-// storeAnswered tells whether the store serves this entry.
+// storeAnswered is the result of a read from the store; err is nil if it succeeded.
 type storeAnswered struct{ err error }
 
 func (m storeAnswered) apply(now time.Time, c *control) {
-	shut := m.err != nil
-	if shut {
+	failed := m.err != nil
+	if failed {
 		c.fails(now)
 	}
-	if shut == c.shut {
+	if failed == c.shut {
 		return
 	}
-	c.shut = shut
+	c.shut = failed
 	c.feel(now)
-	if shut {
+	if failed {
 		c.gateway.log.WithError(m.err).Warn("store lost")
 	} else {
 		c.gateway.log.Info("store regained")
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -8,46 +8,47 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// Times of membership. Each entry asks two others a round, so that what it sends
-// and hears stays the same however many there are.
+// Membership timing. Each entry contacts two others per round, so that its traffic doesn't
+// depend on the number of entries.
 const (
-	// roundPeriod is the time between rounds. With the two below, an entry that
-	// dies is out of callers' answers within 0.25 + 0.2 + 0.25 s and the time in
-	// which the word of it spreads.
+	// roundPeriod is the time between rounds. With the two timeouts below, callers
+	// are no longer sent to a dead entry after 0.25 + 0.2 + 0.25 s and the time in
+	// which the suspicion spreads.
 	roundPeriod = 250 * time.Millisecond
-	// askTime is how long an answer may take: entries are milliseconds apart, and a
-	// VM that has used up its processor time stands still for up to 100 ms.
+	// exchangeTimeout is how long an answer may take. The latency between entries is a
+	// few milliseconds, and a VM that has used up its CPU quota is paused for up to
+	// 100 ms.
 	askTime = 200 * time.Millisecond
-	// reachTime is how long a ping by way of another entry may take.
+	// indirectPingTimeout is how long a ping through another entry may take.
 	reachTime = 250 * time.Millisecond
-	// suspicionTime is how long a suspect of 16 entries has to object. Callers are
-	// sent elsewhere meanwhile.
+	// suspicionTimeout is the time that a suspect has to refute the suspicion, among
+	// 16 entries. Callers are sent elsewhere meanwhile.
 	suspicionTime = 600 * time.Millisecond
-	// forgetAfter is how long a dead entry is tried again. A VM that is cut off or
-	// frozen for a while is told of what it missed as soon as it is back.
+	// deadRetention is how long a dead entry is contacted again, so that a VM that was
+	// cut off or frozen for a while gets what it missed as soon as it is back.
 	forgetAfter = 2 * time.Minute
-	// leftAfter is how long one that has stopped is kept in mind, so that late word
-	// of it revives nothing.
+	// leftRetention is how long a stopped entry is remembered, so that a late message
+	// about it doesn't revive it.
 	leftAfter = time.Minute
-	// aloneAfter is the silence of all others after which an entry reckons only with
-	// itself: several rounds.
+	// isolationTimeout is how long an entry receives nothing from any other before it
+	// counts as cut off: several rounds.
 	aloneAfter = 4 * roundPeriod
 )
 
 const (
-	// fanOut is how many others are told of news at once. With three, word passes
-	// to 94 in 100 that way and to the rest in the next round.
+	// gossipFanOut is the number of entries that a change is sent to at once. With
+	// three, 94 in 100 entries receive it that way and the rest in the next round.
 	fanOut = 3
-	// messageRoom is how many bytes of entries fit into a packet beside the rest.
+	// maxEntryBytes is the size limit of the entries in a packet, beside its other parts.
 	messageRoom = 900
-	// bulkBuckets is from how many differing buckets of 64 on all that another entry
-	// knows is fetched: a message has room for the lists of a few.
+	// bulkFetchBuckets is the number of differing buckets, of 64, from which on all
+	// members are fetched from the other entry: a message has room for few buckets.
 	bulkBuckets = 8
-	// maxNumbers is how many hosts' numbers of owners a message carries.
+	// maxOwnerCounts is the number of hosts whose owner counts fit into a message.
 	maxNumbers = 8
 )
 
-// memberConfig is that of the table that knows the other entries.
+// memberConfig returns the configuration of the membership table.
 func (g *Gateway) memberConfig() member.Config {
 	return member.Config{
 		Self: member.Entry{
@@ -60,7 +61,7 @@
 	}
 }
 
-// otherSeeds are the seeds of the settings but for this entry.
+// otherSeeds returns the seeds of the settings without this entry.
 func (g *Gateway) otherSeeds() (list []string) {
 	for _, address := range g.cfg.Settings.Seeds {
 		if address != g.self.Peer {
@@ -70,25 +71,25 @@
 	return list
 }
 
-// seed tells whether the others are told to turn to this entry at their start.
+// isSeed reports whether this entry is one of the seeds that others contact at their start.
 func (g *Gateway) seed() bool {
 	return len(g.otherSeeds()) < len(g.cfg.Settings.Seeds)
 }
 
-// awaited is an exchange whose answer is awaited.
+// pendingExchange is an exchange that waits for its answer.
 type awaited struct {
 	exchange uint64
 	until    time.Time
 }
 
-// drive gives an event to the table and does what follows from it.
+// handleEvent passes an event to the membership table and performs the resulting actions.
 func (c *control) drive(now time.Time, ev member.Event) {
 	for _, a := range c.members.Handle(now, ev) {
 		c.act(now, a)
 	}
 }
 
-// reply gives another entry's message to the table and answers it.
+// handleRequest passes another entry's message to the membership table and answers it.
 func (c *control) reply(now time.Time, p relay.Packet, from string) {
 	for _, a := range c.members.Handle(now, member.Request{Message: p.Message}) {
 		if r, ok := a.(member.Reply); ok {
@@ -116,8 +117,9 @@
 	case member.Learned:
 		c.learned(now, a.Rumours)
 	case member.Reply, member.Marked, member.Behind, member.Superseded:
-		// Only reply gets a Reply, marks are compared as each packet is heard, and
-		// Sole rules out the last.
+		// None needs an action: a reply occurs only in handleRequest, revisions are
+		// compared when a packet is received, and names are exclusive, so that no
+		// other incarnation supersedes this one.
 	}
 }
 
@@ -127,7 +129,7 @@
 	}
 }
 
-// knowledge is what this entry tells of what it has in force.
+// knowledge returns the versions that this entry has in force and their ages, to advertise.
 func (c *control) knowledge(now time.Time) relay.Knowledge {
 	return relay.Knowledge{
 		Config: c.config.Version, Targets: c.targets.Moved(), Evacuations: c.evacuations.Moved(),
@@ -142,19 +144,20 @@
 	}
 }
 
-// rounds lets the table do what its time has come for.
+// runTimers handles the timers that are due: exchanges without an answer, membership rounds
+// and pulls.
 func (c *control) rounds(now time.Time) {
 	kept := c.awaits[:0]
-	var over []uint64
+	var expired []uint64
 	for _, a := range c.awaits {
 		if now.Before(a.until) {
 			kept = append(kept, a)
 		} else {
-			over = append(over, a.exchange)
+			expired = append(expired, a.exchange)
 		}
 	}
 	c.awaits = kept
-	for _, exchange := range over {
+	for _, exchange := range expired {
 		c.drive(now, member.NoAnswer{Exchange: exchange})
 	}
 	if !now.Before(c.members.Next()) {
@@ -165,14 +168,14 @@
 	}
 }
 
-// nextPull is when another entry is asked for news in place of one that owes an
-// answer; ok is false where none is to be asked.
+// nextPull returns when to pull from another entry if the current one doesn't answer; ok is
+// false if there is nothing to pull from another one.
 func (c *control) nextPull() (at time.Time, ok bool) {
 	ok = c.pulling != "" && c.newestAt != c.pulling && c.lacks(c.newest)
 	return c.pullAt.Add(pullPatience), ok
 }
 
-// next is when rounds is needed again.
+// nextTimer returns the time of the next timer.
 func (c *control) next() time.Time {
 	at := c.members.Next()
 	for _, a := range c.awaits {
@@ -195,7 +198,7 @@
 	}
 }
 
-// packetHeard is a packet of another entry.
+// packetReceived is a packet of another entry.
 type packetHeard struct {
 	packet relay.Packet
 	from   string
@@ -229,23 +232,23 @@
 	c.knows(now, m.from, p.Knowledge)
 }
 
-// feel tells the others how well this entry works.
+// reportCondition advertises whether this entry is overloaded or the store is unavailable.
 func (c *control) feel(now time.Time) {
 	c.drive(now, member.Feel{Condition: member.Condition{Strained: c.strain.strained(now), Shut: c.shut}})
 }
 
-// leaves is told when this entry begins to stop.
+// leaveStarted is sent when this entry begins to stop.
 type leaves struct{}
 
 func (leaves) apply(now time.Time, c *control) { c.drive(now, member.Leave{}) }
 
-// departs is told when it has served its last request.
+// departed is sent when this entry has served its last request.
 type departs struct{}
 
 func (departs) apply(now time.Time, c *control) { c.drive(now, member.Depart{}) }
 
-// named takes the name of this run, which changes where others know of a later
-// start from before a clock went back.
+// updateIdentity stores the identity of this run. It changes if other entries know a later
+// start of this entry, from before its clock went back.
 func (c *control) named() {
 	id := c.members.Self()
 	c.gateway.run.Store(&id)
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -17,7 +17,7 @@
 
 var _ relay.Source = (*control)(nil)
 
-// News gives another entry what it lacks.
+// News returns what another entry lacks.
 func (c *control) News(ctx context.Context, have relay.Have) (n relay.News, err error) {
 	q := newsAsked{have: have, answer: make(chan relay.News, 1)}
 	c.tell(ctx, q)
@@ -29,7 +29,7 @@
 	}
 }
 
-// newsAsked is another entry's question.
+// newsRequest is another entry's pull.
 type newsAsked struct {
 	have   relay.Have
 	answer chan relay.News
@@ -56,8 +56,8 @@
 	m.answer <- n
 }
 
-// targetsSince gives the changes of targets since a revision, or the whole list
-// where they don't reach back so far.
+// targetsSince returns the changes of targets since a revision, or the full list if the
+// recorded changes don't reach back to it.
 func (c *control) targetsSince(since roster.Revision) (e relay.Extent, changes []roster.Change[slot.Target]) {
 	changes, ok := c.targets.Since(since)
 	if ok {
@@ -69,7 +69,7 @@
 	return relay.Listed, changes
 }
 
-// confirm notes that the store said at that time that nothing is newer.
+// confirm records that the store confirmed at that time that there is nothing newer.
 func (c *control) confirm(now time.Time, d duty, at time.Time) {
 	if !at.After(c.confirmed[d]) {
 		return
@@ -84,8 +84,8 @@
 	c.confirmed[d] = at
 }
 
-// age is for how long the store hasn't confirmed what is known. Where nothing is
-// known yet, it is that of the start.
+// age returns the time since the store last confirmed a data kind, or since the start if it
+// never has.
 func (c *control) age(now time.Time, d duty) time.Duration {
 	if c.confirmed[d].IsZero() {
 		return now.Sub(c.started)
@@ -93,26 +93,27 @@
 	return now.Sub(c.confirmed[d])
 }
 
-// neverAge is the age from which on what another entry knows counts as never
-// confirmed: longer than any outage, shorter than any clock's zero.
+// unconfirmedAge is the age from which on another entry's copy counts as never confirmed:
+// longer than any outage, and shorter than the time since any clock's zero.
 const neverAge = 24 * time.Hour
 
-// vouched takes another entry's word, given at that time or later, that the store
-// confirmed what both know. Entries that have just started both know nothing, and
-// none has asked: taken for a confirmation, that keeps all of them from asking.
+// confirmFromPeer records another entry's confirmation, sent at that time or later, of a
+// version that both have. Entries that have just started have none and have not asked the
+// store. If their advertised ages counted as confirmations, none of them would ask it.
 func (c *control) vouched(now, given time.Time, d duty, age time.Duration) {
 	if age < neverAge {
 		c.confirm(now, d, given.Add(-age))
 	}
 }
 
-// pullPatience is how long a pull keeps others from being made. The entry that was
-// asked may have lost power right after it told of news, and is given up only after
-// 0.5 s: 36 of 113 gateways waited so long for one that was cut off, with requests for
-// targets that had left. An answer takes 20 ms, where all start at once up to 0.2 s.
+// pullExclusiveTime is how long a pull prevents a pull from another entry. The entry asked
+// may have lost power right after it advertised a change, and the call fails only after
+// 0.5 s: 36 of 113 gateways waited that long for one that was cut off, and meanwhile sent
+// requests to targets that had left. An answer takes 20 ms, and up to 0.2 s when all
+// entries start at once.
 const pullPatience = 200 * time.Millisecond
 
-// pull asks another entry for what it has and this one lacks.
+// pull requests from another entry what this one lacks.
 func (c *control) pull(now time.Time, from string) {
 	if c.pulling == from || c.pulling != "" && now.Sub(c.pullAt) < pullPatience {
 		return
@@ -128,7 +129,7 @@
 	}()
 }
 
-// newsPulled is the answer to a pull.
+// pullResult is the result of a pull.
 type newsPulled struct {
 	asked time.Time
 	from  string // address
@@ -157,9 +158,9 @@
 		}
 	}
 	if m.news.Targets != relay.Nothing {
-		// The answer was given between the question and now, and may have been on its
-		// way for half a second. Counted from the question, a list is never taken for
-		// younger than it is.
+		// The answer was sent between the request and now, and its transfer may have
+		// taken half a second. Measured from the request, the age of a list is never
+		// underestimated.
 		c.vouched(now, m.asked, dutyTargets, m.news.Age)
 		moved := c.change(now, func() bool { return c.pulled(m.news) })
 		if moved {
@@ -169,27 +170,27 @@
 	c.pullMore(now)
 }
 
-// lacks reports whether another entry has something newer.
+// lacks reports whether another entry advertises something newer.
 func (c *control) lacks(k relay.Knowledge) bool {
 	return k.Config > c.config.Version || k.Targets > c.targets.Moved() || k.Evacuations > c.evacuations.Moved()
 }
 
-// pullMore pulls again where word that came during a pull told of something newer,
-// or where the entry that was asked doesn't answer. At a start the configuration and
-// the targets are read apart, and whoever pulled the one would lack the other until
-// the next round.
+// pullNewest pulls again if something newer was advertised during a pull, or if the entry
+// asked doesn't answer. At a start the configuration and the targets are read separately:
+// without a second pull, an entry that got only one of them would lack the other until the
+// next round.
 func (c *control) pullMore(now time.Time) {
 	if c.lacks(c.newest) {
 		c.pull(now, c.newestAt)
 	}
 }
 
-// fetchPause is the least time between two fetches. While hundreds start, all
-// differ from each other all the time; each fetch brings what came since.
+// minFetchInterval is the least time between two fetches. While hundreds of entries start,
+// their tables differ all the time, and each fetch brings the entries added since.
 const fetchPause = 2 * roundPeriod
 
-// fetch asks another entry for the entries that this one lacks, and for nothing
-// else, which a pull may be bringing.
+// fetch requests from another entry the members that this one lacks. The maximum revisions
+// exclude all other data, which a pull may already be transferring.
 func (c *control) fetch(now time.Time, from string) {
 	if c.fetching || now.Sub(c.fetched) < fetchPause {
 		return
@@ -206,7 +207,7 @@
 	}()
 }
 
-// entriesFetched is the answer to a fetch.
+// entriesFetched is the result of a fetch.
 type entriesFetched struct {
 	entries []member.Entry
 	err     error
@@ -215,13 +216,13 @@
 func (m entriesFetched) apply(now time.Time, c *control) {
 	c.fetching = false
 	if m.err != nil {
-		c.gateway.log.WithError(m.err).Warn("no entries fetched")
+		c.gateway.log.WithError(m.err).Warn("fetch of the other entries failed")
 	} else {
 		c.drive(now, member.Fetched{Entries: m.entries})
 	}
 }
 
-// pulled applies what another entry knows of the targets.
+// applyPulledTargets applies the targets in a pull's answer.
 func (c *control) pulled(n relay.News) (moved bool) {
 	if n.Targets == relay.Changed {
 		moved = c.targets.Told(n.Changes, n.At)
--- a/internal/gateway/spread.go
+++ b/internal/gateway/spread.go
@@ -7,13 +7,14 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// wayTime is what a packet counts as having been on its way: a few milliseconds, and
-// what a VM with a sixth of a core takes to get to it. Counted as nothing, the age of
-// what the store said last shrinks at each entry that passes it on: in an outage of 4 s
-// 17 gateways of 113 took that for a later answer of the store.
+// transitTime is the assumed time from the sending of a packet to its handling: a few
+// milliseconds of latency, and the delay on a VM with a sixth of a core. Without it, the age
+// of the store's last confirmation would shrink with each entry that passes it on: in an
+// outage of 4 s, 17 of 113 gateways took that for a later confirmation.
 const wayTime = 20 * time.Millisecond
 
-// knows takes what another entry has in force.
+// receiveKnowledge handles what another entry advertises: it pulls newer versions and takes
+// confirmations of equal ones.
 func (c *control) knows(now time.Time, from string, k relay.Knowledge) {
 	if c.lacks(k) {
 		c.newest, c.newestAt = k, from
@@ -31,19 +32,19 @@
 	}
 }
 
-// mostWaiting is how many entries that asked while this one knew nothing are told
-// as soon as it does. Each then pulls what is known, which for 700 targets takes
-// 20 ms of a link of 20 Mbit/s; the others hear of it from these.
+// maxWaitingPeers is the number of entries without a configuration that this one notifies
+// as soon as it has one. Each then pulls, which takes 20 ms of a link of 20 Mbit/s for 700
+// targets. The remaining entries receive the announcement from these.
 const mostWaiting = 16
 
-// waits notes an entry that knows nothing, while this one doesn't either.
+// noteWaitingPeer records an entry without a configuration, if this one has none either.
 func (c *control) waits(address string, k relay.Knowledge) {
 	if c.config.Version == 0 && k.Config == 0 && len(c.waiting) < mostWaiting {
 		c.waiting[address] = true
 	}
 }
 
-// spread tells others that this entry has something newer in force.
+// announceRevisions advertises newer versions in force to the waiting and to other entries.
 func (c *control) spread(now time.Time) {
 	for address := range c.waiting {
 		c.send(address, relay.Packet{Kind: relay.Tell, Knowledge: c.knowledge(now)})
@@ -56,9 +57,9 @@
 	}})
 }
 
-// vouch tells those next in the order of readers what the store has just
-// confirmed: they take over when they hear nothing of it for longer, and it would
-// reach them with the rounds only after half a second and more.
+// announceConfirmation sends what the store has just confirmed to the next entries in the
+// order of readers. These read themselves if they get no confirmation for longer, and with
+// the membership rounds it would reach them only after half a second or more.
 func (c *control) vouch(now time.Time, d duty) {
 	for _, e := range c.order[d] {
 		if e.Name != c.gateway.self.Name {
