--- a/internal/gateway/begin.go
+++ b/internal/gateway/begin.go
@@ -8,52 +8,53 @@
 	"plumpitch.example/plumpitch/pkg/roster"
 )
 
-// Times of a start. An entry that knows nothing yet asks the store only when the
-// others can't tell: all machines start together, and on a quiet day two calls
-// of each were a sixth of all.
+// Timing of the first reads after a start. An entry without data asks the store only if the
+// other entries can't provide the data: all VMs start together, and on a quiet day two
+// calls by each entry were a sixth of all calls.
 const (
-	// enrollTime is how long an entry waits for its enrolment, two calls of 4 ms.
-	// One that was lost is made again after longer than that.
+	// enrollTimeout is how long an entry waits for its enrolment, two calls of 4 ms.
+	// A failed enrolment is retried only after a longer time.
 	enrollTime = 150 * time.Millisecond
-	// seedsReadTime is how long an entry that has met others waits for what the
-	// seeds have read, and beginRank how much longer for each that reads before it.
+	// seedReadDelay is how long an entry in contact with others waits for the data that
+	// the seeds read, and seedReadRankDelay is how much longer for each lower rank.
 	seedsReadTime = time.Second
 	beginRank     = 300 * time.Millisecond
-	// beginStep is how much later the next one begins. A read, a greeting, its
-	// answer and a pull take less.
+	// minStartStep is the least delay between the reads of two entries. A read, an
+	// exchange and a pull take less.
 	beginStep = 20 * time.Millisecond
-	// beginWait is the least wait behind those that read at once: on a busy machine
-	// their word comes later than this entry's own enrolment lets expect. 27 of 72
-	// starts of eight beside other work took more calls than two each and eight.
+	// minStartDelay is the least delay of an entry that doesn't read at once: on a busy
+	// machine the first readers' announcement comes later than this entry's own
+	// enrolment suggests. In 27 of 72 starts of eight entries beside other work, there
+	// were more calls than two by each entry plus eight.
 	beginWait = 200 * time.Millisecond
-	// beginTimes is that wait as a multiple of the enrolment's time: what is awaited,
-	// the reads of the first ones, their word and a pull, are as many calls again.
+	// startDelayFactor is that delay as a multiple of the enrolment's duration. The reads
+	// of the first entries, their announcement and a pull take a similar number of calls.
 	beginTimes = 6
-	// beginStepMax bounds the step where the enrolment took long.
+	// maxStartStep bounds the delay between two entries if the enrolment took long.
 	beginStepMax = 100 * time.Millisecond
-	// fewestReaders and mostReaders bound how many read at once, of those on record
-	// one in readersOf. One alone would be asked by all others for what it knows,
-	// which takes a third of a core 40 ms among 14.
+	// minFirstReaders and maxFirstReaders bound the number of entries that read at once,
+	// which is one in entriesPerReader of the live ones. All others would pull from a single reader, which
+	// takes 40 ms on a third of a core among 14 entries.
 	fewestReaders = 2
 	mostReaders   = 8
 	readersOf     = 4
-	// beginSteps bounds the wait behind entries that may have died since.
+	// maxStartSteps bounds the delay, as the entries waited for may have died since.
 	beginSteps = 10
-	// startSpan is within which time entries count as started together: machines
-	// do within 0.5 s. With 5 s, all waited 0.35 s for entries that had been killed
-	// 3 s before and had been on record since. One whose clock is off is not waited
-	// for, which costs two calls.
+	// startWindow is the time within which entries count as started together; VMs start
+	// together within 0.5 s. With 5 s, all waited 0.35 s for entries that had been killed
+	// 3 s earlier and still had a record. An entry whose clock is off is not waited for,
+	// which costs two calls.
 	startSpan = time.Second
 )
 
-// begins tells whether an entry that knows nothing yet reads now. The first ones
-// to enrol do so at once and tell the others, so that these wait in the order
-// of their enrolment. By a fixed order of their names, the first one might start
-// last, and each that enrolled before it would read. A step is as long as this
-// entry's own enrolment took, which is two calls: on a busy machine, entries
-// would else read before the first one can have told them (53 of 72 starts).
+// firstReadDue reports whether an entry without data reads now. The first entries to enrol
+// read at once and announce the data; the others wait in the order of their enrolment. In a
+// fixed order of names the first entry might start last, and each one that enrolled before
+// it would read. The delay per entry is the duration of this entry's own enrolment, which is
+// two calls. With a shorter one, entries on a busy machine read before the first ones could
+// announce the data (in 53 of 72 starts).
 //
-// Where the settings name seeds, these read at once and the others turn to them.
+// If the settings name seeds, the seeds read at once and the others get the data from them.
 func (c *control) begins(now time.Time, rank int) bool {
 	if c.gateway.seed() {
 		return true
@@ -68,7 +69,7 @@
 		return now.Sub(c.started) >= enrollTime
 	}
 	if c.pulling != "" && now.Sub(c.pullAt) < pullPatience {
-		return false // what another entry has is on its way
+		return false // another entry's data is being transferred
 	}
 	step := min(max(c.enrolling, beginStep), beginStepMax)
 	readers := min(max(len(c.live())/readersOf, fewestReaders), mostReaders)
@@ -79,8 +80,8 @@
 	return now.Sub(c.enrolled) >= max(time.Duration(steps)*step, beginWait, beginTimes*c.enrolling)
 }
 
-// ahead counts the entries that have started together with self and enrolled
-// before it.
+// countEnrolledBefore returns the number of entries that started together with self and
+// enrolled before it.
 func ahead(self owner.Entry, items []roster.Item[owner.Entry]) (n int) {
 	own := roster.Revision(math.MaxUint64)
 	for _, it := range items {
--- a/internal/gateway/enroller.go
+++ b/internal/gateway/enroller.go
@@ -11,32 +11,33 @@
 	"plumpitch.example/plumpitch/pkg/roster"
 )
 
-// The store keeps the records of a few entries, by which the others are found
-// where no seed of the settings answers. Most never call it for that: with a
-// record of each and a list for each, 472 entries made 1,400 calls at a start.
+// The store keeps the records of a few entries, through which an entry finds the others if
+// no seed of the settings answers. Most entries never read or write them: when each entry
+// wrote a record and listed them, 472 entries made 1,400 calls at a start.
 const (
-	// seedTime is how long an entry waits for a seed before it asks the store: a few
+	// seedTimeout is how long an entry waits for a seed before it asks the store: a few
 	// rounds.
 	seedTime = 3 * roundPeriod
-	// recorded is how many entries keep a record: as many as the settings have seeds.
+	// recordedEntries is the number of entries with a record, equal to the number of seeds
+	// in the settings.
 	recorded = 3
-	// recordCheck is how often an entry looks whether it has to have a record.
+	// recordCheckInterval is how often an entry checks whether it needs a record.
 	recordCheck = time.Second
-	// recordAfter is how long the entries on record have to be the same before one
-	// more enters itself: in a start they change all the time.
+	// recordDelay is how long an entry has to need a record before it writes one:
+	// during a start, the entries that need one change all the time.
 	recordAfter = 3 * time.Second
-	// cleanEvery is how often the records are looked through for dead ones, and for
-	// entries that this part of the network has never met.
+	// cleanInterval is how often the records are checked for dead entries, and for
+	// entries that this part of the network has had no contact with.
 	cleanEvery = forgetAfter
 )
 
 // enroller keeps the records of entries in the store.
 type enroller struct {
 	gateway  *Gateway
-	since    time.Time // since when this entry has to have a record
+	since    time.Time // when this entry began to need a record; zero if it doesn't
 	cleaned  time.Time
-	restores uint64                     // of the store that were seen to
-	silent   map[string]roster.Revision // records whose entry wasn't live when they were last looked through
+	restores uint64                     // restores of the store that have been handled
+	silent   map[string]roster.Revision // records without a live entry at the last cleaning
 }
 
 func (e *enroller) String() string { return "enroller" }
@@ -54,7 +55,7 @@
 	return ctx.Err()
 }
 
-// unmet tells whether no seed has answered in time.
+// noSeedAnswered reports whether no seed has answered in time.
 func (e *enroller) unmet(ctx context.Context) bool {
 	if len(e.gateway.otherSeeds()) == 0 {
 		return true
@@ -67,9 +68,9 @@
 	return true
 }
 
-// enroll puts this entry on record and learns of the others, until the store
-// answers. It enters before it lists: of two entries that start together, the
-// later one to enter then finds the other, and tells it of itself.
+// enroll writes this entry's record and lists the others, and retries until the store
+// answers. It writes before it lists: of two entries that start together, the later one to
+// write then finds the other and contacts it.
 func (e *enroller) enroll(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -80,7 +81,7 @@
 		if err == nil {
 			return
 		}
-		e.gateway.log.WithError(err).Warn("not on record")
+		e.gateway.log.WithError(err).Warn("enrolment in the store failed")
 		sleep(ctx, storeRest)
 	}
 }
@@ -104,13 +105,13 @@
 	return err
 }
 
-// check enters this entry where it has to have a record, and looks through the
-// records where that is its part.
+// checkRecord writes this entry's record if it needs one and has none, and cleans the records if
+// this entry is the first in their order.
 func (e *enroller) check(ctx context.Context, now time.Time) {
 	rank := owner.Rank(e.gateway.view.Load().live, dutyRecord, e.gateway.self.Name)
 	if n := e.gateway.restores.Load(); n != e.restores {
-		// The record may be lost with the copy that the store was restored from. It is
-		// written again at once: those that start meanwhile find nobody by it.
+		// The copy that the store was restored from may lack the record. It is written
+		// again at once, since entries that start meanwhile find no other without it.
 		e.restores = n
 		e.gateway.recorded.Store(false)
 		e.since = now.Add(-recordAfter)
@@ -122,7 +123,7 @@
 		e.since = now
 	case !e.gateway.recorded.Load() && now.Sub(e.since) >= recordAfter:
 		if err := e.enter(ctx); err != nil {
-			e.gateway.log.WithError(err).Info("not on record")
+			e.gateway.log.WithError(err).Info("entry record not written")
 		}
 	}
 	if rank == 0 && now.Sub(e.cleaned) >= cleanEvery {
@@ -131,15 +132,15 @@
 	}
 }
 
-// clean removes the records of entries that were not live at two looks in a row,
-// unless they have changed: one that started anew has entered itself again. Those
-// of others that live are told to the table, which greets whom it doesn't know.
+// cleanRecords removes the records of entries that were not live at two cleanings in a row, unless
+// the record has changed: an entry that restarted has written it again. The membership table
+// gets the addresses of all records, and contacts the entries that it doesn't know.
 func (e *enroller) clean(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, listTime)
+	callCtx, cancel := context.WithTimeout(ctx, listTime)
 	defer cancel()
-	items, _, err := e.gateway.store.Entries().List(limited)
+	items, _, err := e.gateway.store.Entries().List(callCtx)
 	if err != nil {
-		e.gateway.log.WithError(err).Info("records not looked through")
+		e.gateway.log.WithError(err).Info("entry records not listed")
 		return
 	}
 	e.gateway.control.tell(ctx, entriesListed{items: items})
@@ -147,30 +148,30 @@
 	for _, c := range e.gateway.view.Load().live {
 		live[c.Name] = true
 	}
-	silent := make(map[string]roster.Revision)
+	absent := make(map[string]roster.Revision)
 	for _, it := range items {
 		if live[it.Name] {
 			continue
 		}
 		if rev, before := e.silent[it.Name]; !before || rev != it.Revision {
-			silent[it.Name] = it.Revision
+			absent[it.Name] = it.Revision
 			continue
 		}
-		e.gateway.log.WithFields(log.Fields{"peer": it.Name, "revision": it.Revision.String()}).Info("record of a dead entry removed")
-		if err := e.gateway.store.Leave(limited, it.Name, it.Revision); err != nil {
-			e.gateway.log.WithError(err).WithField("peer", it.Name).Info("record not removed")
+		e.gateway.log.WithFields(log.Fields{"peer": it.Name, "revision": it.Revision.String()}).Info("removing the record of a dead entry")
+		if err := e.gateway.store.Leave(callCtx, it.Name, it.Revision); err != nil {
+			e.gateway.log.WithError(err).WithField("peer", it.Name).Info("entry record not removed")
 		}
 	}
-	e.silent = silent
+	e.silent = absent
 }
 
-// dutyRecord names the order of entries that have a record.
+// recordOrder names the order that selects the entries with a record.
 const dutyRecord = "record"
 
-// entriesListed are the entries that the store has on record.
+// entriesListed holds the entries that have a record in the store.
 type entriesListed struct {
 	items []roster.Item[owner.Entry]
-	took  time.Duration // from the start of the enrolment; 0 where this is none
+	took  time.Duration // duration of the enrolment; 0 if the list isn't part of one
 }
 
 func (m entriesListed) apply(now time.Time, c *control) {
--- a/internal/gateway/roll.go
+++ b/internal/gateway/roll.go
@@ -7,8 +7,8 @@
 	"plumpitch.example/plumpitch/pkg/owner"
 )
 
-// live are the entries that callers may be sent to, this one among them while it
-// doesn't stop.
+// live returns the entries that callers may be sent to, including this one unless it is
+// stopping.
 func (c *control) live() []owner.Candidate {
 	if c.roll == nil {
 		c.enlist()
@@ -16,7 +16,7 @@
 	return c.roll
 }
 
-// enlist works out what depends on which entries live alone.
+// updateLive recomputes what depends only on which entries are live.
 func (c *control) enlist() {
 	c.roll = []owner.Candidate{}
 	c.rolls++
@@ -31,8 +31,9 @@
 			readers = append(readers, o)
 		}
 	}
-	// One that the store turned away keeps its place, and so finds out that it is
-	// served again; the others reckon without it until it says so.
+	// An entry that the store doesn't serve keeps its own rank and so goes on reading,
+	// which detects that it is served again. The others leave it out of the order until
+	// it reports that.
 	own := readers
 	if c.shut {
 		own = c.roll
@@ -50,19 +51,20 @@
 	}
 }
 
-// alone tells whether no other entry has been heard for long, though there are
-// some: then this one is cut off, and does all by itself.
+// cutOff reports whether this entry receives nothing from the others though some are live.
+// It then reads the store itself, as if it were the first in the order.
 func (c *control) alone(now time.Time) bool {
 	return c.deaf(now) && len(c.live()) > 1
 }
 
-// deaf tells whether no other entry has been heard for long.
+// hearsNone reports whether no packet of another entry has come for isolationTimeout.
 func (c *control) deaf(now time.Time) bool {
 	return now.Sub(c.started) > aloneAfter && now.Sub(c.members.Heard()) > aloneAfter
 }
 
-// isolated tells whether this entry hears no other one though it has known some. To
-// one that is cut off for over a second, all of them seem to have died.
+// isolated reports whether this entry receives nothing from the others though it has known
+// some. Unlike cutOff it also counts entries that seem dead: after a second or more without
+// contact, all of them do.
 func (c *control) isolated(now time.Time) bool {
 	if !c.deaf(now) {
 		return false
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -7,25 +7,25 @@
 	"plumpitch.example/plumpitch/pkg/route"
 )
 
-// view is what traffic knows. It never changes once published.
+// view is the state that requests are served from. It is immutable once published.
 type view struct {
 	table    *route.Table // nil before any configuration is known
-	targets  bool         // a list of targets is known too
+	targets  bool         // everything needed to choose a target is known
 	services map[string]*service
 	live     []owner.Candidate
 	owners   map[string][]owner.Entry // by host
 	rates    map[string]*rate         // by host
 }
 
-// addresses are where the callers of a host are sent that are in a region.
+// callerAddresses returns the entries' addresses for callers of a host from a region.
 func (v *view) addresses(host, region string, self owner.Entry) []string {
 	if v.table == nil {
 		return nil
 	}
 	name, _ := v.table.Host(host)
 	list := v.owners[name]
-	if homes := v.table.Homes(name); len(homes) > 0 {
-		list = v.near(list, append(homes, region))
+	if regions := v.table.Homes(name); len(regions) > 0 {
+		list = v.near(list, append(regions, region))
 	}
 	if len(list) == 0 {
 		return []string{self.Front}
@@ -37,12 +37,12 @@
 	return out
 }
 
-// maxNear bounds the entries that callers are sent to in place of owners elsewhere.
+// maxNearby bounds the entries that replace a host's owners in other regions.
 const maxNear = 4
 
-// near gives the owners in these regions or, where all are elsewhere, some of the live
-// entries there: requests with homes may be sent to no entry of another region but the
-// caller's own.
+// nearby returns the owners in these regions, or some of the regions' live entries if no
+// owner is there. Requests that are restricted to regions may enter only in one of these or
+// in the caller's own.
 func (v *view) near(owners []owner.Entry, regions []string) (list []owner.Entry) {
 	for _, e := range owners {
 		if slices.Contains(regions, e.Region) {
@@ -60,15 +60,15 @@
 	return list
 }
 
-// Addresses are where a gateway listens.
+// Addresses are the addresses that a gateway listens on.
 type Addresses struct {
 	Front     string
 	Directory string
 	Metrics   string
 }
 
-// Addresses returns where the gateway listens, which differs from its settings
-// where those name port 0.
+// Addresses returns the addresses that the gateway listens on. They differ from the settings
+// if those have port 0.
 func (g *Gateway) Addresses() Addresses {
 	return Addresses{g.front.Addr().String(), g.directory.Addr().String(), g.scrapes.Addr().String()}
 }
