--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -13,17 +13,16 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// beliefs are what was last logged of what the control loop believes.
+// loggedState is the part of the control loop's state that was last logged, to log changes.
 type beliefs struct {
-	live    map[string]bool // names, marked where strained
+	live    map[string]bool // names, with a suffix for overloaded entries
 	owners  string
 	targets map[string]roster.Item[slot.Target]
-	newer   bool // the targets have changed since
+	newer   bool // the targets have changed since the last log line
 	retries retryShare
 }
 
-// logBeliefs logs what has changed: which entries live, which own a service,
-// and the targets.
+// logChanges logs changes of the live entries, of the owners of each host, and of the targets.
 func (c *control) logBeliefs(now time.Time, live []owner.Candidate, owners map[string][]owner.Entry) {
 	c.logLive(live)
 	b := &c.believed
@@ -34,41 +33,41 @@
 	c.logTargets(now)
 }
 
-// logLive logs which entries came and went. All that live would be ten kilobytes
-// a line among hundreds.
+// logLive logs the entries added and removed. With hundreds of entries, a line with all live
+// ones would take ten kilobytes.
 func (c *control) logLive(live []owner.Candidate) {
-	now := make(map[string]bool, len(live))
+	current := make(map[string]bool, len(live))
 	var came, went []string
 	for _, e := range live {
 		name := e.Name
 		if e.Strained {
 			name += "(strained)"
 		}
-		now[name] = true
+		current[name] = true
 		if !c.believed.live[name] {
 			came = append(came, name)
 		}
 	}
 	for name := range c.believed.live {
-		if !now[name] {
+		if !current[name] {
 			went = append(went, name)
 		}
 	}
-	c.believed.live = now
+	c.believed.live = current
 	if len(came)+len(went) == 0 {
 		return
 	}
 	slices.Sort(came)
 	slices.Sort(went)
 	c.gateway.log.WithFields(log.Fields{
-		"live": len(now), "came": strings.Join(came, " "), "went": strings.Join(went, " "),
+		"live": len(current), "came": strings.Join(came, " "), "went": strings.Join(went, " "),
 	}).Info(logs.MessageLive)
 }
 
 func ownersText(owners map[string][]owner.Entry) string {
 	var parts []string
-	for service, list := range owners {
-		text := service + ":"
+	for host, list := range owners {
+		text := host + ":"
 		for _, e := range list {
 			text += " " + e.Name
 		}
@@ -78,8 +77,8 @@
 	return strings.Join(parts, "; ")
 }
 
-// logTargets logs which targets came, went, and said that they leave, and how old
-// the store's word of that is.
+// logTargets logs the targets added, removed and newly leaving, and the age of the store's last
+// confirmation.
 func (c *control) logTargets(now time.Time) {
 	if !c.believed.newer {
 		return
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -44,7 +44,7 @@
 	marksAwaited *roster.Lapses[slot.Evacuation]
 	restored     time.Time // when this entry last detected a restore of the store
 	epoch        uint64    // store epoch, which grows with each restore
-	// confirmed is the time up to which the store has confirmed each data kind.
+	// confirmed is the time up to which the store has confirmed each resource.
 	confirmed [duties]time.Time
 	configAt  roster.Revision // last revision read from the configuration's history
 
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -14,12 +14,12 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// An operator evacuates a failure domain by a mark in the store, and takes it back by
-// removing that. The mark holds for as long as nobody is known to have removed it,
-// also while the store is away: requests that keep out of a domain for too long find
-// other targets, and those sent there too early are what the mark is to prevent.
+// An operator evacuates a failure domain by writing an evacuation to the store, and ends the
+// evacuation by deleting it. It stays in force until its deletion is known, also while the
+// store is unavailable: requests that avoid a domain for too long find other targets, but
+// requests sent there too early are what the evacuation must prevent.
 
-// evacuationsListed is the whole list of marks.
+// evacuationsListed is a full list of evacuations from the store.
 type evacuationsListed struct {
 	items []roster.Item[slot.Evacuation]
 	at    roster.Revision
@@ -30,7 +30,7 @@
 	c.evacuationsRead(now, m.asked, func() bool { return c.evacuations.Replace(m.items, m.at) })
 }
 
-// evacuationsChanged are changes of marks since the last ones.
+// evacuationsChanged holds changes of evacuations from a watch of the store.
 type evacuationsChanged struct {
 	changes []roster.Change[slot.Evacuation]
 	at      roster.Revision
@@ -41,8 +41,8 @@
 	c.evacuationsRead(now, m.asked, func() bool { return c.evacuations.Told(m.changes, m.at) })
 }
 
-// evacuationsRead applies what the store said of the marks, and tells the others at
-// once where that matters.
+// applyEvacuationsRead applies a list or changes from the store, and advertises a change to
+// the other entries at once.
 func (c *control) evacuationsRead(now, asked time.Time, apply func() (moved bool)) {
 	c.confirm(now, dutyEvacuations, asked)
 	moved := c.evacuate(now, apply, "store")
@@ -52,23 +52,23 @@
 	}
 }
 
-// evacuated applies what another entry knows of the marks.
+// applyPulledEvacuations applies the evacuations in a pull's answer.
 func (c *control) evacuated(e relay.Evacuations) (moved bool) {
 	moved = c.evacuations.Replace(e.List, e.At)
 	c.evacuations.Reached(e.Moved)
 	return moved
 }
 
-// evacuate applies a change of the marks and logs what it says.
+// changeEvacuations applies a change of the evacuations, and logs it.
 func (c *control) evacuate(now time.Time, apply func() (moved bool), source string) (moved bool) {
-	before, at := c.evacuations.Items(), c.evacuations.At()
+	before, revision := c.evacuations.Items(), c.evacuations.At()
 	if !apply() {
 		return false
 	}
 	c.dirty = true
 	c.evacuations.Forget()
-	if c.evacuations.At().Epoch() != at.Epoch() && at > 0 {
-		c.restore(now, at, c.evacuations.At(), differences(before, c.evacuations.Items()))
+	if c.evacuations.At().Epoch() != revision.Epoch() && revision > 0 {
+		c.restore(now, revision, c.evacuations.At(), differences(before, c.evacuations.Items()))
 		for place, it := range before {
 			if _, ok := c.evacuations.Get(place); !ok {
 				c.marksAwaited.Lost(now, it)
@@ -84,40 +84,41 @@
 	return true
 }
 
-// since tells from when on each mark is known, where those from before are known since
-// these times.
-func since(now time.Time, before map[string]time.Time, marks map[string]roster.Item[slot.Evacuation]) map[string]time.Time {
-	at := make(map[string]time.Time, len(marks))
-	for place := range marks {
-		at[place] = now
+// firstSeen returns when each evacuation was first seen: at the time in before, or now if it
+// isn't there.
+func since(now time.Time, before map[string]time.Time, evacuations map[string]roster.Item[slot.Evacuation]) map[string]time.Time {
+	seen := make(map[string]time.Time, len(evacuations))
+	for place := range evacuations {
+		seen[place] = now
 		if known, ok := before[place]; ok {
-			at[place] = known
+			seen[place] = known
 		}
 	}
-	return at
+	return seen
 }
 
-// places are the names of evacuated failure domains.
-func places(marks map[string]roster.Item[slot.Evacuation]) string {
-	return strings.Join(slices.Sorted(maps.Keys(marks)), " ")
+// placeNames returns the names of the evacuated failure domains.
+func places(evacuations map[string]roster.Item[slot.Evacuation]) string {
+	return strings.Join(slices.Sorted(maps.Keys(evacuations)), " ")
 }
 
-// within counts the targets in evacuated failure domains.
-func (c *control) within(marks map[string]roster.Item[slot.Evacuation]) (n int) {
+// countTargetsIn returns the number of targets in evacuated failure domains.
+func (c *control) within(evacuations map[string]roster.Item[slot.Evacuation]) (n int) {
 	for _, it := range c.targets.Items() {
-		if _, ok := marks[it.Value.Place]; ok {
+		if _, ok := evacuations[it.Value.Place]; ok {
 			n++
 		}
 	}
 	return n
 }
 
-// unknown are the evacuated failure domains that no target is in, as after a typing
-// error of the operator's. They are kept: a target may come that is in one.
-func (c *control) unknown(marks map[string]roster.Item[slot.Evacuation]) string {
-	marks = maps.Clone(marks)
+// placesWithoutTargets returns the names of evacuated failure domains without targets, as
+// after an operator's typing error. Their evacuations stay in force, since a target may be
+// added there.
+func (c *control) unknown(evacuations map[string]roster.Item[slot.Evacuation]) string {
+	evacuations = maps.Clone(evacuations)
 	for _, it := range c.targets.Items() {
-		delete(marks, it.Value.Place)
+		delete(evacuations, it.Value.Place)
 	}
-	return places(marks)
+	return places(evacuations)
 }
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -9,45 +9,47 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// Records that aren't renewed lapse, and while the store is away none can be
-// renewed: on its return its list lacks targets that are well. So what vanishes
-// right after an outage is kept for a while (roster.Lapses).
+// Records expire if they aren't renewed, and none can be renewed during an outage of the
+// store: when the store is back, its list lacks targets that work. So targets that vanish
+// right after an outage are kept for a while (roster.Vanished).
 //
-// That this entry knows nothing newer is no sign of an outage: those that read for
-// it may have died or lost their way to the store. Taken for one, a target whose
-// record has been removed gets requests for 2.2 s more. Only calls that failed since
-// the store last confirmed the targets count: this entry's own, or those that others
-// tell of. One that hears nobody has lost its own network, and its calls say nothing
-// of the store.
+// Old data alone is no sign of an outage: the entries that read for this one may have died or
+// lost their connection to the store. If it counted as an outage, a target whose record was
+// removed would get requests for another 2.2 s. Only failed calls since the store last
+// confirmed the targets count, either this entry's own or those that other entries report. An
+// entry that receives nothing from the others has lost its own network, so that its failed
+// calls are no sign of an outage.
 
-// failTime is for how long the store has to have failed. An entry that was cut off
-// hears of failed calls just when it is back, its own or those of others that were cut
-// off as well, and gets the news within 0.3 s of that. In a real outage the first failed
-// call is known everywhere after 2 s, and no record lapses before 3 s.
+// minOutage is the least duration of failure that counts as an outage. An entry that was cut
+// off learns of failed calls just when it is connected again, its own or those of others that
+// were cut off as well, and gets current data within 0.3 s of that. In a real outage all
+// entries know of the first failed call after 2 s, and no record expires before 3 s.
 const failTime = 500 * time.Millisecond
 
-// fails notes that a call of this entry or of another one got no good answer.
+// noteStoreFailure records a failed call to the store, by this entry or another one.
 func (c *control) fails(now time.Time) {
 	if c.failing.IsZero() && !c.isolated(now) {
 		c.failing = now
 	}
 }
 
-// answers notes that the store answered at that time.
+// noteStoreAnswer records that the store answered at that time.
 func (c *control) answers(at time.Time) {
 	if at.After(c.failing) {
 		c.failing = time.Time{}
 	}
 }
 
-// excuse drops failures that this entry's own network explains.
+// clearLocalFailure drops a recorded failure if this entry is isolated, since its own network
+// explains the failure.
 func (c *control) excuse(now time.Time) {
 	if !c.failing.IsZero() && c.isolated(now) {
 		c.failing = time.Time{}
 	}
 }
 
-// hearShut notes where another entry says that the store fails it.
+// noteReportedFailures records a failure if another entry reports that the store doesn't
+// serve it.
 func (c *control) hearShut(now time.Time) {
 	if !c.failing.IsZero() {
 		return
@@ -60,21 +62,22 @@
 	}
 }
 
-// usable are the targets on record and those whose records are awaited after an
-// outage of the store.
+// usableTargets returns the targets with a record and the vanished ones that are kept after an
+// outage or a restore of the store.
 func (c *control) usable(now time.Time) map[string]roster.Item[slot.Target] {
 	return inForce(now, c.targets, c.lapses, c.restored)
 }
 
-// change applies a change of the targets and notes what vanished by it.
+// changeTargets applies a change of the targets, and keeps vanished ones after an outage or a
+// restore of the store.
 func (c *control) change(now time.Time, apply func() (moved bool)) (moved bool) {
-	before, at := c.targets.Items(), c.targets.At()
+	before, revision := c.targets.Items(), c.targets.At()
 	if !apply() {
 		return false
 	}
-	restored := c.targets.At().Epoch() != at.Epoch() && at > 0
+	restored := c.targets.At().Epoch() != revision.Epoch() && revision > 0
 	if restored {
-		c.restore(now, at, c.targets.At(), differences(before, c.targets.Items()))
+		c.restore(now, revision, c.targets.At(), differences(before, c.targets.Items()))
 	}
 	c.dirty, c.believed.newer = true, true
 	c.targets.Forget()
@@ -96,14 +99,14 @@
 	return true
 }
 
-// returned notes that the store answered again at that time, where it was away. Its
-// first answers may tell of no change: records lapse some tenths of a second later.
+// noteStoreReturn records the end of an outage, where the store answered again at that time.
+// The first answers may hold no change: records expire some tenths of a second later.
 func (c *control) returned(now, at time.Time) {
 	if c.failing.IsZero() || now.Sub(c.failing) < failTime || c.confirmed[dutyTargets].IsZero() {
 		return
 	}
 	gap := at.Sub(c.confirmed[dutyTargets])
 	if c.lapses.Heard(now, gap) {
-		c.gateway.log.WithField("gap", gap.Milliseconds()).Warn("store was away, records that vanish are awaited")
+		c.gateway.log.WithField("gap", gap.Milliseconds()).Warn("store is back after an outage; targets whose records vanish are kept")
 	}
 }
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -84,7 +84,7 @@
 	c.confirmed[d] = at
 }
 
-// age returns the time since the store last confirmed a data kind, or since the start if it
+// age returns the time since the store last confirmed a resource, or since the start if it
 // never has.
 func (c *control) age(now time.Time, d duty) time.Duration {
 	if c.confirmed[d].IsZero() {
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -24,7 +24,7 @@
 
 var dutyNames = [duties]string{"configuration", "targets", "evacuations"}
 
-// readSchedule is when each live entry reads a data kind, by its rank. Each call to the
+// readSchedule is when each live entry reads a resource, by its rank. Each call to the
 // store is counted, and targets write heartbeats all the time, so that a watch of them
 // returns at once. A watch by each entry would cost one call per event and entry.
 // Instead, an entry reads when its copy is older than the age for its rank. The reads of
@@ -145,7 +145,7 @@
 	m.answer <- t
 }
 
-// turnFor returns whether this entry reads a data kind now, and how.
+// turnFor returns whether this entry reads a resource now, and how.
 func (c *control) turnOf(now time.Time, d duty) turn {
 	c.live()
 	rank := c.rank[d]
@@ -162,7 +162,7 @@
 	return t
 }
 
-// revision returns the last known revision in the history of a data kind.
+// revision returns the last known revision in the history of a resource.
 func (c *control) at(d duty) roster.Revision {
 	switch d {
 	case dutyTargets:
@@ -173,7 +173,7 @@
 	return c.configAt
 }
 
-// needs reports whether requests depend on a data kind. Evacuations are neither needed nor
+// needs reports whether requests depend on a resource. Evacuations are neither needed nor
 // read if the settings have no bound for them.
 func (g *Gateway) needs(d duty) bool {
 	return d != dutyEvacuations || g.bounds.Load().Evacuate > 0
@@ -190,7 +190,7 @@
 	return t
 }
 
-// reader reads one data kind when it is this entry's turn.
+// reader reads one resource when it is this entry's turn.
 type reader[T any] struct {
 	gateway *Gateway
 	duty    duty
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -9,20 +9,20 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// The store may come back from a copy that is some seconds old. What was written since is
-// missing until its author has written it again, and what was removed since is back. What
-// this entry knew holds meanwhile, as after an outage: objects that vanished are awaited
-// (roster.Lapses), and those that are back only through the copy don't count.
+// The store may be restored from a copy that is some seconds old. Objects written since the
+// copy are missing until their authors write them again, and objects deleted since are back.
+// Until then this entry uses its previous state, as after an outage: objects that vanished are
+// kept (roster.Vanished), and objects that the copy brought back are ignored.
 
-// reviveTime is how long an object that is back through a copy doesn't count unless it is
-// written: a target that is gone writes no heartbeat, and its record lapses by then.
+// revivedIgnoreTime is how long an object that a copy brought back is ignored unless it is
+// written: a target that is gone writes no heartbeat, and its record expires by then.
 const reviveTime = 6 * time.Second
 
-// restore notes that the store was restored from a copy.
+// noteRestore records that the store was restored from a copy.
 func (c *control) restore(now time.Time, before, at roster.Revision, differ int) {
 	c.restored = now
 	if at.Epoch() <= c.epoch {
-		return // another kind of objects showed it
+		return // another resource has shown the same restore
 	}
 	c.epoch = at.Epoch()
 	c.gateway.restores.Add(1)
@@ -32,7 +32,7 @@
 	}).Warn("store was restored from a copy, what is missing is awaited")
 }
 
-// differences counts the objects that are in one list and not in the other.
+// countDifferences returns the number of objects that are in only one of two lists.
 func differences[T any](before, after map[string]roster.Item[T]) (n int) {
 	for name := range before {
 		if _, ok := after[name]; !ok {
@@ -47,8 +47,8 @@
 	return n
 }
 
-// inForce are the objects on record and those that are awaited, without those that are back
-// only through a copy.
+// effectiveItems returns the objects in the store and the vanished ones that are kept, without
+// those that only a copy brought back.
 func inForce[T any](now time.Time, r *roster.Roster[T], l *roster.Lapses[T], restored time.Time) map[string]roster.Item[T] {
 	items := r.Items()
 	if r.AnyRevived() && now.Sub(restored) < reviveTime {
@@ -66,12 +66,13 @@
 	return items
 }
 
-// marks are the evacuations in force.
+// effectiveEvacuations returns the evacuations in force.
 func (c *control) marks(now time.Time) map[string]roster.Item[slot.Evacuation] {
 	return inForce(now, c.evacuations, c.marksAwaited, c.restored)
 }
 
-// awaiting tells whether what counts changes by time alone.
+// expiryPending reports whether the effective targets or evacuations still change by the
+// passage of time alone.
 func (c *control) awaiting(now time.Time) bool {
 	revived := c.targets.AnyRevived() || c.evacuations.AnyRevived()
 	return c.lapses.Awaiting(now) || c.marksAwaited.Awaiting(now) || revived && now.Sub(c.restored) < reviveTime
