--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -40,7 +40,7 @@
 	// evacuations names the failure domains that get no requests.
 	evacuations *roster.Roster[slot.Evacuation]
 	evacuatedAt map[string]time.Time // when this entry first received each evacuation
-	// vanishedEvacuations are those that were missing when the store was restored from a copy.
+	// vanishedEvacuations are those that were missing after the store was restored from a copy.
 	marksAwaited *roster.Lapses[slot.Evacuation]
 	restored     time.Time // when this entry last detected a restore of the store
 	epoch        uint64    // store epoch, which grows with each restore
@@ -68,7 +68,7 @@
 	order [duties][]owner.Entry // the first entries in the order of readers
 	rank  [duties]int           // of this entry in the order of readers
 
-	numbers owner.Numbers         // how many owners each host has
+	numbers owner.Numbers         // owner count of each host, as gossiped
 	loads   map[string]loadsHeard // request rates that other entries report, by entry
 	recount bool                  // another entry has changed the number of a host's owners
 	deal    *owner.Deal           // of hosts to owners; nil when the live entries have changed
@@ -191,10 +191,10 @@
 	}
 	live := c.live()
 	c.hosts.configure(c.table)
-	deal := c.dealing(live)
-	counts := c.counts(now, deal)
-	if deal != c.ownedBy || !maps.Equal(counts, c.counted) {
-		c.owners, c.ownedBy, c.counted = deal.Owners(counts), deal, counts
+	assignment := c.dealing(live)
+	counts := c.counts(now, assignment)
+	if assignment != c.ownedBy || !maps.Equal(counts, c.counted) {
+		c.owners, c.ownedBy, c.counted = assignment.Owners(counts), assignment, counts
 		c.unshared = true
 	}
 	owners := c.owners
@@ -205,11 +205,11 @@
 	}
 	c.shareRetries(now)
 	c.logBeliefs(now, live, owners)
-	targets := c.table != nil && c.complete()
+	initialized := c.table != nil && c.complete()
 	c.gateway.view.Store(&view{
-		table: c.table, targets: targets, services: c.services, live: live, owners: owners, rates: c.hosts.rates,
+		table: c.table, targets: initialized, services: c.services, live: live, owners: owners, rates: c.hosts.rates,
 	})
-	if targets && !c.told {
+	if initialized && !c.told {
 		c.told = true
 		close(c.gateway.known)
 	}
@@ -246,8 +246,8 @@
 
 // initialized reports whether everything needed to choose a target is known.
 func (c *control) complete() bool {
-	for _, d := range []duty{dutyTargets, dutyEvacuations} {
-		if c.gateway.needs(d) && c.confirmed[d].IsZero() {
+	for _, r := range []duty{dutyTargets, dutyEvacuations} {
+		if c.gateway.needs(r) && c.confirmed[r].IsZero() {
 			return false
 		}
 	}
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -43,8 +43,8 @@
 
 // applyEvacuationsRead applies a list or changes from the store, and advertises a change to
 // the other entries at once.
-func (c *control) evacuationsRead(now, asked time.Time, apply func() (moved bool)) {
-	c.confirm(now, dutyEvacuations, asked)
+func (c *control) evacuationsRead(now, askedAt time.Time, apply func() (moved bool)) {
+	c.confirm(now, dutyEvacuations, askedAt)
 	moved := c.evacuate(now, apply, "store")
 	c.vouch(now, dutyEvacuations)
 	if moved {
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -84,8 +84,8 @@
 
 // applyTargetsRead applies a list or changes from the store, and announces a change of
 // targets to the other entries at once.
-func (c *control) targetsRead(now, asked time.Time, apply func() (moved bool)) {
-	c.confirm(now, dutyTargets, asked)
+func (c *control) targetsRead(now, askedAt time.Time, apply func() (moved bool)) {
+	c.confirm(now, dutyTargets, askedAt)
 	moved := c.change(now, apply)
 	c.vouch(now, dutyTargets)
 	if moved {
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -19,10 +19,10 @@
 
 // News returns what another entry lacks.
 func (c *control) News(ctx context.Context, have relay.Have) (n relay.News, err error) {
-	q := newsAsked{have: have, answer: make(chan relay.News, 1)}
-	c.tell(ctx, q)
+	m := newsAsked{have: have, answer: make(chan relay.News, 1)}
+	c.tell(ctx, m)
 	select {
-	case n = <-q.answer:
+	case n = <-m.answer:
 		return n, nil
 	case <-ctx.Done():
 		return n, errors.WithMessage(ctx.Err(), "control")
@@ -70,27 +70,27 @@
 }
 
 // confirm records that the store confirmed at that time that there is nothing newer.
-func (c *control) confirm(now time.Time, d duty, at time.Time) {
-	if !at.After(c.confirmed[d]) {
+func (c *control) confirm(now time.Time, r duty, at time.Time) {
+	if !at.After(c.confirmed[r]) {
 		return
 	}
-	if d == dutyTargets {
+	if r == dutyTargets {
 		c.returned(now, at)
 		c.answers(at)
 	}
-	if c.confirmed[d].IsZero() {
+	if c.confirmed[r].IsZero() {
 		c.dirty = true
 	}
-	c.confirmed[d] = at
+	c.confirmed[r] = at
 }
 
 // age returns the time since the store last confirmed a resource, or since the start if it
 // never has.
-func (c *control) age(now time.Time, d duty) time.Duration {
-	if c.confirmed[d].IsZero() {
+func (c *control) age(now time.Time, r duty) time.Duration {
+	if c.confirmed[r].IsZero() {
 		return now.Sub(c.started)
 	}
-	return now.Sub(c.confirmed[d])
+	return now.Sub(c.confirmed[r])
 }
 
 // unconfirmedAge is the age from which on another entry's copy counts as never confirmed:
@@ -100,9 +100,9 @@
 // confirmFromPeer records another entry's confirmation, sent at that time or later, of a
 // version that both have. Entries that have just started have none and have not asked the
 // store. If their advertised ages counted as confirmations, none of them would ask it.
-func (c *control) vouched(now, given time.Time, d duty, age time.Duration) {
+func (c *control) vouched(now, sentAt time.Time, r duty, age time.Duration) {
 	if age < neverAge {
-		c.confirm(now, d, given.Add(-age))
+		c.confirm(now, r, sentAt.Add(-age))
 	}
 }
 
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -75,8 +75,8 @@
 )
 
 // due reports whether an entry of this rank reads now.
-func (d duty) due(age time.Duration, rank int) bool {
-	p := patience[d]
+func (r duty) due(age time.Duration, rank int) bool {
+	p := patience[r]
 	if rank == 0 {
 		return age >= p.first
 	}
@@ -146,25 +146,25 @@
 }
 
 // turnFor returns whether this entry reads a resource now, and how.
-func (c *control) turnOf(now time.Time, d duty) turn {
+func (c *control) turnOf(now time.Time, r duty) turn {
 	c.live()
-	rank := c.rank[d]
+	rank := c.rank[r]
 	if c.alone(now) {
 		rank = 0
 	}
-	age := c.age(now, d)
+	age := c.age(now, r)
 	serving := c.gateway.freshness.serving(now)
-	t := turn{due: d.due(age, rank), rank: rank, age: age, at: c.at(d), distant: rank > fastReaders && !serving}
-	if c.confirmed[d].IsZero() {
+	t := turn{due: r.due(age, rank), rank: rank, age: age, at: c.at(r), distant: rank > fastReaders && !serving}
+	if c.confirmed[r].IsZero() {
 		t.due, t.fresh = c.begins(now, rank), true
 	}
-	t.due = t.due || serving && !t.fresh && age >= c.gateway.stale()[d]
+	t.due = t.due || serving && !t.fresh && age >= c.gateway.stale()[r]
 	return t
 }
 
 // revision returns the last known revision in the history of a resource.
-func (c *control) at(d duty) roster.Revision {
-	switch d {
+func (c *control) at(r duty) roster.Revision {
+	switch r {
 	case dutyTargets:
 		return c.targets.At()
 	case dutyEvacuations:
@@ -175,16 +175,16 @@
 
 // needs reports whether requests depend on a resource. Evacuations are neither needed nor
 // read if the settings have no bound for them.
-func (g *Gateway) needs(d duty) bool {
-	return d != dutyEvacuations || g.bounds.Load().Evacuate > 0
+func (g *Gateway) needs(r duty) bool {
+	return r != dutyEvacuations || g.bounds.Load().Evacuate > 0
 }
 
 // requestTurn asks the control loop for a reader's turn.
-func (c *control) turn(ctx context.Context, d duty) (t turn) {
-	q := turnAsked{duty: d, answer: make(chan turn, 1)}
-	c.tell(ctx, q)
+func (c *control) turn(ctx context.Context, r duty) (t turn) {
+	m := turnAsked{duty: r, answer: make(chan turn, 1)}
+	c.tell(ctx, m)
 	select {
-	case t = <-q.answer:
+	case t = <-m.answer:
 	case <-ctx.Done():
 	}
 	return t
@@ -196,18 +196,18 @@
 	duty    duty
 	kind    platform.Kind[T]
 	unsure  bool // a watch has failed and may have missed changes
-	listed  func(items []roster.Item[T], at roster.Revision, asked time.Time) message
-	changed func(changes []roster.Change[T], at roster.Revision, asked time.Time) message
+	listed  func(items []roster.Item[T], revision roster.Revision, askedAt time.Time) message
+	changed func(changes []roster.Change[T], revision roster.Revision, askedAt time.Time) message
 }
 
 func newTargetReader(g *Gateway) *reader[slot.Target] {
 	return &reader[slot.Target]{
 		gateway: g, duty: dutyTargets, kind: g.store.Targets(),
-		listed: func(items []roster.Item[slot.Target], at roster.Revision, asked time.Time) message {
-			return targetsListed{items, at, asked}
+		listed: func(items []roster.Item[slot.Target], revision roster.Revision, askedAt time.Time) message {
+			return targetsListed{items, revision, askedAt}
 		},
-		changed: func(changes []roster.Change[slot.Target], at roster.Revision, asked time.Time) message {
-			return targetsChanged{changes, at, asked}
+		changed: func(changes []roster.Change[slot.Target], revision roster.Revision, askedAt time.Time) message {
+			return targetsChanged{changes, revision, askedAt}
 		},
 	}
 }
@@ -215,11 +215,11 @@
 func newEvacuationReader(g *Gateway) *reader[slot.Evacuation] {
 	return &reader[slot.Evacuation]{
 		gateway: g, duty: dutyEvacuations, kind: g.store.Evacuations(),
-		listed: func(items []roster.Item[slot.Evacuation], at roster.Revision, asked time.Time) message {
-			return evacuationsListed{items, at, asked}
+		listed: func(items []roster.Item[slot.Evacuation], revision roster.Revision, askedAt time.Time) message {
+			return evacuationsListed{items, revision, askedAt}
 		},
-		changed: func(changes []roster.Change[slot.Evacuation], at roster.Revision, asked time.Time) message {
-			return evacuationsChanged{changes, at, asked}
+		changed: func(changes []roster.Change[slot.Evacuation], revision roster.Revision, askedAt time.Time) message {
+			return evacuationsChanged{changes, revision, askedAt}
 		},
 	}
 }
@@ -227,15 +227,15 @@
 func newConfigReader(g *Gateway) *reader[[]byte] {
 	return &reader[[]byte]{
 		gateway: g, duty: dutyConfig, kind: g.store.Configs(),
-		listed: func(items []roster.Item[[]byte], at roster.Revision, asked time.Time) message {
-			m := configRead{at: at, asked: asked}
+		listed: func(items []roster.Item[[]byte], revision roster.Revision, askedAt time.Time) message {
+			m := configRead{at: revision, asked: askedAt}
 			for _, it := range items {
 				m.raw = append(m.raw, it.Value)
 			}
 			return m
 		},
-		changed: func(changes []roster.Change[[]byte], at roster.Revision, asked time.Time) message {
-			m := configRead{at: at, asked: asked}
+		changed: func(changes []roster.Change[[]byte], revision roster.Revision, askedAt time.Time) message {
+			m := configRead{at: revision, asked: askedAt}
 			for _, c := range changes {
 				if !c.Deleted {
 					m.raw = append(m.raw, c.Value)
@@ -292,11 +292,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, listTime)
 	defer cancel()
-	asked := time.Now()
-	items, upTo, err := r.kind.List(ctx)
+	askedAt := time.Now()
+	items, revision, err := r.kind.List(ctx)
 	if err == nil {
 		r.unsure = false
-		r.gateway.control.tell(ctx, r.listed(items, upTo, asked))
+		r.gateway.control.tell(ctx, r.listed(items, revision, askedAt))
 	}
 	return err
 }
@@ -308,16 +308,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+readTime)
 	defer cancel()
-	asked := time.Now()
-	changes, upTo, err := r.kind.Watch(ctx, t.at, wait)
+	askedAt := time.Now()
+	changes, revision, err := r.kind.Watch(ctx, t.at, wait)
 	if err != nil {
 		return err
 	}
-	if len(changes) == 0 && time.Since(asked) >= wait {
+	if len(changes) == 0 && time.Since(askedAt) >= wait {
 		// The store answers a watch without changes when the wait is over, which
 		// confirms that nothing had changed until then.
-		asked = asked.Add(wait)
+		askedAt = askedAt.Add(wait)
 	}
-	r.gateway.control.tell(ctx, r.changed(changes, upTo, asked))
+	r.gateway.control.tell(ctx, r.changed(changes, revision, askedAt))
 	return nil
 }
--- a/internal/gateway/roll.go
+++ b/internal/gateway/roll.go
@@ -38,9 +38,9 @@
 	if c.shut {
 		own = c.roll
 	}
-	for d := range duties {
-		c.order[d] = owner.Order(readers, dutyNames[d], fastReaders)
-		c.rank[d] = owner.Rank(own, dutyNames[d], c.gateway.self.Name)
+	for r := range duties {
+		c.order[r] = owner.Order(readers, dutyNames[r], fastReaders)
+		c.rank[r] = owner.Rank(own, dutyNames[r], c.gateway.self.Name)
 	}
 	c.deal = nil
 }
--- a/internal/gateway/spread.go
+++ b/internal/gateway/spread.go
@@ -20,15 +20,15 @@
 		c.newest, c.newestAt = k, from
 		c.pull(now, from)
 	}
-	given := now.Add(-wayTime)
+	sentAt := now.Add(-wayTime)
 	if k.Config == c.config.Version {
-		c.vouched(now, given, dutyConfig, k.ConfigAge)
+		c.vouched(now, sentAt, dutyConfig, k.ConfigAge)
 	}
 	if k.Targets == c.targets.Moved() {
-		c.vouched(now, given, dutyTargets, k.TargetsAge)
+		c.vouched(now, sentAt, dutyTargets, k.TargetsAge)
 	}
 	if k.Evacuations == c.evacuations.Moved() {
-		c.vouched(now, given, dutyEvacuations, k.EvacuationsAge)
+		c.vouched(now, sentAt, dutyEvacuations, k.EvacuationsAge)
 	}
 }
 
@@ -60,8 +60,8 @@
 // announceConfirmation sends what the store has just confirmed to the next entries in the
 // order of readers. These read themselves if they get no confirmation for longer, and with
 // the membership rounds it would reach them only after half a second or more.
-func (c *control) vouch(now time.Time, d duty) {
-	for _, e := range c.order[d] {
+func (c *control) vouch(now time.Time, r duty) {
+	for _, e := range c.order[r] {
 		if e.Name != c.gateway.self.Name {
 			c.send(e.Peer, relay.Packet{Kind: relay.Tell, Knowledge: c.knowledge(now)})
 		}
