--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -14,26 +14,26 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// An entry's VM is gone for good, so that nobody ends its record. Another entry
-// removes it at the second look; the record of one that has started anew meanwhile
-// stays, and so does that of one that lives.
+// An entry whose VM is gone doesn't delete its record. Another entry deletes it at the second
+// cleaning, but neither the record of an entry that has restarted meanwhile nor that of a live
+// one.
 func TestDeadEntryIsForgotten(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	w.store.Put("entries", "dead", map[string]any{"front": "127.0.0.1:1", "peer": "127.0.0.1:2"})
 	w.store.Put("entries", "anew", map[string]any{"front": "127.0.0.1:1", "peer": "127.0.0.1:2"})
 	e := w.entry("a").settled()
-	keeper := &enroller{gateway: e.Gateway}
-	keeper.clean(t.Context())
+	records := &enroller{gateway: e.Gateway}
+	records.clean(t.Context())
 	w.c.Assert(w.store.Names("entries"), qt.HasLen, 3)
 	w.store.Put("entries", "anew", map[string]any{"front": "127.0.0.1:1", "peer": "127.0.0.1:2", "boot": 7})
-	keeper.clean(t.Context())
+	records.clean(t.Context())
 	names := w.store.Names("entries")
 	slices.Sort(names)
 	w.c.Assert(names, qt.DeepEquals, []string{"a", "anew"})
 }
 
-// Most entries are found by way of the seeds and have no record in the store. A
-// few do, so that an entry finds the others though no seed of its settings lives.
+// Most entries are found through the seeds and have no record in the store. A few have one, so
+// that an entry finds the others even if no seed of its settings is alive.
 func TestFewRecords(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	first := w.entry("a").settled()
@@ -51,8 +51,8 @@
 	w.until("no record left", func() bool { return len(w.store.Names("entries")) == 0 })
 }
 
-// One request crashes each target that runs it, and its caller sends it again
-// and again. After three targets no more are lost to it, at any entry.
+// One request crashes each target that runs it, and its caller retries it all the time. After
+// three crashes no entry sends it to a target.
 func TestRequestThatCrashesTargets(t *testing.T) {
 	w := newWorld(t, site{targets: 6})
 	entries := []*entry{w.entry("a").settled(), w.entry("b").settled()}
@@ -79,8 +79,8 @@
 	w.c.Assert(entries[0].call("GET", "/a/other", "").status, qt.Equals, http.StatusOK)
 }
 
-// The settings change while the process runs: good ones come into force, and
-// bad ones leave those that are.
+// The settings change while the process runs: valid ones take effect, and invalid ones leave
+// the current ones in force.
 func TestReload(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	e := w.entry("a").settled()
@@ -94,8 +94,8 @@
 	w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 }
 
-// The store is away: each entry goes on with what it knows, and the calls stay
-// few however many entries there are.
+// During an outage of the store each entry serves requests from its cached data, and the number
+// of calls to the store stays low for any number of entries.
 func TestStoreAway(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	var entries []*entry
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -14,12 +14,12 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// evacuateBound is how long after the store's word a request may still reach a target
-// of an evacuated failure domain.
+// evacuateBound is how long after the store's acknowledgement of an evacuation a request may
+// still reach a target of that failure domain.
 const evacuateBound = 2 * time.Second
 
-// halls is a world with a target in each of these failure domains, by index, which
-// operators may evacuate.
+// newWorldIn returns a world with one target in each of these failure domains, in this order,
+// and with evacuations enabled.
 func halls(t *testing.T, places ...string) *world {
 	w := newWorld(t, site{targets: len(places)})
 	w.evacuate = evacuateBound
@@ -29,7 +29,7 @@
 	return w
 }
 
-// after are the runs of a target that began later than that.
+// runsAfter returns the number of runs of a target that began after a time.
 func (w *world) after(target int, at time.Time) (n int) {
 	for _, r := range w.workers[target].Runs() {
 		if r.At.After(at) {
@@ -39,7 +39,7 @@
 	return n
 }
 
-// busyFor calls the entries in turn, some hundred times a second.
+// callFor calls the entries in turn, some hundred times a second, and checks the status.
 func busyFor(d time.Duration, status int, entries ...*entry) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		for _, e := range entries {
@@ -48,10 +48,10 @@
 	}
 }
 
-// A failure domain is evacuated, taken back, and evacuated and taken back within a
-// second. Callers are served all the while, from the others as soon as the bound is
-// over, and from the domain again after it is taken back. A mark that stays for a domain
-// that nobody knows, with a record that can't be read, changes nothing.
+// A failure domain is evacuated, the evacuation is withdrawn, and both happen again within a
+// second. All calls must succeed. After the bound the evacuated domain gets no requests, and
+// after the withdrawal it gets requests again. An evacuation of an unknown domain, with a
+// record that can't be decoded, changes nothing.
 func TestEvacuation(t *testing.T) {
 	t.Parallel()
 	w := halls(t, "hall", "annex")
@@ -80,8 +80,8 @@
 	w.c.Assert(s.Evacuations[0].Place, qt.Equals, "hall")
 }
 
-// All failure domains are evacuated. Callers are refused at once and told when to come
-// back; none is held until its deadline.
+// All failure domains are evacuated. Requests are refused at once with a Retry-After, and none is
+// held until its deadline.
 func TestEvacuationOfAll(t *testing.T) {
 	w := halls(t, "hall", "annex")
 	e := several(w, 1)[0]
@@ -94,13 +94,13 @@
 	w.c.Assert(a.header.Get("Retry-After"), qt.Not(qt.Equals), "")
 }
 
-// A failure domain is evacuated. An entry that starts learns of its targets at once; it
-// sends them nothing, neither before it knows of the mark nor after.
+// An entry that starts during an evacuation knows the targets of the evacuated domain at once. It
+// must send them no request, also before it knows of the evacuation.
 func TestEntryThatStartsDuringAnEvacuation(t *testing.T) {
 	w := halls(t, "hall", "annex")
 	first := several(w, 1)[0]
 	w.store.Evacuate("hall")
-	w.until("the mark in force", func() bool {
+	w.until("the evacuation in force", func() bool {
 		s, err := first.Status(t.Context())
 		return err == nil && len(s.Evacuations) == 1
 	})
@@ -115,9 +115,8 @@
 	w.c.Assert(w.after(0, at), qt.Equals, 0)
 }
 
-// An entry starts among others of a release that doesn't know of evacuations, and gets
-// the targets from them. It serves nobody by these before the store has told it which
-// failure domains are evacuated.
+// An entry starts among others of a release without evacuations, and pulls the targets from them.
+// It must not use these before it has read the evacuations from the store.
 func TestTargetsAloneAreNotEnough(t *testing.T) {
 	c := parked(t)
 	b := *c.gateway.bounds.Load()
@@ -140,7 +139,7 @@
 	qt.Assert(t, c.byServiceSize(), qt.Equals, 1)
 }
 
-// byServiceSize counts the targets that the services were given.
+// serviceTargetCount returns the number of targets that the services have.
 func (c *control) byServiceSize() (n int) {
 	for _, sv := range c.services {
 		n += sv.size()
@@ -148,9 +147,8 @@
 	return n
 }
 
-// A failure domain is evacuated, the store fails, and the mark is taken away while
-// nobody can read that. The domain stays empty until the store is back, and gets
-// requests again then.
+// A failure domain is evacuated, the store fails, and the evacuation is deleted during the outage.
+// The domain must get no requests until the store is back, and gets requests again then.
 func TestEvacuationOutlastsAnOutage(t *testing.T) {
 	t.Parallel()
 	w := halls(t, "hall", "annex")
@@ -170,9 +168,9 @@
 	})
 }
 
-// Nine of ten entries lose the store without a word, among them all that read the marks
-// for the others, and a failure domain is evacuated at that moment. The tenth, whose own
-// way to the store is free, has left the domain when the bound is over.
+// Nine of ten entries lose the store without notice, among them all that read evacuations for the
+// others, and a failure domain is evacuated at that moment. The tenth entry can still reach the
+// store, and must send the domain no requests after the bound.
 func TestServingEntryEvacuatesInTime(t *testing.T) {
 	t.Parallel()
 	w := halls(t, "hall", "annex")
@@ -184,8 +182,8 @@
 	w.c.Assert(w.after(0, at.Add(evacuateBound)), qt.Equals, 0)
 }
 
-// Where the settings name no bound for evacuations there are none, and the store is
-// asked for none: each call is priced.
+// If the settings have no bound for evacuations, there are none, and the store isn't asked for
+// them: each call costs money.
 func TestNoEvacuationsNoCalls(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	asked := make(chan string, 100)
@@ -201,19 +199,19 @@
 	w.c.Assert(asked, qt.HasLen, 0)
 }
 
-// The store turns an entry away, which asks it for the targets again and again. It doesn't
-// ask for the marks as well: with all entries doing so, a busy store gets a third more
-// calls than it would have to refuse. Where nothing else asks, the marks are asked for.
+// An entry that the store doesn't serve keeps trying to read the targets, and doesn't read the
+// evacuations meanwhile: if all entries did, a busy store would have to refuse a third more calls.
+// If it doesn't read the targets, it reads the evacuations.
 func TestBusyStoreIsAskedForMarksLast(t *testing.T) {
 	tests := []struct {
 		name    string
 		shut    bool
-		targets time.Duration // age of what is known
+		targets time.Duration // time since their last confirmation
 		due     bool
 	}{
-		{"the store is well", false, time.Second, true},
-		{"turned away, the targets are asked for", true, 10 * time.Second, false},
-		{"turned away, others tell the targets", true, 100 * time.Millisecond, true},
+		{"the store is available", false, time.Second, true},
+		{"store unavailable, the targets are read", true, 10 * time.Second, false},
+		{"store unavailable, others confirm the targets", true, 100 * time.Millisecond, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -20,10 +20,10 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// bound is the longest that a test waits for a condition.
+// waitLimit is the longest time that a test waits for a condition.
 const bound = 10 * time.Second
 
-// world is a site on loopback: a store, targets and entries.
+// world is a test environment on loopback: a store, targets and entries.
 type world struct {
 	c       *qt.C
 	store   *objects.Store
@@ -31,17 +31,18 @@
 	workers []*worker.Worker
 	version int
 	last    int
-	born    int64 // of the targets that are put on record
-	// evacuate is the bound on evacuations that entries are told; 0 for none.
+	born    int64 // start time in target records, Unix ms
+	// evacuate is the bound on evacuations in the entries' settings; 0 for none.
 	evacuate time.Duration
-	// retryShare is the ratio of repeats that entries are told; 0 keeps the default.
+	// retryShare is the ratio of retries and hedges in the entries' settings; 0 keeps the
+	// default.
 	retryShare float64
 }
 
-// site is what a world's first configuration holds.
+// worldConfig describes a world's targets and the route of its first configuration.
 type site struct {
 	targets  int
-	kind     string // of the route; idempotent if empty
+	kind     string // type of the route; idempotent if empty
 	timeout  string // default 2s
 	attempts int    // default 3
 }
@@ -57,7 +58,7 @@
 	return w
 }
 
-// configure puts a newer configuration with one route to the service gowns.
+// configure writes a newer configuration, with one route to the service gowns.
 func (w *world) configure(s site) {
 	if s.timeout == "" {
 		s.timeout = "2s"
@@ -72,7 +73,7 @@
 	}}, []string{"gowns", "veils"})
 }
 
-// target starts a target and puts it on record.
+// startTarget starts a target and writes its record.
 func (w *world) target(service string) *worker.Worker {
 	k, err := worker.Start(fmt.Sprintf("i-%d", len(w.workers)))
 	w.c.Assert(err, qt.IsNil)
@@ -82,7 +83,7 @@
 	return k
 }
 
-// record writes a target's own record.
+// writeTarget writes a target's record.
 func (w *world) record(k *worker.Worker, service, state string) {
 	w.store.PutTarget(objects.Target{
 		ID: k.ID, Address: k.Address(), Service: service, Place: "hall", Slots: k.Slots, Leaving: state == "draining", Born: w.born,
@@ -101,7 +102,7 @@
 	return w.entryAt(name, uint64(time.Now().UnixNano()), seeds...)
 }
 
-// entryAt starts an entry with a number for its start.
+// startEntryAt starts an entry with this number of its start.
 func (w *world) entryAt(name string, boot uint64, seeds ...*entry) *entry {
 	g := w.gateway(name, boot, seeds...)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -111,7 +112,7 @@
 	return e
 }
 
-// gateway makes an entry whose loops don't run yet.
+// newGateway returns an entry whose loops don't run yet.
 func (w *world) gateway(name string, boot uint64, seeds ...*entry) *Gateway {
 	bounds, err := platform.ParseSettings([]byte(settingsText))
 	w.c.Assert(err, qt.IsNil)
@@ -141,9 +142,9 @@
 bounds: ["grace=3s", "warmupFactor=1.5", "warmupSlack=8"]
 `
 
-// settled waits until the entry knows a configuration and all targets.
+// waitReady waits until the entry has the latest configuration and a target.
 func (e *entry) settled() *entry {
-	e.w.until("an entry that knows all", func() bool {
+	e.w.until("configuration and targets at the entry", func() bool {
 		v := e.view.Load()
 		return v.table != nil && int(v.table.Config.Version) == e.w.version && e.knows("gowns")
 	})
@@ -154,7 +155,7 @@
 	return e.size(service) > 0
 }
 
-// size is how many targets the entry knows of a service.
+// targetCount returns the number of a service's targets that the entry knows.
 func (e *entry) size(service string) int {
 	sv := e.view.Load().services[service]
 	if sv == nil {
@@ -183,7 +184,7 @@
 	w.c.Fatalf("not within %v: %s", bound, what)
 }
 
-// reply is what a caller got.
+// callResult is the result of a caller's request.
 type reply struct {
 	status int
 	header http.Header
@@ -193,7 +194,7 @@
 	took   time.Duration
 }
 
-// call makes one attempt as a caller.
+// call sends one request as a caller, without retries.
 func (e *entry) call(method, path, body string) reply {
 	e.w.last++
 	return e.callWith(context.Background(), fmt.Sprintf("q-%d", e.w.last), method, path, body)
@@ -219,7 +220,7 @@
 	return out
 }
 
-// runs counts the runs of a request at all targets.
+// runs returns how often a request ran, at all targets.
 func (w *world) runs(id string) (n int) {
 	for _, k := range w.workers {
 		for _, r := range k.Runs() {
@@ -231,7 +232,7 @@
 	return n
 }
 
-// arrivals counts the requests that reached any target.
+// arrivals returns the number of requests that reached any target.
 func (w *world) arrivals() (n int) {
 	for _, k := range w.workers {
 		n += len(k.Runs()) + len(k.Sheds())
@@ -239,7 +240,7 @@
 	return n
 }
 
-// densest is the greatest number of runs within any such span after from.
+// maxRunsWithin returns the greatest number of runs within any span of this length after from.
 func densest(runs []worker.Run, from time.Time, span time.Duration) (most int) {
 	var at []time.Time
 	for _, r := range runs {
@@ -255,7 +256,7 @@
 	return most
 }
 
-// runsSince counts the runs after a time.
+// runsSince returns the number of runs that began after a time.
 func runsSince(runs []worker.Run, from time.Time) (n int) {
 	for _, r := range runs {
 		if r.At.After(from) {
@@ -265,7 +266,7 @@
 	return n
 }
 
-// refusals503 counts the replies that say that the request has not run.
+// countUnavailable returns the number of responses 503, whose requests have not run.
 func refusals503(replies []reply) (n int) {
 	for _, a := range replies {
 		if a.status == http.StatusServiceUnavailable {
--- a/internal/gateway/knowledge_test.go
+++ b/internal/gateway/knowledge_test.go
@@ -14,8 +14,8 @@
 	"plumpitch.example/plumpitch/pkg/route"
 )
 
-// apply is how long a configuration may take until it is in force, from the
-// store's answer to the operator.
+// applyBound is how long a configuration may take until it is in force, from the store's
+// acknowledgement to the operator.
 const apply = 2 * time.Second
 
 func (e *entry) version() route.Version {
@@ -26,8 +26,8 @@
 	return v.table.Config.Version
 }
 
-// An entry that has no configuration can't tell a route that doesn't exist from
-// one that it doesn't know yet: it refuses and isn't ready.
+// Without a configuration an entry can't distinguish a missing route from an unknown one: it
+// answers 503 and isn't ready.
 func TestEntryWithoutConfiguration(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
@@ -42,9 +42,8 @@
 	e.settled()
 }
 
-// The operator's change is acknowledged and its routes must be served within
-// 2 s. Meanwhile the store's watches hear of no change, and its history is
-// dropped without a word to those that wait.
+// A change of the configuration must be in force within 2 s of its acknowledgement, even if the
+// store's watches report no change and its history is dropped without an error to them.
 func TestDeafWatchMissesNoConfiguration(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	e := w.entry("a").settled()
@@ -57,8 +56,8 @@
 	w.c.Assert(time.Since(began) < apply, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
 
-// A VM starts while the store is away. Its callers must not be refused until
-// the store returns: it greets the seeds, and is told what is in force.
+// An entry that starts during an outage of the store gets the configuration and targets from the
+// seeds, so that its callers aren't refused until the store is back.
 func TestStartDuringAnOutage(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	a := w.entry("a").settled()
@@ -68,9 +67,8 @@
 	w.until("both live", func() bool { return len(a.view.Load().live) == 2 && len(b.view.Load().live) == 2 })
 }
 
-// All entries start at once. One of them reads the store, and the others are
-// told. Callers are served within half a second, and after a loss of all power
-// the store isn't called by all at once.
+// All entries start at once, as after a loss of all power. A few of them read the store and
+// announce the data, so that not all call it at once. Callers are served within half a second.
 func TestStartTogether(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	began := time.Now()
@@ -82,14 +80,13 @@
 		e.settled()
 	}
 	w.c.Assert(time.Since(began) < 500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
-	// Each enters itself and asks for the others: two calls. Beyond that there
-	// are the first reads, and those of the first in the order.
+	// Each entry writes its record and lists the others: two calls. The rest are the
+	// first reads, and those of the first entry in the order of readers.
 	w.c.Assert(w.store.Calls() <= 2*len(entries)+8, qt.IsTrue, qt.Commentf("%d calls", w.store.Calls()))
 }
 
-// An entry's process is killed and starts again under its name while the time of
-// day has gone back, so that its start looks like an earlier one than that which
-// the others know. They take it in all the same.
+// An entry's process is killed and restarts under the same name after its clock has gone back, so
+// that the new start seems earlier than the known one. The other entries must accept it.
 func TestStartAfterTheClockWentBack(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	a := w.entry("a").settled()
@@ -112,8 +109,8 @@
 	w.until("both live", func() bool { return live(a)() && live(again)() })
 }
 
-// The store turns one entry away and serves the others. Its callers must get
-// what is in force all the same: the others tell it.
+// The store refuses the calls of one entry and serves the others. That entry must get the latest
+// configuration and targets from the others.
 func TestEntryThatTheStoreTurnsAway(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	a := w.entry("a").settled()
@@ -131,16 +128,15 @@
 	w.until("the new target at both", func() bool { return a.hasTarget(k.ID) && b.hasTarget(k.ID) })
 }
 
-// turnAway makes the store refuse the calls of one entry, by its connections'
-// local addresses.
+// refuseStoreCalls makes the store refuse the calls of one entry, by their User-Agent.
 func turnAway(e *entry) func(*http.Request) objects.Fault {
 	return func(r *http.Request) objects.Fault {
 		return objects.Fault{Down: r.Header.Get("User-Agent") == e.self.Name}
 	}
 }
 
-// A target says that it leaves, or its record is removed. 2 s after the store
-// acknowledged that, no request may reach it.
+// A target reports that it is leaving, or its record is deleted. No request may reach it later
+// than 2 s after the store's acknowledgement.
 func TestLeavingTargetGetsNothing(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -170,8 +166,8 @@
 	}
 }
 
-// The store answers with an older configuration than it did before, as a stale
-// read or a restored store would. The entry stays with the newer one.
+// The store returns an older configuration than before, as a stale read or a restored store
+// would. The entry keeps the newer one.
 func TestNoWayBack(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	w.configure(site{})
@@ -183,7 +179,7 @@
 	w.c.Assert(int(e.version()), qt.Equals, 2)
 }
 
-// A list that comes in several pages is a whole list.
+// An entry reads a list that the store returns in several pages.
 func TestPages(t *testing.T) {
 	w := newWorld(t, site{targets: 7})
 	w.store.Page(3)
@@ -191,9 +187,9 @@
 	w.until("all targets", func() bool { return e.size("gowns") == 7 })
 }
 
-// The store is away for longer than records last, so that its list is empty on
-// its return. Callers must be served all the same until the targets have
-// written their records again; a target that has not by then is gone.
+// An outage of the store is longer than the lifetime of records, so that its list is empty
+// afterwards. Callers must be served until the targets have written their records again. A target
+// that doesn't do so is dropped.
 func TestRecordsThatLapse(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	e := w.entry("a").settled()
@@ -213,9 +209,8 @@
 	w.c.Assert(e.hasTarget(w.workers[1].ID), qt.IsTrue)
 }
 
-// An entry has just started, and a caller's request comes before the store's
-// answers. It is held for a moment and served; where the store stays away it is
-// refused soon, and later ones at once.
+// A request that reaches an entry before the first answer of the store is held for a moment and
+// then served. If the store is unavailable it is refused soon, and later requests at once.
 func TestRequestBeforeTheFirstAnswers(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -223,7 +218,7 @@
 		status int
 	}{
 		{"answers within 50 ms", objects.Fault{Delay: 12 * time.Millisecond}, http.StatusOK},
-		{"store away", objects.Fault{Down: true}, http.StatusServiceUnavailable},
+		{"store unavailable", objects.Fault{Down: true}, http.StatusServiceUnavailable},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -11,8 +11,8 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// hundreds starts so many entries with the times of a gateway, in virtual time,
-// and waits until all know each other.
+// startFleet starts entries with the membership timing of a gateway, in virtual time, and waits
+// until all know each other.
 func hundreds(c testing.TB, entries int, seed uint64) *fleet.Fleet {
 	cfg := (&Gateway{}).memberConfig()
 	f := fleet.New(fleet.Config{Entries: entries, Places: 5, Regions: 1, Seed: seed, Near: 900 * time.Microsecond, Member: cfg})
@@ -23,7 +23,7 @@
 	return f
 }
 
-// unused tells whether no entry sends callers to any of the lost ones.
+// noneUsed reports whether no entry sends callers to any of the lost ones.
 func unused(f *fleet.Fleet, lost []*fleet.Node) func() bool {
 	return func() bool {
 		return f.All(func(_ *fleet.Node, v member.View) bool {
@@ -37,10 +37,10 @@
 	}
 }
 
-// Callers are sent to an entry that dies until all others have noticed. That takes
-// no longer among hundreds than among few, also where most of them die at once and
-// with them those that watched the others, or a whole failure domain. Nobody that
-// lives is missed for it.
+// Callers are sent to a dead entry until all others have detected its death. That must not take
+// longer among hundreds of entries than among few, also if a whole failure domain or most entries
+// die at once, among them those that monitored the others. No live entry may be lost from the
+// tables in the end.
 func TestLossesAmongHundreds(t *testing.T) {
 	const bound = 1500 * time.Millisecond
 	tests := []struct {
@@ -73,8 +73,8 @@
 	}
 }
 
-// All machines lose power and start again. Each entry begins with the seeds alone;
-// all know each other again within seconds.
+// All VMs lose power and restart. Each entry knows only the seeds at first, and all must know each
+// other again within seconds.
 func TestHundredsStartAgain(t *testing.T) {
 	c := qt.New(t)
 	f := hundreds(c, 472, 2)
@@ -88,7 +88,7 @@
 	c.Assert(took <= 6*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 }
 
-// What an entry sends and hears stays the same however many there are.
+// The traffic of an entry must not depend on the number of entries.
 func TestCostOfMembership(t *testing.T) {
 	var rate []float64
 	for _, entries := range []int{30, 472} {
@@ -99,12 +99,12 @@
 		rate = append(rate, perSecond)
 	}
 	qt.Assert(t, rate[1] < 1.2*rate[0], qt.IsTrue, qt.Commentf("%v", rate))
-	const most = 6000 // bytes a second that control may take at an entry
+	const most = 6000 // bytes a second that control traffic may use at an entry
 	qt.Assert(t, rate[1] < most, qt.IsTrue)
 }
 
-// quiet lets a fleet run in which nothing happens, and gives the bytes a second and
-// the processor time of decisions and codec in us a second, both for each entry.
+// measureIdle runs a fleet without events. It returns the bytes a second and the CPU time of
+// decisions and codec in us a second, both per entry.
 func quiet(f *fleet.Fleet, span time.Duration) (bytes, busy float64) {
 	count := func() (b, t float64) {
 		for _, n := range f.Nodes {
@@ -120,8 +120,8 @@
 	return (bytes - b) / part, (busy - t) / part
 }
 
-// What membership costs each entry, at sizes up to four times that of the largest
-// site. Before, with a beat from each to each, an entry heard 127 a second at 472.
+// The cost of membership for each entry, up to four times the size of the largest site. With a
+// heartbeat from each entry to each other one, an entry would receive 127 a second among 472.
 func BenchmarkMembership(b *testing.B) {
 	for _, entries := range []int{30, 120, 472, 2000} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
