--- a/internal/gateway/pull_test.go
+++ b/internal/gateway/pull_test.go
@@ -13,9 +13,9 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// An entry starts and is told the targets by one that the store has turned away
-// for seconds. Taken for as old as its own start, that would stay unchecked for
-// longer than a leaving target may get requests.
+// An entry that starts pulls the targets from one that the store hasn't served for seconds. If it
+// took them for as old as its own start, it would not read the store for longer than a leaving
+// target may get requests.
 func TestAgeAtAStartIsThatOfTheWord(t *testing.T) {
 	c := parked(t)
 	now := c.started.Add(100 * time.Millisecond)
@@ -25,9 +25,9 @@
 	qt.Assert(t, c.age(now, dutyTargets) >= 3*time.Second, qt.IsTrue, qt.Commentf("%v", c.age(now, dutyTargets)))
 }
 
-// The answer to a pull is held up on its way. What it says was true when it was
-// sent, at the earliest when it was asked for: taken for new as it comes, a list
-// would count as younger than it is.
+// The answer to a pull is delayed on its way. Its age must be measured from the time of the pull,
+// the earliest time at which it can have been sent. Measured from its arrival, the data would seem
+// younger than it is.
 func TestAgeOfAnAnswerThatTookLong(t *testing.T) {
 	const held = 400 * time.Millisecond
 	c := parked(t)
@@ -39,8 +39,8 @@
 	qt.Assert(t, c.age(now, dutyTargets) >= held, qt.IsTrue, qt.Commentf("%v", c.age(now, dutyTargets)))
 }
 
-// mute is an entry that takes a pull and never answers, as one whose VM loses
-// power right after it told of news.
+// silentSource never answers a pull, as an entry whose VM loses power right after it advertised a
+// change.
 type mute struct{}
 
 func (mute) News(ctx context.Context, _ relay.Have) (n relay.News, err error) {
@@ -48,14 +48,14 @@
 	return n, ctx.Err()
 }
 
-// teller is an entry that answers pulls.
+// fixedSource answers each pull with the same news.
 type teller relay.News
 
 func (n teller) News(context.Context, relay.Have) (relay.News, error) { return relay.News(n), nil }
 
-// The entry that has read of a target's leaving tells the others, and its VM loses
-// power before they have pulled that from it. Another one that knows tells them
-// too. They must not wait for the dead one until its call is given up.
+// An entry advertises that a target has left, and its VM loses power before the others have pulled
+// that. Another entry advertises the same change. The others must pull from it, and not wait until
+// the call to the dead entry fails.
 func TestNewsPastADeadEntry(t *testing.T) {
 	const bound = 250 * time.Millisecond
 	w := newWorld(t, site{targets: 1})
@@ -71,24 +71,23 @@
 		w.c.Cleanup(r.Close)
 		return r
 	}
-	news := roster.NewRevision(1, 1<<40) // later than all that the store tells
-	gone := relay.News{
+	news := roster.NewRevision(1, 1<<40) // newer than all revisions in the store
+	answer := relay.News{
 		Targets: relay.Changed, Changes: []roster.Change[slot.Target]{removed(w.workers[0].ID, news)}, At: news, Moved: news,
 	}
-	told := relay.Packet{Kind: relay.Tell, Knowledge: relay.Knowledge{Config: 1, Targets: news}}
-	dead, other := peer("dead", mute{}), peer("other", teller(gone))
-	w.c.Assert(dead.Send(e.self.Peer, told), qt.IsNil)
+	advertised := relay.Packet{Kind: relay.Tell, Knowledge: relay.Knowledge{Config: 1, Targets: news}}
+	dead, other := peer("dead", mute{}), peer("other", teller(answer))
+	w.c.Assert(dead.Send(e.self.Peer, advertised), qt.IsNil)
 	time.Sleep(20 * time.Millisecond)
 	began := time.Now()
-	w.c.Assert(other.Send(e.self.Peer, told), qt.IsNil)
+	w.c.Assert(other.Send(e.self.Peer, advertised), qt.IsNil)
 	w.until("the target gone", func() bool { return !e.hasTarget(w.workers[0].ID) })
 	w.c.Assert(time.Since(began) < bound, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
 
-// An entry that has just started asks another one for the targets and reads the
-// store itself. The answer of the other one comes later and is older: a target in
-// it that the store doesn't list any more must not come back, here or at those that
-// are told by this entry.
+// An entry that has just started pulls the targets from another entry and reads the store itself.
+// The pull's answer comes later and is older. A target in it that the store no longer lists must not
+// come back, neither at this entry nor at those that pull from it.
 func TestOlderAnswerAfterTheFirstRead(t *testing.T) {
 	older := []roster.Change[slot.Target]{{Item: item("gone", 9)}, {Item: item("stays", 10)}}
 	tests := []struct {
@@ -97,7 +96,7 @@
 	}{
 		{"a list", newsPulled{news: relay.News{Targets: relay.Listed, Changes: older, At: 12, Moved: 10}}},
 		{"changes", newsPulled{news: relay.News{Targets: relay.Changed, Changes: older, At: 12, Moved: 10}}},
-		{"a watch that was asked before", targetsChanged{changes: older, at: 12}},
+		{"a watch that began before", targetsChanged{changes: older, at: 12}},
 	}
 	for _, tt := range tests {
 		c := parked(t)
--- a/internal/gateway/reader_test.go
+++ b/internal/gateway/reader_test.go
@@ -10,9 +10,8 @@
 	"plumpitch.example/plumpitch/pkg/roster"
 )
 
-// Entries start together and enrol one after the other. Each waits for those
-// that enrolled before it, and for none of an earlier start, whose VM may be
-// gone.
+// Entries that start together wait for those that enrolled before them, but not for entries of an
+// earlier start, whose VMs may be gone.
 func TestOrderOfAStart(t *testing.T) {
 	const second = uint64(time.Second)
 	item := func(name string, rev roster.Revision, boot uint64) roster.Item[owner.Entry] {
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -13,19 +13,19 @@
 	"plumpitch.example/plumpitch/internal/standin/objects"
 )
 
-// agreeTime is how long after a restore all entries are as well informed as before.
+// syncBound is how long after a change or a restore all entries may take to have the same state.
 const agreeTime = 2 * time.Second
 
-// lose writes so much to the store that what is written after a restore gets revisions
-// that were given out before.
+// advanceRevisions writes to the store so often that writes after a restore get revisions that were
+// already used before it.
 func (w *world) lose() {
 	for range 50 {
 		w.store.Put("other", "x", struct{}{})
 	}
 }
 
-// agree waits until all entries know that configuration and these targets, and nothing
-// else.
+// waitSynced waits until all entries have the latest configuration and exactly these targets. It
+// fails later than syncBound after since.
 func (w *world) agree(entries []*entry, since time.Time, targets ...string) {
 	w.c.Helper()
 	for _, e := range entries {
@@ -48,8 +48,9 @@
 	return true
 }
 
-// What is written after a restore has revisions that were given out before. Taken for
-// older than what is known, it is missed until the store has caught up.
+// Writes after a restore get revisions that were already used before it. Entries must not take them
+// for older than the known state, or they would miss them until the store's revisions have caught
+// up.
 func TestNothingIsMissedAfterARestore(t *testing.T) {
 	tests := []struct {
 		name string
@@ -70,7 +71,7 @@
 			}
 			c := w.store.Copy()
 			w.lose()
-			time.Sleep(1500 * time.Millisecond) // until all know how far the history goes
+			time.Sleep(1500 * time.Millisecond) // until all have the latest revision
 			for range 1 + tt.more {
 				time.Sleep(300 * time.Millisecond)
 				w.store.Restore(c)
@@ -86,8 +87,8 @@
 	}
 }
 
-// A configuration is newer than the copy that the store is restored from. It stays in
-// force until a newer one comes.
+// A configuration that is newer than the copy that the store is restored from stays in force until
+// a newer one is written.
 func TestConfigurationOutlivesARestore(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	entries := several(w, 3)
@@ -104,8 +105,8 @@
 	w.agree(entries, time.Now(), "i-0")
 }
 
-// What targets and the operator wrote in the lost seconds holds until they have written
-// it again.
+// The changes that targets and the operator wrote after the copy are lost by a restore. They must
+// stay in effect until they are written again.
 func TestLostWritesHoldAfterARestore(t *testing.T) {
 	const slots = 2 // of each target
 	tests := []struct {
@@ -114,11 +115,11 @@
 		lost, again func(w *world)
 		used        []int // targets that get requests after the restore, the others get none
 	}{
-		{"a target has come", func(w *world) { w.target("gowns") }, func(w *world) { w.record(w.workers[2], "gowns", "ready") }, []int{0, 2}},
+		{"a target is added", func(w *world) { w.target("gowns") }, func(w *world) { w.record(w.workers[2], "gowns", "ready") }, []int{0, 2}},
 		{"a target leaves", func(w *world) { w.record(w.workers[0], "gowns", "draining") }, func(w *world) { w.record(w.workers[0], "gowns", "draining") }, nil},
-		{"a target has gone", func(w *world) { w.store.Delete("servers", "i-0") }, func(w *world) { w.store.Delete("servers", "i-0") }, nil},
+		{"a target is removed", func(w *world) { w.store.Delete("servers", "i-0") }, func(w *world) { w.store.Delete("servers", "i-0") }, nil},
 		{"a place is evacuated", func(w *world) { w.store.Evacuate("hall") }, func(w *world) { w.store.Evacuate("hall") }, nil},
-		{"a place is taken back", func(w *world) { w.store.TakeBack("annex") }, func(w *world) { w.store.TakeBack("annex") }, []int{0, 1}},
+		{"an evacuation is withdrawn", func(w *world) { w.store.TakeBack("annex") }, func(w *world) { w.store.TakeBack("annex") }, []int{0, 1}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -134,21 +135,21 @@
 			for _, k := range w.workers {
 				k.Work(10 * time.Millisecond)
 			}
-			time.Sleep(1500 * time.Millisecond) // until all know
+			time.Sleep(1500 * time.Millisecond) // until all have the changes
 			w.store.Restore(c)
 			restored := time.Now()
-			// All have heard of the restore by heard, and what was lost is written again after that.
-			const heard, rewritten = time.Second, 1800 * time.Millisecond
+			// All entries have detected the restore by detected; the lost writes are repeated later.
+			const detected, rewritten = time.Second, 1800 * time.Millisecond
 			time.AfterFunc(rewritten, func() { tt.again(w) })
 			before := make([]int, len(w.workers))
 			for i, k := range w.workers {
 				before[i] = len(k.Runs())
 			}
-			states := make(map[string]int) // of the targets, between heard and rewritten
+			states := make(map[string]int) // of the targets, between detected and rewritten
 			for time.Since(restored) < agreeTime+time.Second {
 				for _, e := range entries {
-					e.callAtOnce(slots + 1) // which no target takes alone
-					if since := time.Since(restored); since > heard && since < rewritten {
+					e.callAtOnce(slots + 1) // more than one target has slots for
+					if since := time.Since(restored); since > detected && since < rewritten {
 						e.countStates(states)
 					}
 				}
@@ -160,14 +161,14 @@
 			for i, k := range w.workers {
 				n := len(k.Runs()) - before[i]
 				w.c.Check(n > 0, qt.Equals, used[i], qt.Commentf("target %d got %d", i, n))
-				meanwhile := runsSince(k.Runs(), restored.Add(heard)) - runsSince(k.Runs(), restored.Add(rewritten))
+				meanwhile := runsSince(k.Runs(), restored.Add(detected)) - runsSince(k.Runs(), restored.Add(rewritten))
 				w.c.Check(meanwhile > 0, qt.Equals, used[i], qt.Commentf("target %d got %d before it was written again: %v", i, meanwhile, states))
 			}
 		})
 	}
 }
 
-// callAtOnce makes that many calls at the same time.
+// callAtOnce sends n requests at the same time.
 func (e *entry) callAtOnce(n int) {
 	var all sync.WaitGroup
 	for i := range n {
@@ -176,7 +177,7 @@
 	all.Wait()
 }
 
-// countStates counts in which states the entry has its targets.
+// countStates adds the current states of the entry's targets to counts.
 func (e *entry) countStates(counts map[string]int) {
 	sv := e.view.Load().services["gowns"]
 	sv.mu.Lock()
@@ -186,8 +187,8 @@
 	}
 }
 
-// Answers with an era that is missing, can't be read or goes back cost nothing that is
-// known, and entries go on hearing of changes.
+// Answers of the store with an era that is missing, invalid or decreasing must not make entries drop
+// known data or miss later changes.
 func TestBadEra(t *testing.T) {
 	for _, era := range []string{"-", "old", "-3", "0", "1.5"} {
 		t.Run(era, func(t *testing.T) {
--- a/internal/gateway/several_test.go
+++ b/internal/gateway/several_test.go
@@ -19,7 +19,8 @@
 	"plumpitch.example/plumpitch/pkg/owner"
 )
 
-// several starts entries and waits until each knows all.
+// startEntries starts n entries, and waits until each has the configuration and targets and knows
+// the others.
 func several(w *world, n int) (entries []*entry) {
 	for i := range n {
 		entries = append(entries, w.entry(fmt.Sprint("e", i)))
@@ -31,7 +32,7 @@
 	return entries
 }
 
-// ranked are the entries in the order in which they read for the others.
+// byReaderRank returns the entries in the order of readers.
 func ranked(entries []*entry, d duty) (readers []*entry) {
 	var live []owner.Candidate
 	for _, e := range entries {
@@ -44,10 +45,9 @@
 	return readers
 }
 
-// Two of three entries are told to stop at the same time, each with callers
-// that have its address and go on sending. Until an entry's port is closed every
-// request is answered by a target; after that callers are refused a connection
-// and have another address. No request is cut.
+// Two of three entries are asked to stop at the same time while callers still send requests to them.
+// Until an entry's port is closed, a target must answer each request. After that, callers are refused
+// a connection and use another address. No request may be cut off.
 func TestSeveralStopAtOnce(t *testing.T) {
 	w := newWorld(t, site{targets: 3, kind: "non_idempotent"})
 	entries := several(w, 3)
@@ -96,9 +96,8 @@
 	w.c.Assert(sent > 100, qt.IsTrue, qt.Commentf("%d", sent))
 }
 
-// Callers connect without a pause while an entry's port closes. Whoever has got a
-// connection and sends a request at once gets an answer; whoever comes later is
-// refused the connection.
+// Callers connect without a pause while an entry's port closes. A caller that gets a connection and
+// sends a request at once must get a response; later callers are refused the connection.
 func TestNewConnectionsAtTheStop(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	for _, k := range w.workers {
@@ -107,7 +106,7 @@
 	}
 	e := w.entry("a").settled()
 	var all sync.WaitGroup
-	var cut atomic.Int64
+	var unanswered atomic.Int64
 	for range 30 {
 		all.Go(func() {
 			for {
@@ -118,9 +117,9 @@
 				_, err = io.WriteString(c, "GET /a/x HTTP/1.1\r\nHost: veil.example\r\nPlumpitch-Request-Id: x\r\nConnection: close\r\n\r\n")
 				b, read := io.ReadAll(c)
 				c.Close()
-				// A connection that the listener had not taken ends by a reset.
+				// A connection that the listener had not accepted ends with a reset.
 				if err == nil && read == nil && len(b) == 0 {
-					cut.Add(1)
+					unanswered.Add(1)
 				}
 			}
 		})
@@ -129,12 +128,11 @@
 	e.stop()
 	w.c.Assert(<-e.done, qt.IsNil)
 	all.Wait()
-	w.c.Assert(cut.Load(), qt.Equals, int64(0))
+	w.c.Assert(unanswered.Load(), qt.Equals, int64(0))
 }
 
-// The first two in the order of those that read targets for all are lost without
-// a word. A target begins to leave right then. The others still stop sending to
-// it within 2 s of the store's word.
+// The first two entries in the order of readers are lost without notice, and a target begins to leave
+// right then. The others must stop sending to it within 2 s of the store's acknowledgement.
 func TestFirstReadersLost(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	entries := several(w, 5)
@@ -159,9 +157,9 @@
 	w.c.Assert(len(w.workers[1].Runs()) > 0, qt.IsTrue)
 }
 
-// A request crashes one target at each of three entries, which its caller tries
-// in turn. None of them has seen more than one crash; together they have seen
-// enough, and a fourth entry sends it to no target.
+// A request crashes one target at each of three entries, which its caller tries in turn. Each entry
+// has seen only one crash, but the crashes together reach the limit, and a fourth entry must refuse
+// the request.
 func TestCrashesAtSeveralEntries(t *testing.T) {
 	w := newWorld(t, site{targets: 8, attempts: 1})
 	entries := several(w, 4)
@@ -187,7 +185,7 @@
 	w.c.Assert(runs <= crashLimit+1, qt.IsTrue, qt.Commentf("%d runs", runs))
 }
 
-// What a gateway tells operators is what it works by.
+// The status for operators shows the state that the gateway works with.
 func TestStatus(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	entries := several(w, 2)
@@ -213,23 +211,23 @@
 	w.c.Assert(s.Services[0].Targets[0].State, qt.Equals, "open")
 }
 
-// The store turns the entry away that reads it for all, for a while, and the next
-// one takes over. The first finds out by itself that it is served again: else one
-// entry after the other would be lost for reading.
+// The store refuses the calls of the first reader for a while, and the next entry takes over. The
+// first reader must detect that it is served again. Otherwise one entry after the other would drop
+// out of the order of readers.
 func TestReaderIsServedAgain(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	entries := several(w, 3)
 	first := ranked(entries, dutyTargets)[0]
-	shut := func() bool {
+	refused := func() bool {
 		s, err := first.Status(t.Context())
 		w.c.Assert(err, qt.IsNil)
 		return s.Shut
 	}
 	w.store.Fail(turnAway(first))
-	w.until("the reader is turned away", shut)
+	w.until("the reader is refused", refused)
 	time.Sleep(time.Second)
 	w.store.Fail(nil)
 	began := time.Now()
-	w.until("the reader is served again", func() bool { return !shut() })
+	w.until("the reader is served again", func() bool { return !refused() })
 	w.c.Assert(time.Since(began) < 2*storeRestMax, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
--- a/internal/gateway/writers_test.go
+++ b/internal/gateway/writers_test.go
@@ -14,9 +14,8 @@
 	"plumpitch.example/plumpitch/internal/standin/worker"
 )
 
-// A configuration has a route type that this release doesn't know. Its route is
-// served, each request to one target only even where that target fails it: what
-// the word means may not bear a second run.
+// A route has a type that this release doesn't know. Requests are served, but each is sent to one
+// target only, also if that target fails: they may not be safe to run twice.
 func TestUnknownRouteType(t *testing.T) {
 	tests := []struct {
 		kind string
@@ -41,9 +40,9 @@
 	}
 }
 
-// Another writer leaves records among the targets', some of which can't be read
-// at all. The targets' own records hold, in the list of a start and in watches,
-// and a target whose record is written over gets nothing until it writes again.
+// Another writer adds records to those of the targets, some of which can't be decoded. The targets'
+// own records stay in effect, both in the first list and in watches. A target whose record is
+// overwritten gets no requests until it writes its record again.
 func TestRecordsOfOtherWriters(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	others := []any{
@@ -54,25 +53,25 @@
 		map[string]any{"address": "127.0.0.1:1", "info": map[string]any{"service": "gowns", "concurrency": 2}, "status": map[string]any{"state": "resting"}},
 		map[string]any{"address": "127.0.0.1:1", "info": map[string]any{"service": "nowhere", "concurrency": 2}, "status": map[string]any{"state": "ready"}},
 	}
-	leave := func(round string) {
+	write := func(round string) {
 		for i, o := range others {
 			w.store.Put("servers", fmt.Sprint("other-", round, i), o)
 		}
 	}
-	leave("list")
+	write("list")
 	e := w.entry("a").settled()
 	w.c.Assert(e.size("gowns"), qt.Equals, 2)
-	leave("watch")
+	write("watch")
 	w.store.Put("servers", w.workers[0].ID, "?")
-	w.until("only the sound record counts", func() bool { return !e.hasTarget(w.workers[0].ID) })
+	w.until("only the target with a valid record", func() bool { return !e.hasTarget(w.workers[0].ID) })
 	w.c.Assert(e.size("gowns"), qt.Equals, 1)
 	w.record(w.workers[0], "gowns", "ready")
 	w.until("both targets", func() bool { return e.size("gowns") == 2 })
 	w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 }
 
-// Records that can't be read are read again with each list. There is one line
-// about each of them a minute, and few a second about all, whatever their number.
+// Records that can't be decoded are read again with each list. Each is logged at most once a minute,
+// and all of them together at a limited rate.
 func TestLinesAboutUnreadableRecords(t *testing.T) {
 	h := memory.New()
 	r := newRefusals(&log.Logger{Handler: h})
@@ -89,9 +88,8 @@
 	qt.Assert(t, len(h.Entries) <= 1+refusedBurst+10*refusedLines+1, qt.IsTrue, qt.Commentf("%d lines", len(h.Entries)))
 }
 
-// A request crashes the same target three times, which starts again under its
-// old id each time. It counts as three crashed targets: it is sent to none any
-// more.
+// A request crashes the same target three times, which restarts with the same id each time. That
+// counts as three crashes, so that the request is sent to no target any more.
 func TestCrashesOfOneTargetThatStartsAgain(t *testing.T) {
 	w := newWorld(t, site{targets: 1, attempts: 1})
 	e := w.entry("a").settled()
