--- a/internal/gateway/begin.go
+++ b/internal/gateway/begin.go
@@ -16,7 +16,7 @@
 	// A failed enrolment is retried only after a longer time.
 	enrollTime = 150 * time.Millisecond
 	// seedReadDelay is how long an entry in contact with others waits for the data that
-	// the seeds read, and seedReadRankDelay is how much longer for each lower rank.
+	// the seeds read, and seedReadRankDelay is the additional wait per rank.
 	seedsReadTime = time.Second
 	beginRank     = 300 * time.Millisecond
 	// minStartStep is the least delay between the reads of two entries. A read, an
@@ -33,8 +33,8 @@
 	// maxStartStep bounds the delay between two entries if the enrolment took long.
 	beginStepMax = 100 * time.Millisecond
 	// minFirstReaders and maxFirstReaders bound the number of entries that read at once,
-	// which is one in entriesPerReader of the live ones. All others would pull from a single reader, which
-	// takes 40 ms on a third of a core among 14 entries.
+	// which is one in entriesPerReader of the live ones. All others would pull from a
+	// single reader, which takes 40 ms on a third of a core among 14 entries.
 	fewestReaders = 2
 	mostReaders   = 8
 	readersOf     = 4
@@ -49,8 +49,8 @@
 
 // firstReadDue reports whether an entry without data reads now. The first entries to enrol
 // read at once and announce the data; the others wait in the order of their enrolment. In a
-// fixed order of names the first entry might start last, and each one that enrolled before
-// it would read. The delay per entry is the duration of this entry's own enrolment, which is
+// fixed order of names the first entry might start last, and each entry that enrolled
+// before it would read. The delay per entry is the duration of this entry's own enrolment, which is
 // two calls. With a shorter one, entries on a busy machine read before the first ones could
 // announce the data (in 53 of 72 starts).
 //
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -43,24 +43,24 @@
 
 // applyEvacuationsRead applies a list or changes from the store, and advertises a change to
 // the other entries at once.
-func (c *control) evacuationsRead(now, askedAt time.Time, apply func() (moved bool)) {
+func (c *control) evacuationsRead(now, askedAt time.Time, apply func() (changed bool)) {
 	c.confirm(now, dutyEvacuations, askedAt)
-	moved := c.evacuate(now, apply, "store")
+	changed := c.evacuate(now, apply, "store")
 	c.vouch(now, dutyEvacuations)
-	if moved {
+	if changed {
 		c.drive(now, member.News{})
 	}
 }
 
 // applyPulledEvacuations applies the evacuations in a pull's answer.
-func (c *control) evacuated(e relay.Evacuations) (moved bool) {
-	moved = c.evacuations.Replace(e.List, e.At)
+func (c *control) evacuated(e relay.Evacuations) (changed bool) {
+	changed = c.evacuations.Replace(e.List, e.At)
 	c.evacuations.Reached(e.Moved)
-	return moved
+	return changed
 }
 
 // changeEvacuations applies a change of the evacuations, and logs it.
-func (c *control) evacuate(now time.Time, apply func() (moved bool), source string) (moved bool) {
+func (c *control) evacuate(now time.Time, apply func() (changed bool), source string) (changed bool) {
 	before, revision := c.evacuations.Items(), c.evacuations.At()
 	if !apply() {
 		return false
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -205,7 +205,7 @@
 func TestBusyStoreIsAskedForMarksLast(t *testing.T) {
 	tests := []struct {
 		name    string
-		shut    bool
+		refused bool          // the store doesn't serve the entry
 		targets time.Duration // time since their last confirmation
 		due     bool
 	}{
@@ -223,7 +223,7 @@
 			c.confirm(now, dutyTargets, now.Add(-tt.targets))
 			c.confirm(now, dutyEvacuations, now.Add(-6*time.Second))
 			_, _ = c.gateway.freshness.use(now, c.gateway.stale())
-			c.shut = tt.shut
+			c.shut = tt.refused
 			q := turnAsked{duty: dutyEvacuations, answer: make(chan turn, 1)}
 			q.apply(now, c)
 			qt.Assert(t, (<-q.answer).due, qt.Equals, tt.due)
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -84,23 +84,23 @@
 
 // applyTargetsRead applies a list or changes from the store, and announces a change of
 // targets to the other entries at once.
-func (c *control) targetsRead(now, askedAt time.Time, apply func() (moved bool)) {
+func (c *control) targetsRead(now, askedAt time.Time, apply func() (changed bool)) {
 	c.confirm(now, dutyTargets, askedAt)
-	moved := c.change(now, apply)
+	changed := c.change(now, apply)
 	c.vouch(now, dutyTargets)
-	if moved {
+	if changed {
 		c.spread(now)
 	}
 }
 
-// callFailed reports that a watch timed out. The reader then lists the objects, which
+// watchTimedOut reports that a watch timed out. The reader then lists the objects, which
 // takes up to 2 s if the store is silent: the outage may be over before both calls have
 // failed, so that the first failure must count.
 type callFailed struct{}
 
 func (callFailed) apply(now time.Time, c *control) { c.fails(now) }
 
-// storeAnswered is the result of a read from the store; err is nil if it succeeded.
+// readFinished is the result of a read from the store; err is nil if it succeeded.
 type storeAnswered struct{ err error }
 
 func (m storeAnswered) apply(now time.Time, c *control) {
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -41,7 +41,7 @@
 	fanOut = 3
 	// maxEntryBytes is the size limit of the entries in a packet, beside its other parts.
 	messageRoom = 900
-	// bulkFetchBuckets is the number of differing buckets, of 64, from which on all
+	// bulkFetchBuckets is the least number of differing buckets, of 64, at which all
 	// members are fetched from the other entry: a message has room for few buckets.
 	bulkBuckets = 8
 	// maxOwnerCounts is the number of hosts whose owner counts fit into a message.
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -70,7 +70,7 @@
 
 // changeTargets applies a change of the targets, and keeps vanished ones after an outage or a
 // restore of the store.
-func (c *control) change(now time.Time, apply func() (moved bool)) (moved bool) {
+func (c *control) change(now time.Time, apply func() (changed bool)) (changed bool) {
 	before, revision := c.targets.Items(), c.targets.At()
 	if !apply() {
 		return false
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -47,9 +47,9 @@
 			failed.apply(from.Add(time.Second), c)
 		}, pulled, true},
 		{"others report that the store doesn't serve them", func(c *control, from time.Time) {
-			shut := other("shut")
-			shut.Shut = true
-			c.drive(from.Add(time.Second), member.Fetched{Entries: []member.Entry{shut}})
+			unserved := other("unserved")
+			unserved.Shut = true
+			c.drive(from.Add(time.Second), member.Fetched{Entries: []member.Entry{unserved}})
 			c.live()
 		}, read, true},
 		{"own calls failed, then the store answered another entry", func(c *control, from time.Time) {
@@ -92,9 +92,9 @@
 			c.others(from, "unheard")
 			c.tick(from.Add(aloneAfter + tickPeriod))
 			c.drive(from.Add(back), heardFrom("unheard"))
-			shut := other("shut")
-			shut.Shut = true
-			c.drive(from.Add(back), member.Fetched{Entries: []member.Entry{shut}})
+			unserved := other("unserved")
+			unserved.Shut = true
+			c.drive(from.Add(back), member.Fetched{Entries: []member.Entry{unserved}})
 		}, pulled, false},
 	}
 	for _, tt := range tests {
@@ -121,14 +121,14 @@
 	from := c.started
 	leaving := item("leaving", 9)
 	leaving.Value.Leaving = true
-	targetsListed{items: []roster.Item[slot.Target]{leaving, item("lapses", 8), item("stays", 10)}, at: 10, asked: from}.apply(from, c)
+	targetsListed{items: []roster.Item[slot.Target]{leaving, item("expires", 8), item("stays", 10)}, at: 10, asked: from}.apply(from, c)
 	storeAnswered{errors.New("no answer")}.apply(from.Add(time.Second), c)
 	qt.Assert(t, c.usable(from.Add(2 * time.Second))["leaving"].Value.Leaving, qt.IsTrue)
 	back := from.Add(4 * time.Second)
 	targetsListed{items: []roster.Item[slot.Target]{item("stays", 10)}, at: 20, asked: back}.apply(back, c)
 	usable := c.usable(back.Add(time.Millisecond))
-	_, lapsed := usable["lapses"]
-	qt.Assert(t, lapsed, qt.IsTrue)
+	_, expired := usable["expires"]
+	qt.Assert(t, expired, qt.IsTrue)
 	_, left := usable["leaving"]
 	qt.Assert(t, left, qt.IsFalse)
 }
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -93,7 +93,7 @@
 	return now.Sub(c.confirmed[r])
 }
 
-// unconfirmedAge is the age from which on another entry's copy counts as never confirmed:
+// unconfirmedAge is the least age at which another entry's copy counts as never confirmed:
 // longer than any outage, and shorter than the time since any clock's zero.
 const neverAge = 24 * time.Hour
 
@@ -162,8 +162,8 @@
 		// taken half a second. Measured from the request, the age of a list is never
 		// underestimated.
 		c.vouched(now, m.asked, dutyTargets, m.news.Age)
-		moved := c.change(now, func() bool { return c.pulled(m.news) })
-		if moved {
+		changed := c.change(now, func() bool { return c.pulled(m.news) })
+		if changed {
 			c.spread(now)
 		}
 	}
@@ -223,16 +223,16 @@
 }
 
 // applyPulledTargets applies the targets in a pull's answer.
-func (c *control) pulled(n relay.News) (moved bool) {
+func (c *control) pulled(n relay.News) (changed bool) {
 	if n.Targets == relay.Changed {
-		moved = c.targets.Told(n.Changes, n.At)
+		changed = c.targets.Told(n.Changes, n.At)
 	} else {
 		list := make([]roster.Item[slot.Target], 0, len(n.Changes))
 		for _, change := range n.Changes {
 			list = append(list, change.Item)
 		}
-		moved = c.targets.Replace(list, n.At)
+		changed = c.targets.Replace(list, n.At)
 	}
 	c.targets.Reached(n.Moved)
-	return moved
+	return changed
 }
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -19,16 +19,16 @@
 const reviveTime = 6 * time.Second
 
 // noteRestore records that the store was restored from a copy.
-func (c *control) restore(now time.Time, before, at roster.Revision, differ int) {
+func (c *control) restore(now time.Time, before, after roster.Revision, differences int) {
 	c.restored = now
-	if at.Epoch() <= c.epoch {
+	if after.Epoch() <= c.epoch {
 		return // another resource has shown the same restore
 	}
-	c.epoch = at.Epoch()
+	c.epoch = after.Epoch()
 	c.gateway.restores.Add(1)
 	c.gateway.instruments.restores.Inc(1)
 	c.gateway.log.WithFields(log.Fields{
-		"epoch": at.Epoch(), "before": before.String(), "revision": at.String(), "differ": differ,
+		"epoch": after.Epoch(), "before": before.String(), "revision": after.String(), "differ": differences,
 	}).Warn("store was restored from a copy, what is missing is awaited")
 }
 
@@ -49,16 +49,16 @@
 
 // effectiveItems returns the objects in the store and the vanished ones that are kept, without
 // those that only a copy brought back.
-func inForce[T any](now time.Time, r *roster.Roster[T], l *roster.Lapses[T], restored time.Time) map[string]roster.Item[T] {
+func inForce[T any](now time.Time, r *roster.Roster[T], vanished *roster.Lapses[T], restoredAt time.Time) map[string]roster.Item[T] {
 	items := r.Items()
-	if r.AnyRevived() && now.Sub(restored) < reviveTime {
+	if r.AnyRevived() && now.Sub(restoredAt) < reviveTime {
 		for name := range items {
 			if r.Revived(name) {
 				delete(items, name)
 			}
 		}
 	}
-	for name, it := range l.Kept(now) {
+	for name, it := range vanished.Kept(now) {
 		if _, ok := items[name]; !ok {
 			items[name] = it
 		}
--- a/internal/gateway/roll.go
+++ b/internal/gateway/roll.go
@@ -34,13 +34,13 @@
 	// An entry that the store doesn't serve keeps its own rank and so goes on reading,
 	// which detects that it is served again. The others leave it out of the order until
 	// it reports that.
-	own := readers
+	ranked := readers
 	if c.shut {
-		own = c.roll
+		ranked = c.roll
 	}
 	for r := range duties {
 		c.order[r] = owner.Order(readers, dutyNames[r], fastReaders)
-		c.rank[r] = owner.Rank(own, dutyNames[r], c.gateway.self.Name)
+		c.rank[r] = owner.Rank(ranked, dutyNames[r], c.gateway.self.Name)
 	}
 	c.deal = nil
 }
@@ -57,7 +57,7 @@
 	return c.deaf(now) && len(c.live()) > 1
 }
 
-// hearsNone reports whether no packet of another entry has come for isolationTimeout.
+// lostContact reports whether no packet of another entry has come for isolationTimeout.
 func (c *control) deaf(now time.Time) bool {
 	return now.Sub(c.started) > aloneAfter && now.Sub(c.members.Heard()) > aloneAfter
 }
