--- a/pkg/call/action.go
+++ b/pkg/call/action.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Do is what a driver has to do.
+// ActionKind is the kind of an Action.
 type Do uint8
 
-// The actions.
+// Kinds of actions.
 const (
-	// DoSeek: ask the pool for a target, other than those tried.
+	// ActionAcquire: request a target from the pool, excluding those already used.
 	DoSeek Do = iota + 1
-	// DoHedge: ask the pool for a target at once, or not at all.
+	// ActionAcquireHedge: request a target from the pool that is free now, without queueing.
 	DoHedge
-	// DoWithdraw: the target that was asked for is not needed any more.
+	// ActionWithdraw: withdraw the pending request for a target.
 	DoWithdraw
-	// DoRelease: give back the slot at Target, unused.
+	// ActionRelease: release the unused slot at Target.
 	DoRelease
-	// DoDispatch: send the request to Target as Try.
+	// ActionDispatch: send the request to Target as dispatch number Dispatch.
 	DoDispatch
-	// DoTimer: call Hedge after After.
+	// ActionStartHedgeTimer: call Call.Hedge after After.
 	DoTimer
-	// DoCancel: cancel Try and drop whatever it brings.
+	// ActionCancel: cancel Dispatch and discard its result.
 	DoCancel
-	// DoAnswer: pass the answer of Try on.
+	// ActionRespond: forward the response of Dispatch to the caller.
 	DoAnswer
-	// DoRefuse: answer the caller with Call.Final.
+	// ActionRefuse: respond to the caller with Call.Final.
 	DoRefuse
 )
 
-var dos = [...]string{"none", "seek", "hedge", "withdraw", "release", "dispatch", "timer", "cancel", "answer", "refuse"}
+var dos = [...]string{"none", "acquire", "hedge", "withdraw", "release", "dispatch", "timer", "cancel", "answer", "refuse"}
 
-// String returns the name of an action.
+// String returns the name of the kind.
 func (d Do) String() string {
 	if int(d) >= len(dos) {
 		return dos[0]
@@ -37,27 +37,27 @@
 	return dos[d]
 }
 
-// Action is one thing for the driver to do.
+// Action is one action for the driver to perform.
 type Action struct {
 	Do      Do
-	Try     int           // of DoDispatch, DoCancel, DoAnswer
-	Attempt int           // HeaderAttempt of DoDispatch
-	Target  string        // of DoDispatch, DoRelease
-	Why     Reason        // of DoDispatch: why it isn't the first one; empty for that one
-	After   time.Duration // wait of DoTimer, time for DoDispatch
+	Try     int           // number of the dispatch, from 0; of ActionDispatch, ActionCancel, ActionRespond
+	Attempt int           // value of HeaderAttempt; of ActionDispatch
+	Target  string        // of ActionDispatch, ActionRelease
+	Why     Reason        // cause of a retry or hedge, empty for the first dispatch; of ActionDispatch
+	After   time.Duration // timer delay of ActionStartHedgeTimer, timeout of ActionDispatch
 }
 
-// maxActions bounds what one event can lead to: a withdrawal or a release, a
-// cancel for each try, and an answer, or a dispatch with a timer.
+// maxActions bounds the actions that follow one event: a withdrawal or a release, a
+// cancel for each dispatch, and a response, or a dispatch with a hedge timer.
 const maxActions = MaxTries + 2
 
-// Actions are what follows on one event, in order.
+// Actions is the ordered list of actions that follow one event.
 type Actions struct {
 	list [maxActions]Action
 	n    int
 }
 
-// All returns the actions. The slice is valid as long as a is.
+// All returns the actions. The slice aliases a.
 func (a *Actions) All() []Action {
 	return a.list[:a.n]
 }
--- a/pkg/call/bucket.go
+++ b/pkg/call/bucket.go
@@ -2,16 +2,16 @@
 
 import "sync/atomic"
 
-// bucket holds the parts of tokens that were saved up, those of the present period apart
-// from those of the one before. Both stand in one word, so that all steps are atomic.
+// bucket is a token bucket that counts the current and the previous period separately, in
+// parts of tokens. Both counts share one word, so that each update is atomic.
 type bucket struct {
 	state atomic.Uint64
 }
 
-// saved is what a bucket holds, in parts of tokens.
+// balance is the content of a bucket, in parts of tokens.
 type saved struct {
-	old   int64
-	fresh int64
+	old   int64 // added in the previous period
+	fresh int64 // added in the current period
 }
 
 const freshBits = 32
@@ -24,8 +24,8 @@
 	return saved{old: int64(state >> freshBits), fresh: int64(state & (1<<freshBits - 1))}
 }
 
-// change replaces what the bucket holds by what step makes of it; step reports false
-// to leave it.
+// update atomically replaces the balance by the result of step. It leaves the balance
+// unchanged and returns false when step does.
 func (b *bucket) change(step func(s saved) (saved, bool)) bool {
 	for {
 		state := b.state.Load()
@@ -41,38 +41,40 @@
 
 func (b *bucket) sum() int64 { return unpack(b.state.Load()).sum() }
 
-// fill adds to the bucket, which holds so much at the most. What is older makes room.
-func (b *bucket) fill(n, most int64) {
+// add adds n parts to the current period, up to capacity in total. At the limit, parts of the
+// previous period are dropped first.
+func (b *bucket) fill(n, capacity int64) {
 	b.change(func(s saved) (saved, bool) {
-		s.fresh = min(s.fresh+n, most)
-		s.old = min(s.old, most-s.fresh)
+		s.fresh = min(s.fresh+n, capacity)
+		s.old = min(s.old, capacity-s.fresh)
 		return s, true
 	})
 }
 
-// trim takes away what is more than that, the older first.
-func (b *bucket) trim(most int64) {
+// limit drops the parts above capacity, those of the previous period first.
+func (b *bucket) trim(capacity int64) {
 	b.change(func(s saved) (saved, bool) {
-		s.old = min(s.old, max(most-s.fresh, 0))
-		s.fresh = min(s.fresh, most)
+		s.old = min(s.old, max(capacity-s.fresh, 0))
+		s.fresh = min(s.fresh, capacity)
 		return s, true
 	})
 }
 
-// drain takes one token, of the older ones first.
+// take removes one token, from the previous period first. It returns false when the bucket
+// holds less than one token.
 func (b *bucket) drain() bool {
 	return b.change(func(s saved) (saved, bool) {
 		if s.sum() < tokenUnit {
 			return s, false
 		}
-		fromOld := min(s.old, tokenUnit)
-		s.old -= fromOld
-		s.fresh -= tokenUnit - fromOld
+		fromPrevious := min(s.old, tokenUnit)
+		s.old -= fromPrevious
+		s.fresh -= tokenUnit - fromPrevious
 		return s, true
 	})
 }
 
-// age begins a period: what was left of the one before the last is lost.
+// startPeriod starts a period. What is left of the previous one expires.
 func (b *bucket) age() {
 	b.change(func(s saved) (saved, bool) { return saved{old: s.fresh}, true })
 }
--- a/pkg/call/budget.go
+++ b/pkg/call/budget.go
@@ -7,42 +7,45 @@
 	defaultRerun  = 0.5
 	defaultLevels = 1
 	defaultBurst  = 10
-	tokenUnit     = 1_000_000
-	// mostBurst is what fits into a bucket.
+	// tokenParts is the number of parts of a token, the unit of a bucket.
+	tokenUnit = 1_000_000
+	// maxBurst is the largest capacity in tokens: a bucket stores its parts in 32 bits.
 	mostBurst = 4000
 )
 
-// BudgetConfig of a Budget. Zero fields take the defaults.
+// BudgetConfig configures a Budget. Zero fields take the defaults.
 type BudgetConfig struct {
-	Share  float64 // second dispatches for each first one; default 0.1
-	Rerun  float64 // part of Share for dispatches after one that may have run; default 0.5
-	Levels int     // levels of a call tree that may use that part; default 1
-	Burst  int     // second dispatches that can be saved up, per bucket; default 10
+	Share  float64 // extra dispatches per first dispatch; default 0.1
+	Rerun  float64 // part of RetryShare for extra dispatches after one that may have run; default 0.5
+	Levels int     // levels of a call tree that may use MayHaveRunShare; default 1
+	Burst  int     // capacity of each bucket, in extra dispatches; default 10
 }
 
-// Budget bounds the retries and hedges of one service to a share of its first
-// dispatches, over the whole call tree. What is saved up ages by periods, which its user
-// begins. It is safe for concurrent use.
+// Budget limits the extra dispatches (retries and hedges) of one service to a share of
+// its first dispatches, over the whole call tree. Unused tokens expire after the period
+// that follows the one they were added in; the user of a Budget starts the periods. It is
+// safe for concurrent use.
 //
-// A retry of a request that may have run, and a hedge, runs the tree below it
-// again, and each level could do so. So these draw on a bucket of their own
-// level, only the first Levels levels have one, and a request that is itself
-// such a retry gets none: all levels together stay within Rerun of Share. A
-// retry of what surely did not run adds nothing below and draws on the rest of
-// Share at any level. First dispatches alone fill the buckets, which start
-// empty, so the share holds from the first request on.
+// A hedge, or a retry of a request that may have run, executes the call tree below it
+// again. If each level could do so, the load would multiply with the depth. Therefore
+// such an extra dispatch takes a token from the bucket of its own level, only the first
+// Levels levels have a bucket, and a request that is itself such an extra dispatch gets
+// no token. All levels together stay within MayHaveRunShare of RetryShare. A retry of a
+// request that did not run adds no load below it, so it uses the rest of RetryShare, at
+// any level. Only first dispatches fill the buckets, and the buckets start empty, so the
+// limit holds from the first request on.
 type Budget struct {
 	cfg      BudgetConfig
-	clean    bucket
-	levels   []bucket
-	addClean atomic.Int64
-	addRerun atomic.Int64
-	most     atomic.Int64
+	clean    bucket       // for retries after dispatches that did not run
+	levels   []bucket     // per level, for extra dispatches after one that may have run
+	addClean atomic.Int64 // parts added to notRun per first dispatch
+	addRerun atomic.Int64 // parts added to each of mayHaveRun per first dispatch
+	most     atomic.Int64 // of each bucket, in parts
 }
 
-// Token is leave for one second dispatch.
+// Token is the permission for one extra dispatch.
 type Token struct {
-	bucket int // 0 none, 1 clean, then the levels
+	bucket int // 0: none; 1: notRun; 2 and above: mayHaveRun by level
 }
 
 const cleanBucket = 1
@@ -67,32 +70,33 @@
 	return b
 }
 
-// SetShare changes how many second dispatches there may be for each first one from now on; 0
-// allows none but those that were saved up.
+// SetRetryShare sets how many extra dispatches each later first dispatch allows. With 0, only
+// the available tokens can be used.
 func (b *Budget) SetShare(share float64) {
-	rerun := share * min(b.cfg.Rerun, 1)
-	b.addClean.Store(int64((share - rerun) * tokenUnit))
-	b.addRerun.Store(int64(rerun / float64(len(b.levels)) * tokenUnit))
+	mayHaveRun := share * min(b.cfg.Rerun, 1)
+	b.addClean.Store(int64((share - mayHaveRun) * tokenUnit))
+	b.addRerun.Store(int64(mayHaveRun / float64(len(b.levels)) * tokenUnit))
 }
 
-// burst is what a bucket may hold, in parts of tokens.
+// bucketCapacity returns the capacity of a bucket for n tokens, in parts of tokens.
 func burst(n int) int64 { return int64(min(max(n, 1), mostBurst)) * tokenUnit }
 
-// SetBurst changes how many second dispatches can be saved up, per bucket. What
-// was saved beyond that is lost.
+// SetBurst sets the capacity of each bucket, in extra dispatches. Tokens beyond it
+// are dropped.
 func (b *Budget) SetBurst(n int) {
-	most := burst(n)
-	if b.most.Swap(most) <= most {
+	capacity := burst(n)
+	if b.most.Swap(capacity) <= capacity {
 		return
 	}
-	b.clean.trim(most)
+	b.clean.trim(capacity)
 	for i := range b.levels {
-		b.levels[i].trim(most)
+		b.levels[i].trim(capacity)
 	}
 }
 
-// Age begins a period. What was saved up before the one that ends is lost: an entry that
-// had requests long ago would else keep leave for repeats that no requests of now warrant.
+// StartPeriod starts a period. Tokens added before the period that ends expire. Otherwise an
+// entry could spend tokens from requests of long ago on extra dispatches that its current
+// requests don't warrant.
 func (b *Budget) Age() {
 	b.clean.age()
 	for i := range b.levels {
@@ -100,7 +104,7 @@
 	}
 }
 
-// Saved returns how many second dispatches are saved up in all buckets.
+// Available returns the number of tokens in all buckets.
 func (b *Budget) Saved() float64 {
 	sum := b.clean.sum()
 	for i := range b.levels {
@@ -109,7 +113,8 @@
 	return float64(sum) / tokenUnit
 }
 
-// First counts a first dispatch. One that repeats an earlier run adds nothing.
+// CountFirst counts a first dispatch. It adds no tokens when attempt shows that the request
+// may have run before.
 func (b *Budget) First(depth, attempt int) {
 	if attempt > 0 {
 		return
@@ -120,10 +125,10 @@
 	}
 }
 
-// Take asks leave for a second dispatch; clean says that no earlier one can
-// have run.
-func (b *Budget) Take(depth, attempt int, clean bool) (t Token, ok bool) {
-	if clean && b.clean.drain() {
+// Take takes a token for an extra dispatch. notRun means that no earlier dispatch can have
+// run.
+func (b *Budget) Take(depth, attempt int, notRun bool) (t Token, ok bool) {
+	if notRun && b.clean.drain() {
 		return Token{bucket: cleanBucket}, true
 	}
 	if attempt > 0 || depth >= len(b.levels) || !b.levels[depth].drain() {
@@ -132,7 +137,7 @@
 	return Token{bucket: cleanBucket + 1 + depth}, true
 }
 
-// Return gives back a token that was not used.
+// Return puts back an unused token.
 func (b *Budget) Return(t Token) {
 	switch {
 	case t.bucket == 0:
--- a/pkg/call/budget_test.go
+++ b/pkg/call/budget_test.go
@@ -11,21 +11,21 @@
 
 const (
 	levels   = 29
-	mostSent = 5000 // far over the bound; ends a run that multiplies
+	mostSent = 5000 // per level, far above the limit; ends a test whose retries multiply
 )
 
-// site is a call tree of one nested call at each level, all of whose targets
-// fail as the test says.
+// site is a call tree with one nested call at each level. Its targets fail at random
+// with the given probabilities.
 type site struct {
 	budgets [levels]*Budget
 	sent    [levels]int
 	first   [levels]int
 	rng     *rand.Rand
-	bad     float64 // share of dispatches that fail
-	clean   float64 // share of these that surely did not run
+	bad     float64 // probability that a dispatch fails
+	clean   float64 // probability that a failed dispatch did not run
 }
 
-// request runs one request at a level and reports whether it was answered.
+// request runs one request at a level and reports whether a target responded.
 func (s *site) request(depth, attempt int) (answered bool) {
 	if depth == levels {
 		return true
@@ -70,10 +70,9 @@
 	return c.Head(start, Head{Try: a.Try, Status: 200})
 }
 
-// Targets fail at every level at once and each entry would like to try again.
-// A caller sees errors, and the services see at most a tenth more requests than
-// without retries, at any depth: with a retry at each of 29 levels the deepest
-// one would get hundreds of times as many.
+// Targets fail at every level at once, and every entry wants to retry. At each level,
+// retries must add at most 10 % to the requests. With one retry at each of 29 levels, the
+// deepest level would get hundreds of times as many.
 func TestBudgetHoldsOverTheTree(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -104,8 +103,9 @@
 	}
 }
 
-// A level beyond the limit, and a request that is itself a second run, get no
-// leave to run the tree below them again, however much is saved up.
+// A level beyond the limit, and a request that is itself a repetition of one that may
+// have run, get no token to execute the tree below them again, however many tokens are
+// available.
 func TestBudgetLeave(t *testing.T) {
 	tests := []struct {
 		depth, attempt int
@@ -130,8 +130,8 @@
 	}
 }
 
-// Tokens taken never exceed the share of first dispatches, in any order of
-// first dispatches, takes and returns.
+// In any order of first dispatches, takes and returns, the tokens taken never exceed
+// the share of first dispatches.
 func TestBudgetProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(BudgetConfig{Levels: rapid.IntRange(1, 3).Draw(t, "levels")})
@@ -182,8 +182,8 @@
 	}
 }
 
-// What may be saved up shrinks while all of it is saved: the rest is lost, so
-// that an entry whose callers went to another one can't spend for both.
+// The capacity shrinks while the bucket is full. The tokens beyond it must be dropped:
+// otherwise an entry whose callers moved to another one could still spend them.
 func TestBurstShrinks(t *testing.T) {
 	b := NewBudget(BudgetConfig{Share: 1, Burst: 10})
 	for range 100 {
@@ -208,7 +208,7 @@
 	}
 }
 
-// A share that is lowered holds for what is saved up from then on.
+// A changed share applies to all tokens that are added from then on.
 func TestShareChanges(t *testing.T) {
 	const firsts = 1000
 	tests := []struct {
@@ -237,11 +237,11 @@
 	}
 }
 
-// What is saved up can be spent in its period and the next one, and not after.
+// Tokens can be used in the period they were added in and in the next one, not later.
 func TestSavedDispatchesAge(t *testing.T) {
 	tests := []struct {
 		name    string
-		periods int // begun since it was saved up
+		periods int // started since the tokens were added
 		more    int // first dispatches after each of them
 		spent   int
 	}{
@@ -272,8 +272,8 @@
 	}
 }
 
-// Whatever is filled, drained, trimmed and aged, a bucket holds neither more than its most
-// nor less than nothing.
+// In any sequence of operations, a bucket holds neither more than its capacity nor less
+// than zero.
 func TestBucketProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b bucket
--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// MaxTries is the largest number of dispatches of one request.
+// MaxDispatches is the upper limit of Config.MaxDispatches.
 const MaxTries = 4
 
 const (
@@ -11,12 +11,12 @@
 	defaultRetry  = 100 * time.Millisecond
 )
 
-// Config of a Call. Zero fields take the defaults.
+// Config configures a Call. Zero fields take the defaults.
 type Config struct {
-	Tries  int           // dispatches at the most; default 3, up to MaxTries
-	Margin time.Duration // no dispatch with less time left; default 2 ms
-	Retry  time.Duration // when to come back, if nothing better is known; default 100 ms
-	Budget *Budget       // of the service; nil allows no second dispatch
+	Tries  int           // limit of dispatches; default 3, at most MaxDispatches
+	Margin time.Duration // no dispatch when less time remains before the deadline; default 2 ms
+	Retry  time.Duration // delay before the caller retries, unless a better one is known; default 100 ms
+	Budget *Budget       // of the service; nil allows no extra dispatch
 }
 
 // Call is the lifecycle of one request. It isn't safe for concurrent use.
@@ -30,10 +30,10 @@
 	n       int
 	reason  Reason
 	final   Final
-	spent   bool // a repeat was denied for want of budget
+	spent   bool // the budget denied an extra dispatch
 }
 
-// try is one dispatch.
+// dispatchState is one dispatch with its status.
 type try struct {
 	target string
 	state  tryState
@@ -42,14 +42,14 @@
 type tryState uint8
 
 const (
-	tryFlying   tryState = iota // sent, nothing heard
-	tryNotRun                   // failed, surely without running
+	tryFlying   tryState = iota // sent, no result yet
+	tryNotRun                   // failed without running
 	tryMaybe                    // failed, may have run
 	tryRan                      // failed after running
-	tryAnswered                 // its answer is the one that is passed on
+	tryAnswered                 // its response is forwarded
 )
 
-// seek is what the pool was asked for.
+// acquisition is the kind of target request that is pending at the pool.
 type seek uint8
 
 const (
@@ -58,7 +58,7 @@
 	seekHedge
 )
 
-// New returns a request that hasn't arrived yet.
+// New returns a Call in state Arrived.
 func New(cfg Config) Call {
 	if cfg.Tries <= 0 {
 		cfg.Tries = defaultTries
@@ -73,31 +73,30 @@
 	return Call{cfg: cfg}
 }
 
-// State returns where the request stands.
+// State returns the state of the request.
 func (c *Call) State() State {
 	return c.state
 }
 
-// Final returns what DoRefuse tells the caller.
+// Final returns the response for ActionRefuse.
 func (c *Call) Final() Final {
 	return c.final
 }
 
-// Spent reports whether the request wasn't sent again, or not beside a slow target, since the
-// budget had nothing left.
+// BudgetDenied reports whether a retry or hedge was not sent because the budget had no token.
 func (c *Call) Spent() bool {
 	return c.spent
 }
 
-// Tried calls f with the target of each dispatch so far.
+// EachTarget calls f with the target of each dispatch so far.
 func (c *Call) Tried(f func(target string)) {
 	for i := range c.tries[:c.n] {
 		f(c.tries[i].target)
 	}
 }
 
-// Outcome returns what can be said about the request's execution. It follows
-// from the dispatches alone: a dispatch in flight may have run.
+// Outcome returns the execution status of the request. It depends only on the
+// dispatches: a dispatch in flight may have run.
 func (c *Call) Outcome() Outcome {
 	outcome := NotRun
 	for i := range c.tries[:c.n] {
@@ -111,6 +110,7 @@
 	return outcome
 }
 
+// inFlight returns the number of dispatches in flight.
 func (c *Call) flying() (n int) {
 	for i := range c.tries[:c.n] {
 		if c.tries[i].state == tryFlying {
@@ -120,7 +120,7 @@
 	return n
 }
 
-// remaining returns the time in which a target could still answer.
+// remaining returns the time in which a target can still respond.
 func (c *Call) remaining(now time.Time) time.Duration {
 	return c.arrival.Deadline.Sub(now) - c.cfg.Margin
 }
@@ -130,13 +130,13 @@
 		return
 	}
 	if !c.state.Allows(to) {
-		panic("call: transition from " + c.state.String() + " to " + to.String())
+		panic("call: invalid transition from " + c.state.String() + " to " + to.String())
 	}
 	c.state = to
 }
 
-// flies reports whether i names a dispatch in flight. Events of any other are
-// late: they belong to a dispatch that was cancelled or has ended.
+// isInFlight reports whether dispatch i is in flight. Events of any other dispatch are
+// late: it was cancelled or has ended.
 func (c *Call) flies(i int) bool {
 	return i >= 0 && i < c.n && c.tries[i].state == tryFlying
 }
--- a/pkg/call/call_test.go
+++ b/pkg/call/call_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// rich returns a budget that allows n second dispatches of each kind.
+// rich returns a budget that allows n extra dispatches of each kind.
 func rich(n int) *Budget {
 	b := NewBudget(BudgetConfig{Share: 1, Levels: 1})
 	for range 2 * n {
@@ -64,15 +64,15 @@
 	return strings.Join(out, " ")
 }
 
-// A caller is told not-run only if nothing of its request can have run. Each
-// row fails a request in another place, in the order in which the entry would
-// see it, and gives what the caller is told at the end.
+// A caller gets the outcome not-run only if its request can't have run. Each case fails
+// a request at a different point, with the events in the order in which an entry receives
+// them, and lists the outcome that the caller gets.
 func TestOutcome(t *testing.T) {
 	deadline := start.Add(100 * time.Millisecond)
-	once := Arrival{Deadline: deadline}
-	often := Arrival{Deadline: deadline, Idempotent: true, Hedge: 10 * time.Millisecond}
+	nonIdempotent := Arrival{Deadline: deadline}
+	idempotent := Arrival{Deadline: deadline, Idempotent: true, Hedge: 10 * time.Millisecond}
 	notRun := func(try int, s Stage) Failed { return Failed{Try: try, Stage: s, Ran: DidNotRun, Replay: true} }
-	maybe := func(try int, s Stage) Failed { return Failed{Try: try, Stage: s, Replay: true} }
+	mayHaveRun := func(try int, s Stage) Failed { return Failed{Try: try, Stage: s, Replay: true} }
 	tests := []struct {
 		name    string
 		steps   []step
@@ -81,16 +81,16 @@
 		outcome Outcome
 		reason  Reason
 	}{
-		{"expired on arrival", []step{{99, once}}, "refuse", Refused, NotRun, ReasonDeadline},
+		{"expired on arrival", []step{{99, nonIdempotent}}, "refuse", Refused, NotRun, ReasonDeadline},
 		{"quarantined", []step{{0, Arrival{Deadline: deadline, Quarantined: time.Second}}}, "refuse", Refused, NotRun, ReasonQuarantined},
-		{"queue full", []step{{0, once}, {0, Decline{Reason: ReasonOverload}}}, "refuse", Refused, NotRun, ReasonOverload},
-		{"timeout in queue", []step{{0, once}, {100, expire{}}}, "withdraw refuse", Refused, NotRun, ReasonDeadline},
-		{"chosen too late", []step{{0, once}, {99, Choice{"a"}}}, "release refuse", Refused, NotRun, ReasonDeadline},
-		{"caller leaves the queue", []step{{0, once}, {5, leave{}}}, "withdraw refuse", Refused, NotRun, ReasonCancelled},
-		{"choice after the end", []step{{0, once}, {5, leave{}}, {6, Choice{"a"}}}, "release", Refused, NotRun, ReasonCancelled},
-		{"refused connection", []step{{0, once}, {0, Choice{"a"}}, {1, notRun(0, StageRefused)}}, "seek", Queued, NotRun, ""},
+		{"queue full", []step{{0, nonIdempotent}, {0, Decline{Reason: ReasonOverload}}}, "refuse", Refused, NotRun, ReasonOverload},
+		{"timeout in queue", []step{{0, nonIdempotent}, {100, expire{}}}, "withdraw refuse", Refused, NotRun, ReasonDeadline},
+		{"target assigned too late", []step{{0, nonIdempotent}, {99, Choice{"a"}}}, "release refuse", Refused, NotRun, ReasonDeadline},
+		{"caller disconnects while queued", []step{{0, nonIdempotent}, {5, leave{}}}, "withdraw refuse", Refused, NotRun, ReasonCancelled},
+		{"target assigned after the end", []step{{0, nonIdempotent}, {5, leave{}}, {6, Choice{"a"}}}, "release", Refused, NotRun, ReasonCancelled},
+		{"refused connection", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {1, notRun(0, StageRefused)}}, "acquire", Queued, NotRun, ""},
 		{"refused everywhere", []step{
-			{0, once},
+			{0, nonIdempotent},
 			{0, Choice{"a"}},
 			{1, notRun(0, StageRefused)},
 			{1, Choice{"b"}},
@@ -98,37 +98,37 @@
 			{2, Choice{"c"}},
 			{3, notRun(2, StageRefused)},
 		}, "refuse", Refused, NotRun, ReasonConnect},
-		{"refused, then nobody", []step{{0, once}, {0, Choice{"a"}}, {1, notRun(0, StageRefused)}, {1, Decline{Reason: ReasonOverload}}}, "refuse", Refused, NotRun, ReasonConnect},
-		{"refused, then timeout", []step{{0, once}, {0, Choice{"a"}}, {99, notRun(0, StageConnect)}}, "refuse", Refused, NotRun, ReasonConnect},
-		{"shed", []step{{0, once}, {0, Choice{"a"}}, {1, Head{Status: 503, Shed: true, Replay: true}}}, "cancel seek", Queued, NotRun, ""},
-		{"shed after the body was read", []step{{0, once}, {0, Choice{"a"}}, {1, Head{Status: 503, Shed: true}}}, "cancel refuse", Refused, NotRun, ReasonShed},
-		{"unavailable without a word", []step{{0, once}, {0, Choice{"a"}}, {1, Head{Status: 503, Replay: true}}}, "answer", Answered, Ran, ""},
-		{"reset after the write", []step{{0, once}, {0, Choice{"a"}}, {1, maybe(0, StageSent)}}, "refuse", GivenUp, Unknown, ReasonReset},
+		{"refused, then no target", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {1, notRun(0, StageRefused)}, {1, Decline{Reason: ReasonOverload}}}, "refuse", Refused, NotRun, ReasonConnect},
+		{"refused, then timeout", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {99, notRun(0, StageConnect)}}, "refuse", Refused, NotRun, ReasonConnect},
+		{"shed", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {1, Head{Status: 503, Shed: true, Replay: true}}}, "cancel acquire", Queued, NotRun, ""},
+		{"shed after the body was read", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {1, Head{Status: 503, Shed: true}}}, "cancel refuse", Refused, NotRun, ReasonShed},
+		{"unavailable, not marked as shed", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {1, Head{Status: 503, Replay: true}}}, "answer", Answered, Ran, ""},
+		{"reset after the write", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {1, mayHaveRun(0, StageSent)}}, "refuse", GivenUp, Unknown, ReasonReset},
 		{"refused, then reset", []step{
-			{0, once}, {0, Choice{"a"}}, {1, notRun(0, StageRefused)}, {1, Choice{"b"}}, {2, maybe(1, StageSent)},
+			{0, nonIdempotent}, {0, Choice{"a"}}, {1, notRun(0, StageRefused)}, {1, Choice{"b"}}, {2, mayHaveRun(1, StageSent)},
 		}, "refuse", GivenUp, Unknown, ReasonReset},
-		{"cut after success", []step{{0, once}, {0, Choice{"a"}}, {1, Failed{Stage: StageCut, Ran: DidRun, Replay: true}}}, "refuse", GivenUp, Ran, ReasonCut},
-		{"timeout at the target", []step{{0, once}, {0, Choice{"a"}}, {100, expire{}}}, "cancel refuse", GivenUp, Unknown, ReasonTimeout},
-		{"timeout while connecting", []step{{0, once}, {0, Choice{"a"}}, {50, notRun(0, StageTimeout)}}, "refuse", Refused, NotRun, ReasonTimeout},
-		{"late answer", []step{{0, once}, {0, Choice{"a"}}, {100, expire{}}, {101, Head{Status: 200}}}, "cancel", GivenUp, Unknown, ReasonTimeout},
-		{"caller leaves a dispatch", []step{{0, once}, {0, Choice{"a"}}, {5, leave{}}}, "cancel refuse", GivenUp, Unknown, ReasonCancelled},
-		{"no hedge", []step{{0, once}, {0, Choice{"a"}}, {20, hedge{}}}, "", Dispatched, Unknown, ""},
-		{"idempotent, reset", []step{{0, often}, {0, Choice{"a"}}, {1, maybe(0, StageSent)}}, "seek", Queued, Unknown, ""},
-		{"idempotent, reset, body gone", []step{{0, often}, {0, Choice{"a"}}, {1, Failed{Stage: StageSent}}}, "refuse", GivenUp, Unknown, ReasonReset},
-		{"idempotent, reset, told otherwise later", []step{
-			{0, often},
+		{"response cut after status 200", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {1, Failed{Stage: StageCut, Ran: DidRun, Replay: true}}}, "refuse", GivenUp, Ran, ReasonCut},
+		{"timeout at the target", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {100, expire{}}}, "cancel refuse", GivenUp, Unknown, ReasonTimeout},
+		{"timeout while connecting", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {50, notRun(0, StageTimeout)}}, "refuse", Refused, NotRun, ReasonTimeout},
+		{"late response", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {100, expire{}}, {101, Head{Status: 200}}}, "cancel", GivenUp, Unknown, ReasonTimeout},
+		{"caller disconnects during a dispatch", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {5, leave{}}}, "cancel refuse", GivenUp, Unknown, ReasonCancelled},
+		{"no hedge", []step{{0, nonIdempotent}, {0, Choice{"a"}}, {20, hedge{}}}, "", Dispatched, Unknown, ""},
+		{"idempotent, reset", []step{{0, idempotent}, {0, Choice{"a"}}, {1, mayHaveRun(0, StageSent)}}, "acquire", Queued, Unknown, ""},
+		{"idempotent, reset, body not replayable", []step{{0, idempotent}, {0, Choice{"a"}}, {1, Failed{Stage: StageSent}}}, "refuse", GivenUp, Unknown, ReasonReset},
+		{"idempotent, reset, late event ignored", []step{
+			{0, idempotent},
 			{0, Choice{"a"}},
-			{1, maybe(0, StageSent)},
+			{1, mayHaveRun(0, StageSent)},
 			{2, notRun(0, StageConnect)},
 			{3, Decline{Reason: ReasonOverload}},
 		}, "refuse", GivenUp, Unknown, ReasonReset},
-		{"idempotent, reset, quarantined", []step{{0, often}, {0, Choice{"a"}}, {1, Failed{Stage: StageSent, Replay: true, Quarantined: true}}}, "refuse", GivenUp, Unknown, ReasonQuarantined},
-		{"idempotent, unavailable", []step{{0, often}, {0, Choice{"a"}}, {1, Head{Status: 503, Replay: true}}}, "cancel seek", Queued, Unknown, ""},
-		{"hedge wins", []step{{0, often}, {0, Choice{"a"}}, {10, hedge{}}, {10, Choice{"b"}}, {12, Head{Try: 1, Status: 200}}}, "cancel answer", Answered, Ran, ""},
-		{"hedge loses", []step{{0, often}, {0, Choice{"a"}}, {10, hedge{}}, {10, Choice{"b"}}, {12, Head{Status: 200}}, {13, Head{Try: 1, Status: 200}}}, "cancel", Answered, Ran, ""},
-		{"answer while the hedge is sought", []step{{0, often}, {0, Choice{"a"}}, {10, hedge{}}, {12, Head{Status: 200}}}, "withdraw answer", Answered, Ran, ""},
-		{"first fails, hedge goes on", []step{{0, often}, {0, Choice{"a"}}, {10, hedge{}}, {10, Choice{"b"}}, {12, maybe(0, StageSent)}}, "", Dispatched, Unknown, ""},
-		{"first fails while the hedge is sought", []step{{0, often}, {0, Choice{"a"}}, {10, hedge{}}, {12, maybe(0, StageSent)}, {12, Decline{Reason: ReasonOverload}}}, "refuse", GivenUp, Unknown, ReasonReset},
+		{"idempotent, reset, quarantined", []step{{0, idempotent}, {0, Choice{"a"}}, {1, Failed{Stage: StageSent, Replay: true, Quarantined: true}}}, "refuse", GivenUp, Unknown, ReasonQuarantined},
+		{"idempotent, unavailable", []step{{0, idempotent}, {0, Choice{"a"}}, {1, Head{Status: 503, Replay: true}}}, "cancel acquire", Queued, Unknown, ""},
+		{"hedge wins", []step{{0, idempotent}, {0, Choice{"a"}}, {10, hedge{}}, {10, Choice{"b"}}, {12, Head{Try: 1, Status: 200}}}, "cancel answer", Answered, Ran, ""},
+		{"hedge loses", []step{{0, idempotent}, {0, Choice{"a"}}, {10, hedge{}}, {10, Choice{"b"}}, {12, Head{Status: 200}}, {13, Head{Try: 1, Status: 200}}}, "cancel", Answered, Ran, ""},
+		{"response while the hedge is pending", []step{{0, idempotent}, {0, Choice{"a"}}, {10, hedge{}}, {12, Head{Status: 200}}}, "withdraw answer", Answered, Ran, ""},
+		{"first fails, hedge continues", []step{{0, idempotent}, {0, Choice{"a"}}, {10, hedge{}}, {10, Choice{"b"}}, {12, mayHaveRun(0, StageSent)}}, "", Dispatched, Unknown, ""},
+		{"first fails while the hedge is pending", []step{{0, idempotent}, {0, Choice{"a"}}, {10, hedge{}}, {12, mayHaveRun(0, StageSent)}, {12, Decline{Reason: ReasonOverload}}}, "refuse", GivenUp, Unknown, ReasonReset},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -152,8 +152,8 @@
 	}
 }
 
-// A nested call copies the attempt, so that its entry knows whether the tree
-// below already runs a second time. What surely did not run doesn't count.
+// A nested call copies the attempt count, so that its entry knows whether the tree below
+// is already executed again. A dispatch that did not run doesn't count.
 func TestAttemptTravels(t *testing.T) {
 	tests := []struct {
 		attempt int
@@ -180,12 +180,12 @@
 	}
 }
 
-// flight is what a target and its entry know of one dispatch in the model.
+// flight is the modelled state of one dispatch.
 type flight struct {
 	ended, cancelled, mayHaveRun bool
 }
 
-// model follows the actions of a call and checks what must hold after each.
+// model tracks the actions of a Call and checks the invariants after each event.
 type model struct {
 	t       *rapid.T
 	call    *Call
@@ -199,7 +199,7 @@
 	for _, a := range acts.All() {
 		switch a.Do {
 		case DoSeek, DoHedge:
-			m.check(!m.seeking, "a second target sought")
+			m.check(!m.seeking, "a second target is pending")
 			m.seeking = true
 		case DoWithdraw, DoRelease:
 			m.seeking = false
@@ -210,25 +210,25 @@
 			m.flights[a.Try].cancelled = true
 		case DoAnswer:
 			m.answers++
-			m.check(!m.flights[a.Try].cancelled, "a cancelled dispatch answers")
+			m.check(!m.flights[a.Try].cancelled, "response of a cancelled dispatch")
 		case DoRefuse:
 			m.answers++
 			for _, f := range m.flights {
-				m.check(m.call.Final().Outcome != NotRun || !f.mayHaveRun, "not-run, but may have run")
+				m.check(m.call.Final().Outcome != NotRun || !f.mayHaveRun, "outcome not-run, but a dispatch may have run")
 			}
 		}
 	}
-	m.check(m.answers <= 1, "two answers")
-	m.check(m.call.State().Final() == (m.answers == 1), "final without an answer, or an answer before")
+	m.check(m.answers <= 1, "two responses")
+	m.check(m.call.State().Final() == (m.answers == 1), "final without a response, or a response before the final state")
 	if m.call.State().Final() {
-		m.check(!m.seeking, "a target still sought after the end")
+		m.check(!m.seeking, "a target is still pending in a final state")
 	}
 }
 
-// dispatched checks the rule of one run before it adds the dispatch.
+// dispatched checks that a non-idempotent request runs once, then adds the dispatch.
 func (m *model) dispatched() {
 	for _, f := range m.flights {
-		m.check(m.arrival.Idempotent || !f.mayHaveRun, "a second run of a request that isn't idempotent")
+		m.check(m.arrival.Idempotent || !f.mayHaveRun, "non-idempotent request dispatched again after it may have run")
 	}
 	m.flights = append(m.flights, flight{mayHaveRun: true})
 	m.check(len(m.flights) <= MaxTries, "too many dispatches")
@@ -240,7 +240,7 @@
 	}
 }
 
-// event draws any event, also one that is late, doubled or out of order.
+// event draws any event, including late, duplicate and out-of-order ones.
 func (m *model) event() any {
 	try := rapid.IntRange(-1, MaxTries).Draw(m.t, "try")
 	switch rapid.IntRange(0, 8).Draw(m.t, "event") {
@@ -264,7 +264,7 @@
 	}
 }
 
-// hear notes the first word about a dispatch; what follows can't change it.
+// hear records the first result of a dispatch; later ones don't change it.
 func (m *model) hear(try int, notRun bool) {
 	if try < 0 || try >= len(m.flights) || m.flights[try].ended {
 		return
@@ -273,9 +273,9 @@
 	m.flights[try].mayHaveRun = !notRun
 }
 
-// Whatever comes in whatever order, a caller gets one answer, a request that
-// isn't idempotent is dispatched again only after what surely did not run, and
-// not-run is said only then. Each request also ends once its dispatches do.
+// For any events in any order: a caller gets exactly one response. A request that isn't
+// idempotent is dispatched again only if no earlier dispatch can have run, and the outcome
+// not-run is reported only in that case. A request ends when its dispatches have ended.
 func TestLifecycleProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		call := New(Config{Tries: MaxTries, Budget: rich(8)})
@@ -296,7 +296,7 @@
 		}
 		m.seeking = false
 		m.take(call.Decline(now, Decline{Reason: ReasonOverload}))
-		m.check(m.answers == 1, "no answer")
+		m.check(m.answers == 1, "no response")
 		for i, f := range m.flights {
 			m.check(f.ended || f.cancelled, "dispatch left in flight "+string(rune('0'+i)))
 		}
--- a/pkg/call/crash_test.go
+++ b/pkg/call/crash_test.go
@@ -8,16 +8,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// outage sends one request that crashes each target, again and again, through
-// entries that tell each other of it between two sends.
+// outage simulates a caller that repeats a request which crashes its targets. The entries
+// exchange their suspects between two sends.
 type outage struct {
 	entries []*Suspects
 	now     time.Time
-	lost    int // targets; a new one stands in for each
+	lost    int // crashed targets; a new one replaces each
 	told    map[Reason]int
 }
 
-// send is one request of the caller; nothing in it depends on its key.
+// send sends one request of the caller. The result doesn't depend on an idempotency key.
 func (o *outage) send(s *Suspects, a Arrival) {
 	const fp = 7
 	a.Deadline = o.now.Add(time.Second)
@@ -43,8 +43,8 @@
 	o.lost++
 	began := o.now
 	o.now = o.now.Add(time.Millisecond)
-	held := s.Crashed(o.now, fp, x.Target, began)
-	return c.Fail(o.now, Failed{Try: x.Try, Stage: StageSent, Replay: true, Quarantined: held})
+	quarantined := s.Crashed(o.now, fp, x.Target, began)
+	return c.Fail(o.now, Failed{Try: x.Try, Stage: StageSent, Replay: true, Quarantined: quarantined})
 }
 
 func (o *outage) gossip() {
@@ -57,9 +57,9 @@
 	}
 }
 
-// A caller sends a request that crashes its target a hundred times, a second
-// apart, to one entry or to all in turn. Two targets are lost in each quarantine
-// time and no more; without it, each send costs one, or three with retries.
+// A caller sends a request that crashes its target 100 times, one second apart, to one
+// entry or to all in turn. At most two targets may crash per quarantine period. Without
+// the quarantine, each send would crash one target, or three with retries.
 func TestOneBadRequest(t *testing.T) {
 	tests := []struct {
 		name       string
--- a/pkg/call/event.go
+++ b/pkg/call/event.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// Arrival is a request that a caller has sent.
+// Arrival is the event of a request from a caller.
 type Arrival struct {
-	Deadline    time.Time     // when its caller stops waiting
-	Idempotent  bool          // a second run does no harm
-	Attempt     int           // of HeaderAttempt
-	Depth       int           // of HeaderDepth
-	Hedge       time.Duration // wait before a hedge; 0 is none, as for a body that can be read only once
-	Quarantined time.Duration // remaining quarantine of its fingerprint
+	Deadline    time.Time     // when the caller stops waiting
+	Idempotent  bool          // running the request twice is harmless
+	Attempt     int           // value of HeaderAttempt
+	Depth       int           // value of HeaderDepth
+	Hedge       time.Duration // delay before a hedge; 0 disables it, as for a body that can be read only once
+	Quarantined time.Duration // remaining quarantine of the request's fingerprint
 }
 
-// Choice is a target with a slot for the request.
+// Choice is the event of the pool assigning a target with a slot.
 type Choice struct {
 	Target string
 }
 
-// Decline says that no target takes the request.
+// Decline is the event of the pool finding no target.
 type Decline struct {
 	Reason Reason
-	Retry  time.Duration // when to come back
+	Retry  time.Duration // delay before the caller retries
 }
 
-// Failed is a dispatch that brought no whole answer.
+// Failed is the event of a dispatch ending without a complete response.
 type Failed struct {
 	Try         int
 	Stage       Stage
 	Ran         Execution
-	Replay      bool // the body can be sent again
-	Quarantined bool // it now counts as a request that crashes targets
+	Replay      bool // the request body can be sent again
+	Quarantined bool // the request is now in quarantine for crashing targets
 }
 
-// Head is the head of a target's answer.
+// ResponseHead is the event of a target's response head.
 type Head struct {
 	Try    int
 	Status int
-	Shed   bool // the target says that it did not begin the request
-	Unwell bool // the target failed, whatever the status says
-	Replay bool // the body can be sent again
+	Shed   bool // the target reported that it did not start the request
+	Unwell bool // the target failed, regardless of the status
+	Replay bool // the request body can be sent again
 }
 
-// End is the end of the answer that is passed on.
+// ResponseEnd is the event of the forwarded response ending.
 type End struct {
 	Try   int
 	Whole bool
--- a/pkg/call/outcome.go
+++ b/pkg/call/outcome.go
@@ -1,5 +1,6 @@
-// Package call decides the lifecycle of one request: its dispatches, retries
-// and hedges, and what its caller is told. It does no I/O and reads no clock.
+// Package call implements the lifecycle of one request as a state machine: its
+// dispatches, retries and hedges, and the response that its caller receives. It does
+// no I/O and reads no clock.
 package call
 
 import (
@@ -7,16 +8,16 @@
 	"time"
 )
 
-// Outcome is what the caller of a request is told about its execution.
+// Outcome is the execution status of a request that is reported to its caller.
 type Outcome uint8
 
-// The zero Outcome is Unknown, so that a forgotten field claims nothing.
+// The zero Outcome is Unknown, so that an unset field makes no claim.
 const (
 	// Unknown: the request may have run.
 	Unknown Outcome = iota
 	// NotRun: the request did not run and never will.
 	NotRun
-	// Ran: the request ran, but its answer can't be given.
+	// Ran: the request ran, but its response can't be delivered.
 	Ran
 )
 
@@ -32,21 +33,21 @@
 	}
 }
 
-// Execution is what one dispatch allows to say about its execution.
+// Execution is what is known about the execution of one dispatch.
 type Execution uint8
 
-// The zero Execution is MayHaveRun, so that a forgotten field claims nothing.
+// The zero Execution is MayHaveRun, so that an unset field makes no claim.
 const (
 	// MayHaveRun: bytes of the request left this process.
 	MayHaveRun Execution = iota
-	// DidNotRun: no byte of the request left this process, or its target said
-	// that it did not begin it.
+	// DidNotRun: no byte of the request left this process, or the target reported
+	// that it did not start it.
 	DidNotRun
-	// DidRun: the target has answered.
+	// DidRun: the target has sent a response.
 	DidRun
 )
 
-// Stage is how far a dispatch came before it failed.
+// Stage is the stage at which a dispatch failed.
 type Stage uint8
 
 // The stages, in the order in which a dispatch passes them.
@@ -55,19 +56,19 @@
 	StageConnect Stage = iota + 1
 	// StageRefused: the target refused the connection.
 	StageRefused
-	// StageUnsent: there was a connection, and nothing was written to it.
+	// StageUnsent: a connection was open, but nothing was written to it.
 	StageUnsent
-	// StageSent: some of the request was written and no whole answer head came.
+	// StageSent: part of the request was written, but no complete response head arrived.
 	StageSent
-	// StageCut: the answer head came and its body ended early.
+	// StageCut: the response head arrived, but the body ended early.
 	StageCut
-	// StageInvalid: the target lives, and its answer can't be passed on.
+	// StageInvalid: the target is alive, but its response can't be forwarded.
 	StageInvalid
-	// StageCaller: the body of the request could not be read from the caller.
+	// StageCaller: the request body could not be read from the caller.
 	StageCaller
 	// StageCancelled: the dispatch was cancelled.
 	StageCancelled
-	// StageTimeout: the time for the dispatch ran out.
+	// StageTimeout: the dispatch timed out.
 	StageTimeout
 )
 
@@ -84,28 +85,28 @@
 	return stages[s]
 }
 
-// Reason is the machine-readable cause of an answer that plumpitch makes.
+// Reason is the machine-readable cause of a response that plumpitch generates itself.
 type Reason string
 
-// Reasons for the answers that this package decides.
+// Reasons for the responses and extra dispatches that this package decides.
 const (
-	ReasonMalformed   Reason = "malformed"   // the request itself is wrong
-	ReasonDeadline    Reason = "deadline"    // its time ran out before a dispatch
-	ReasonOverload    Reason = "overload"    // the queue is full or too slow
-	ReasonUnavailable Reason = "unavailable" // no target can take it
+	ReasonMalformed   Reason = "malformed"   // the request is invalid
+	ReasonDeadline    Reason = "deadline"    // the deadline passed before a dispatch
+	ReasonOverload    Reason = "overload"    // the queue is full or its wait is too long
+	ReasonUnavailable Reason = "unavailable" // no target can accept the request
 	ReasonConnect     Reason = "connect"     // no connection to a target
-	ReasonShed        Reason = "shed"        // the target refused to begin it
+	ReasonShed        Reason = "shed"        // the target refused to start the request
 	ReasonReset       Reason = "reset"       // the target broke the connection
-	ReasonCut         Reason = "cut"         // the answer ended early
-	ReasonInvalid     Reason = "invalid"     // the answer broke the protocol
-	ReasonTimeout     Reason = "timeout"     // no answer in time after a dispatch
-	ReasonSlow        Reason = "slow"        // no answer yet, so that another target is asked beside
-	ReasonCancelled   Reason = "cancelled"   // its caller left
-	ReasonQuarantined Reason = "quarantined" // it crashed targets before
-	ReasonPanic       Reason = "panic"       // a fault in plumpitch itself
+	ReasonCut         Reason = "cut"         // the response ended early
+	ReasonInvalid     Reason = "invalid"     // the response violated the protocol
+	ReasonTimeout     Reason = "timeout"     // no response in time after a dispatch
+	ReasonSlow        Reason = "slow"        // no response yet; a hedge goes to another target
+	ReasonCancelled   Reason = "cancelled"   // the caller disconnected
+	ReasonQuarantined Reason = "quarantined" // the request has crashed targets
+	ReasonPanic       Reason = "panic"       // an internal error of plumpitch
 )
 
-// Reason returns the reason that a failure in this stage is reported with.
+// Reason returns the reason reported for a failure at this stage.
 func (s Stage) Reason() Reason {
 	switch s {
 	case StageConnect, StageRefused, StageUnsent:
@@ -123,16 +124,16 @@
 	}
 }
 
-// Final is an answer that plumpitch makes itself.
+// Final is a response that plumpitch generates itself.
 type Final struct {
 	Outcome Outcome
 	Reason  Reason
-	Detail  string        // for people; names field, found and expected
-	Retry   time.Duration // when to come back; 0 says nothing
-	Status  int           // HTTP status; 0 takes the one of the reason
+	Detail  string        // for people: the field, the value found and the values expected
+	Retry   time.Duration // delay before the caller retries; 0 omits it
+	Status  int           // HTTP status; 0 derives it from Reason
 }
 
-// Code returns the HTTP status of a final answer.
+// StatusCode returns the HTTP status of the response.
 func (f Final) Code() int {
 	if f.Status != 0 {
 		return f.Status
--- a/pkg/call/parse.go
+++ b/pkg/call/parse.go
@@ -8,26 +8,26 @@
 
 const (
 	maxTimeout = time.Hour
-	maxCount   = 1000 // of attempts and of levels
-	maxFound   = 64   // bytes of a bad value that an error repeats
+	maxCount   = 1000 // limit of attempts and of levels
+	maxFound   = 64   // bytes of an invalid value quoted in an error
 )
 
-// Header holds what a request says about its place in time and in a call tree.
+// Header holds the timeout of a request and its position in a call tree.
 type Header struct {
-	Timeout time.Duration // time remaining
-	Limited bool          // Timeout was given; 0 is then expired
+	Timeout time.Duration // time remaining for the request
+	Limited bool          // the request has a timeout; a Timeout of 0 is then expired
 	Attempt int
 	Depth   int
 }
 
-// HeaderError is a header that can't be read.
+// HeaderError is an invalid header.
 type HeaderError struct {
 	Name     string
 	Found    string
 	Expected string
 }
 
-// Error names the header, what was found and what was expected.
+// Error returns the header name, the value found and the values expected.
 func (e *HeaderError) Error() string {
 	found := e.Found
 	if len(found) > maxFound {
@@ -36,7 +36,7 @@
 	return "header " + e.Name + ": found " + strconv.Quote(found) + ", expected " + e.Expected
 }
 
-// ParseHeader reads the headers of a request. A missing header takes zero.
+// ParseHeader parses the headers of a request. A missing header yields zero.
 func ParseHeader(h http.Header) (p Header, err error) {
 	if p.Timeout, p.Limited, err = parseTimeout(h); err != nil {
 		return Header{}, err
@@ -74,8 +74,8 @@
 	return int(u), nil
 }
 
-// single returns the only value of a header. Two values are an error: which of
-// them holds would depend on the reader.
+// singleValue returns the only value of a header. Several values are an error, because
+// readers would differ on which one applies.
 func single(h http.Header, name string) (s string, found bool, err error) {
 	values := h[name]
 	switch len(values) {
--- a/pkg/call/parse_test.go
+++ b/pkg/call/parse_test.go
@@ -21,7 +21,7 @@
 		{"expired", http.Header{HeaderTimeout: {"0s"}}, Header{Limited: true}, ""},
 		{"no unit", http.Header{HeaderTimeout: {"250"}}, Header{}, `header Plumpitch-Timeout: found "250", expected a duration with unit .*`},
 		{"negative", http.Header{HeaderTimeout: {"-1ms"}}, Header{}, `header Plumpitch-Timeout: found "-1ms", .*`},
-		{"too long a time", http.Header{HeaderTimeout: {"61m"}}, Header{}, `header Plumpitch-Timeout: found "61m", .*`},
+		{"timeout too long", http.Header{HeaderTimeout: {"61m"}}, Header{}, `header Plumpitch-Timeout: found "61m", .*`},
 		{"overflow", http.Header{HeaderTimeout: {"99999999999h"}}, Header{}, `header Plumpitch-Timeout: .*`},
 		{"empty", http.Header{HeaderTimeout: {""}}, Header{}, `header Plumpitch-Timeout: found "", .*`},
 		{"two values", http.Header{HeaderTimeout: {"1s", "2s"}}, Header{}, `header Plumpitch-Timeout: found "1s, 2s", expected one value`},
@@ -62,7 +62,7 @@
 	})
 }
 
-// Parts of a request that run into one another must not make two requests one.
+// Different requests whose concatenated parts are equal must have different fingerprints.
 func TestPrint(t *testing.T) {
 	c := qt.New(t)
 	seen := map[uint64]int{}
@@ -70,8 +70,8 @@
 		Print("a", "GET", "/b", "c", 0), Print("aG", "ET", "/b", "c", 0), Print("a", "GET", "/bc", "", 0),
 		Print("a", "GET", "/b", "c", 1), Print("a", "POST", "/b", "c", 0), Print("a", "GET", "/b", "", 0),
 	} {
-		_, double := seen[fp]
-		c.Assert(double, qt.IsFalse, qt.Commentf("%d and %d", i, seen[fp]))
+		_, duplicate := seen[fp]
+		c.Assert(duplicate, qt.IsFalse, qt.Commentf("%d and %d", i, seen[fp]))
 		seen[fp] = i
 	}
 	c.Assert(Print("a", "GET", "/b", "c", 0), qt.Equals, Print("a", "GET", "/b", "c", 0))
--- a/pkg/call/patience.go
+++ b/pkg/call/patience.go
@@ -6,69 +6,71 @@
 	"time"
 )
 
-// Patience tells, from how long callers of a route still wait, how long one of
-// them has been waiting already: one that comes back after a refusal has less
-// time left than it had at first.
+// WaitEstimator estimates how long a caller of a route has been waiting already,
+// from its remaining time. A caller that retries after a refusal has less time left
+// than at its first attempt.
 //
-// That is knowledge only where many callers begin with the same time. Where the
-// times of first attempts differ from caller to caller, a short one says
-// nothing: taken for a return, every second first attempt would be refused as
-// too late on an idle service. So Patience learns which times come again and
-// again, to the millisecond; a return's time is worn down by the network and the
-// wait, and hardly ever the same twice. It is safe for concurrent use.
+// The estimate is possible only where many callers start with the same timeout.
+// Where the timeouts of first attempts vary, a short remaining time proves nothing:
+// if it were taken for a retry, half of the first attempts to an idle service would
+// be refused as too late. So WaitEstimator learns which remaining times recur, to the
+// millisecond. The remaining time of a retry is reduced by the network and the wait,
+// and rarely repeats. It is safe for concurrent use.
 type Patience struct {
 	mu     sync.Mutex
-	seen   int // attempts, those of long ago count less
+	seen   int // attempts counted, halved at maxAttempts
 	common [commonTimes]commonTime
 }
 
-// commonTime is a time that was left to callers, and how often.
+// timeCounter counts the attempts with one remaining time.
 type commonTime struct {
 	left  time.Duration
 	count int
 }
 
 const (
-	// commonTimes is how many different times are counted at once. A time that
-	// more than one in nine callers have is among them for certain.
+	// counterCount is the number of remaining times counted at once. A time shared by
+	// more than one in nine attempts always has a counter.
 	commonTimes = 8
-	// fewestSeen is how many attempts must have come before any time counts: four
-	// of them have a common one then, where two may be the same by chance.
+	// minAttempts is the number of attempts before any time counts as a starting
+	// timeout. A starting timeout then has at least four attempts; two could share a
+	// time by chance.
 	fewestSeen = 32
-	// commonShare is the part of all attempts from which on a time counts as one
-	// that callers begin with: one in eight. Times spread over 100 ms have one in
-	// a hundred each; of callers that share one, half still begin with it where
-	// every request is refused and comes back once.
+	// commonDivisor sets the share of attempts above which a time counts as a starting
+	// timeout: one in eight. Of times spread over 100 ms, each has one in a hundred.
+	// Where callers share a timeout and every request is refused and retried once, half
+	// of the attempts still have that timeout.
 	commonShare = 8
-	// seenMost is the number of attempts at which all counts are halved, so that
-	// callers who change are known after some hundred.
+	// maxAttempts is the number of attempts at which all counts are halved, so that new
+	// timeouts are learned within a few hundred attempts.
 	seenMost = 256
 )
 
-// Elapsed takes how long a caller still waits, and returns how long it has been
-// waiting already, as far as is known.
-func (p *Patience) Elapsed(left time.Duration) time.Duration {
+// Elapsed counts an attempt of a caller with the given remaining time, and returns how
+// long the caller has been waiting already, or 0 if that is unknown. The estimate is the
+// smallest one that a starting timeout allows.
+func (p *Patience) Elapsed(remaining time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.count(left.Truncate(time.Millisecond))
+	p.count(remaining.Truncate(time.Millisecond))
 	if p.seen < fewestSeen {
 		return 0
 	}
-	began := time.Duration(math.MaxInt64)
+	timeout := time.Duration(math.MaxInt64)
 	for _, c := range p.common {
-		if c.left >= left && c.count*commonShare >= p.seen {
-			began = min(began, c.left)
+		if c.left >= remaining && c.count*commonShare >= p.seen {
+			timeout = min(timeout, c.left)
 		}
 	}
-	if began == math.MaxInt64 {
+	if timeout == math.MaxInt64 {
 		return 0
 	}
-	return began - left
+	return timeout - remaining
 }
 
-// count counts the most frequent times in bounded room, by the algorithm of
-// Misra and Gries.
-func (p *Patience) count(left time.Duration) {
+// count counts the most frequent remaining times in bounded memory, by the Misra-Gries
+// algorithm.
+func (p *Patience) count(remaining time.Duration) {
 	p.seen++
 	if p.seen > seenMost {
 		p.seen /= 2
@@ -79,7 +81,7 @@
 	free := -1
 	for i := range p.common {
 		switch c := &p.common[i]; {
-		case c.count > 0 && c.left == left:
+		case c.count > 0 && c.left == remaining:
 			c.count++
 			return
 		case c.count == 0:
@@ -87,7 +89,7 @@
 		}
 	}
 	if free >= 0 {
-		p.common[free] = commonTime{left, 1}
+		p.common[free] = commonTime{remaining, 1}
 		return
 	}
 	for i := range p.common {
--- a/pkg/call/patience_test.go
+++ b/pkg/call/patience_test.go
@@ -10,27 +10,27 @@
 
 const ms = time.Millisecond
 
-// A caller that was refused comes back with less time left. Its objective counts
-// from its first attempt: served before others, it would be late all the same
-// and make them late too. One that begins with little time must not be taken for
-// it: it would be refused on an idle service.
+// A caller that retries after a refusal has less time left. Its latency objective counts
+// from its first attempt: if it were served before others, it would still be late and make
+// them late too. A caller that starts with a short timeout must not be taken for such a
+// retry: it would be refused by an idle service.
 func TestPatience(t *testing.T) {
 	fixed := func(*rand.Rand) time.Duration { return 800 * ms }
 	spread := func(r *rand.Rand) time.Duration { return time.Duration(2125+r.IntN(750)) * ms }
 	tests := []struct {
 		name  string
 		first func(*rand.Rand) time.Duration
-		// back is the part of all attempts that are returns, 100 to 300 ms after
-		// the one before.
-		back float64
-		// known is the part of the returns whose wait must be known to the
+		// retries is the share of attempts that are retries, 100 to 300 ms after
+		// the previous attempt.
+		retries float64
+		// known is the share of retries whose wait must be estimated to the
 		// millisecond.
 		known float64
 	}{
 		{"equal deadlines", fixed, 0.1, 0.99},
-		{"equal deadlines, every second attempt a return", fixed, 0.5, 0.99},
+		{"equal deadlines, every second attempt a retry", fixed, 0.5, 0.99},
 		{"spread deadlines", spread, 0.1, 0},
-		{"a few very patient callers", func(r *rand.Rand) time.Duration {
+		{"a few callers with long timeouts", func(r *rand.Rand) time.Duration {
 			if r.IntN(25) == 0 {
 				return 8 * time.Second
 			}
@@ -44,10 +44,10 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var p Patience
 			rnd := rand.New(rand.NewPCG(1, 2))
-			wrong, back, known := 0, 0, 0
+			wrong, retries, known := 0, 0, 0
 			var left, waited time.Duration
 			for n := range 4000 {
-				if waited > 0 || rnd.Float64() >= tt.back/(1-tt.back) {
+				if waited > 0 || rnd.Float64() >= tt.retries/(1-tt.retries) {
 					left, waited = tt.first(rnd), 0
 				} else {
 					waited = time.Duration(100+rnd.IntN(200)) * ms
@@ -58,20 +58,20 @@
 				case waited == 0 && got != 0:
 					wrong++
 				case waited > 0:
-					back++
+					retries++
 					if got == waited {
 						known++
 					}
 				}
 			}
-			qt.Check(t, wrong, qt.Equals, 0, qt.Commentf("first attempts taken for returns"))
-			qt.Check(t, float64(known) >= tt.known*float64(back), qt.IsTrue, qt.Commentf("%d of %d returns known", known, back))
+			qt.Check(t, wrong, qt.Equals, 0, qt.Commentf("first attempts taken for retries"))
+			qt.Check(t, float64(known) >= tt.known*float64(retries), qt.IsTrue, qt.Commentf("%d of %d waits of retries known", known, retries))
 		})
 	}
 }
 
-// Callers change: those of today wait less than those of before, and a first
-// attempt of theirs is soon taken for one.
+// Callers change to a shorter timeout. Their first attempts must be recognized as such
+// after fewer than 100 attempts.
 func TestPatienceOfOtherCallers(t *testing.T) {
 	var p Patience
 	for range 1000 {
--- a/pkg/call/print.go
+++ b/pkg/call/print.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Print returns the fingerprint of a request: two requests with the same one
-// are taken for the same. body is the hash of the body, as far as it is known
-// before the first dispatch.
+// Fingerprint returns a hash that identifies a request: requests with equal
+// fingerprints are treated as the same request. body is the hash of the part of the
+// body that is known before the first dispatch.
 func Print(service, method, path, query string, body uint64) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -20,13 +20,14 @@
 	return d.Sum64()
 }
 
+// writeUint64 adds n to the hash.
 func number(d *xxhash.Digest, n uint64) {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], n)
 	d.Write(b[:])
 }
 
-// BodyHash returns the hash of a body for Print.
+// BodyHash returns the hash of a body for Fingerprint.
 func BodyHash(body []byte) uint64 {
 	return xxhash.Sum64(body)
 }
--- a/pkg/call/spread.go
+++ b/pkg/call/spread.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Export returns at most n fingerprints for other entries, quarantined ones
-// first. Of the others it tells what was seen here and not what peers said: a
-// count that comes back by way of a third entry would be added twice. A
-// quarantine is a verdict with a time of its own and is passed on as it is.
+// Export returns at most n fingerprints to send to other entries, quarantined ones
+// first. For those not in quarantine it reports only crashes that this entry observed:
+// counts from peers would be added twice when they return through a third entry. A
+// quarantine is exported in full with its own age, whichever entries observed the crashes.
 func (s *Suspects) Export(now time.Time, n int) []Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,7 +33,7 @@
 	return out
 }
 
-// Merge takes what the entry called peer has exported.
+// Merge merges the fingerprints that the entry named peer exported.
 func (s *Suspects) Merge(now time.Time, peer string, list []Suspect) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,8 +67,8 @@
 	s.put(x)
 }
 
-// heard keeps the highest count of each of the first few peers; with as many
-// the fingerprint is in quarantine anyhow.
+// setPeerCount keeps the highest count of each of the first maxPeers peers. A
+// fingerprint with crashes from that many peers is in quarantine already.
 func (x *suspect) heard(peer uint64, crashes int) {
 	for i := range x.peers {
 		p := &x.peers[i]
--- a/pkg/call/state.go
+++ b/pkg/call/state.go
@@ -1,27 +1,27 @@
 package call
 
-// State is where a request stands in its lifecycle.
+// State is a state in the lifecycle of a request.
 type State uint8
 
 // The states of a request.
 const (
-	// Arrived: nothing was decided yet.
+	// Arrived: the request has not been processed yet.
 	Arrived State = iota
-	// Queued: it waits for a target, and no dispatch is in flight.
+	// Queued: the request waits for a target, and no dispatch is in flight.
 	Queued
 	// Dispatched: at least one dispatch is in flight.
 	Dispatched
-	// Answered: a target's answer is passed on. Final.
+	// Answered: a target's response is forwarded. Final.
 	Answered
-	// Refused: plumpitch answered, and the request surely did not run. Final.
+	// Refused: plumpitch responded itself; the request did not run. Final.
 	Refused
-	// GivenUp: plumpitch answered, and the request ran or may have run. Final.
+	// GivenUp: plumpitch responded itself; the request ran or may have run. Final.
 	GivenUp
 )
 
 var states = [...]string{"arrived", "queued", "dispatched", "answered", "refused", "given-up"}
 
-// String returns the name of a state.
+// String returns the name of the state.
 func (s State) String() string {
 	if int(s) >= len(states) {
 		return "none"
@@ -29,13 +29,13 @@
 	return states[s]
 }
 
-// Final reports whether nothing follows on a state.
+// Final reports whether s allows no further transition.
 func (s State) Final() bool {
 	return s >= Answered
 }
 
-// next lists the allowed transitions. A request returns from Dispatched to
-// Queued when its only dispatch failed and it may be tried again.
+// allowedTransitions lists the successors of each state. A request returns from
+// Dispatched to Queued when its only dispatch in flight failed and a retry is allowed.
 var next = [...][]State{
 	Arrived:    {Queued, Refused},
 	Queued:     {Dispatched, Refused, GivenUp},
--- a/pkg/call/step.go
+++ b/pkg/call/step.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Arrive begins the lifecycle.
+// Arrive starts the lifecycle. A quarantined or expired request is refused.
 func (c *Call) Arrive(now time.Time, a Arrival) (acts Actions) {
 	if c.state != Arrived {
 		return acts
@@ -24,8 +24,8 @@
 	return acts
 }
 
-// Choose dispatches to the target that the pool has chosen. A choice that
-// comes when none is needed any more goes back unused.
+// Choose dispatches to the target that the pool assigned. If no target is pending any
+// more, it releases the slot.
 func (c *Call) Choose(now time.Time, e Choice) (acts Actions) {
 	if c.state.Final() || c.seek == seekNone {
 		acts.add(Action{Do: DoRelease, Target: e.Target})
@@ -61,7 +61,8 @@
 	}
 }
 
-// why is why the next dispatch isn't the first one, empty where it is.
+// dispatchReason returns the cause of the next dispatch if it is a retry or hedge, and
+// an empty reason for the first dispatch.
 func (c *Call) why() Reason {
 	switch {
 	case c.n == 0:
@@ -72,7 +73,8 @@
 	return c.reason
 }
 
-// mayHaveRun counts the dispatches that load the tree below a second time.
+// countMayHaveRun returns the number of dispatches that may have run. The next dispatch
+// may execute the call tree below it as many times again.
 func (c *Call) mayHaveRun() (n int) {
 	for i := range c.tries[:c.n] {
 		if c.tries[i].state != tryNotRun {
@@ -82,7 +84,7 @@
 	return n
 }
 
-// Decline ends the wait for a target without one.
+// Decline handles the pool finding no target.
 func (c *Call) Decline(_ time.Time, e Decline) (acts Actions) {
 	if c.state.Final() || c.seek == seekNone {
 		return acts
@@ -92,7 +94,7 @@
 	return acts
 }
 
-// unseek returns the token of a target that isn't sought any more.
+// endAcquisition ends the pending target request and returns its token.
 func (c *Call) unseek() {
 	c.seek = seekNone
 	if c.cfg.Budget != nil {
@@ -101,7 +103,8 @@
 	c.token = Token{}
 }
 
-// waits reports whether something is still on the way.
+// stillPending reports whether a dispatch is in flight or a target is pending. If only a
+// target is pending, the request returns to Queued.
 func (c *Call) waits() bool {
 	if c.flying() > 0 {
 		return true
@@ -113,7 +116,8 @@
 	return true
 }
 
-// idle finishes the request when nothing is in flight and nothing sought.
+// finishIfIdle finishes the request when no dispatch is in flight and no target is
+// pending. The reason of a failed dispatch takes precedence over r.
 func (c *Call) idle(acts *Actions, r Reason, retry time.Duration) {
 	if c.waits() {
 		return
@@ -124,7 +128,7 @@
 	c.finish(acts, r, retry)
 }
 
-// Fail takes a failed dispatch and tries again where that is allowed.
+// Fail handles a failed dispatch and retries it where allowed.
 func (c *Call) Fail(now time.Time, e Failed) (acts Actions) {
 	if !c.flies(e.Try) {
 		return acts
@@ -153,13 +157,14 @@
 	}
 }
 
-// retryable: after the other stages the caller has gone, or its time has.
+// retryable reports whether a failure at this stage can be retried. After the other
+// stages the caller has disconnected or its time has run out.
 func (s Stage) retryable() bool {
 	return s != StageCaller && s != StageCancelled && s != StageTimeout
 }
 
-// again seeks another target when nothing else is on the way and a second
-// dispatch is allowed, else it finishes.
+// retryOrFinish acquires another target if wanted and allowed, otherwise it finishes the
+// request. It does nothing while a dispatch or a target is pending.
 func (c *Call) again(now time.Time, acts *Actions, wanted bool) {
 	if c.waits() {
 		return
@@ -173,31 +178,32 @@
 	acts.add(Action{Do: DoSeek})
 }
 
-// mayRetry takes a token for another dispatch. A request that isn't idempotent
-// gets one only if no earlier dispatch can have run: else a deposit would be
-// taken twice. The states of the tries say so, and nothing but a failure that
-// surely did not run sets them to it.
+// takeRetryToken takes a token for a retry and reports whether it got one. A request that
+// isn't idempotent gets one only if no earlier dispatch can have run: otherwise a payment
+// could be taken twice. Only a failure that proves that the request did not run sets a
+// dispatch to statusNotRun.
 func (c *Call) mayRetry(now time.Time) bool {
 	if c.n >= c.cfg.Tries || c.remaining(now) <= 0 {
 		return false
 	}
-	clean := c.Outcome() == NotRun
-	if !clean && !c.arrival.Idempotent {
+	notRun := c.Outcome() == NotRun
+	if !notRun && !c.arrival.Idempotent {
 		return false
 	}
-	return c.spend(clean)
+	return c.spend(notRun)
 }
 
-func (c *Call) spend(clean bool) (ok bool) {
+// takeToken takes a token from the budget and records a denial.
+func (c *Call) spend(notRun bool) (ok bool) {
 	if c.cfg.Budget == nil {
 		return false
 	}
-	c.token, ok = c.cfg.Budget.Take(c.arrival.Depth, c.arrival.Attempt, clean)
+	c.token, ok = c.cfg.Budget.Take(c.arrival.Depth, c.arrival.Attempt, notRun)
 	c.spent = c.spent || !ok
 	return ok
 }
 
-// Head takes the head of an answer. The first acceptable one is passed on, and
+// ReceiveHead handles a response head. The first acceptable response is forwarded, and
 // all other dispatches are cancelled.
 func (c *Call) Head(now time.Time, e Head) (acts Actions) {
 	if e.Try < 0 || e.Try >= c.n {
@@ -224,8 +230,9 @@
 	return acts
 }
 
-// retryHead drops an answer that says the target can't serve, when a hedge is
-// on its way or another target may be asked.
+// retryHead discards a response that shows that the target can't serve the request, when
+// another dispatch or a target is pending, or a retry is allowed. It reports whether it
+// discarded the response.
 func (c *Call) retryHead(now time.Time, e Head, acts *Actions) bool {
 	if !c.arrival.Idempotent || !unavailable(e.Status) && !e.Unwell {
 		return false
@@ -258,19 +265,20 @@
 	return false
 }
 
-// End takes the end of the answer that is passed on.
+// ReceiveEnd handles the end of the forwarded response.
 func (c *Call) End(_ time.Time, e End) {
 	if c.state == Answered && e.Try >= 0 && e.Try < c.n && !e.Whole {
 		c.reason = ReasonCut
 	}
 }
 
-// Cut reports whether the answer that was passed on ended early.
+// ResponseCut reports whether the forwarded response ended early.
 func (c *Call) Cut() bool {
 	return c.state == Answered && c.reason == ReasonCut
 }
 
-// Hedge asks for a second target when the first is slow.
+// Hedge handles the hedge timer: it acquires a second target while the only dispatch in
+// flight is slow.
 func (c *Call) Hedge(now time.Time) (acts Actions) {
 	if c.state != Dispatched || c.seek != seekNone || !c.arrival.Idempotent || c.flying() != 1 {
 		return acts
@@ -283,7 +291,7 @@
 	return acts
 }
 
-// Expire ends a request whose deadline has passed.
+// Expire finishes a request whose deadline has passed.
 func (c *Call) Expire(_ time.Time) (acts Actions) {
 	if c.state.Final() {
 		return acts
@@ -297,7 +305,7 @@
 	return acts
 }
 
-// Leave ends a request whose caller has gone.
+// CallerLeft finishes a request whose caller has disconnected.
 func (c *Call) Leave(_ time.Time) (acts Actions) {
 	if c.state.Final() {
 		return acts
@@ -307,8 +315,8 @@
 	return acts
 }
 
-// abandon cancels all that is in flight and all that is sought. A cancelled
-// dispatch stays in flight for the outcome: it may have run.
+// cancelAll cancels all dispatches in flight and withdraws a pending target request. A
+// cancelled dispatch still counts as in flight for the outcome, because it may have run.
 func (c *Call) abandon(acts *Actions) {
 	if c.seek != seekNone {
 		c.unseek()
@@ -321,7 +329,7 @@
 	}
 }
 
-// finish answers the caller.
+// finish refuses the request, or gives it up if it may have run.
 func (c *Call) finish(acts *Actions, r Reason, retry time.Duration) {
 	outcome := c.Outcome()
 	if retry <= 0 && outcome == NotRun && r != ReasonDeadline {
--- a/pkg/call/suspect.go
+++ b/pkg/call/suspect.go
@@ -14,47 +14,47 @@
 	defaultWindow  = time.Minute
 	defaultHold    = 5 * time.Minute
 	defaultKept    = 1024
-	maxPeers       = 4 // peers whose counts are kept for one fingerprint
+	maxPeers       = 4 // peers whose crash counts are kept per fingerprint
 )
 
-// SuspectsConfig of Suspects. Zero fields take the defaults.
+// SuspectsConfig configures Suspects. Zero fields take the defaults.
 type SuspectsConfig struct {
-	Crashes int           // crashed targets that lead to quarantine; default 2
-	Window  time.Duration // a crash is forgotten after it; default 1 min
-	Hold    time.Duration // length of a quarantine after its last crash; default 5 min
-	Kept    int           // fingerprints kept, of each kind; default 1024
+	Crashes int           // crashed targets that start a quarantine; default 2
+	Window  time.Duration // time after which crashes expire; default 1 min
+	Hold    time.Duration // duration of a quarantine after the last crash; default 5 min
+	Kept    int           // limit of fingerprints in quarantine, and of the others; default 1024
 }
 
-// Suspect is what one entry tells another of a fingerprint. Zero crashes say
-// that the request was answered and is cleared.
+// Suspect is the record of a fingerprint that entries exchange. Zero crashes mean
+// that a target responded to the request, which clears it.
 type Suspect struct {
 	Print   uint64
 	Crashes int
-	Age     time.Duration // since the last crash, or since it was cleared
+	Age     time.Duration // time since the last crash, or since it was cleared
 }
 
-// Suspects counts the targets that broke their connection under a request, by
-// its fingerprint. A request that crashes whatever runs it would otherwise go,
-// by retries and by its caller's resends under any key, from target to target
-// until the service is gone. It is safe for concurrent use.
+// Suspects counts, by request fingerprint, the targets that broke their connection
+// while they handled the request. Without it, a request that crashes every target
+// would reach one target after the other until the service is down, by retries and by
+// the caller sending it again under any idempotency key. It is safe for concurrent use.
 //
-// Only crashes that follow on one another count: a dispatch that was under way
-// when an earlier crash was noted counts with that one. So a place that fails
-// with all its targets doesn't quarantine what many callers ask for, and a
-// whole answer clears its fingerprint.
+// Only consecutive crashes count: a dispatch that was in flight when an earlier crash
+// was recorded is counted as part of that crash. So a failure domain that fails with
+// all its targets doesn't quarantine a popular request. A complete response clears
+// the fingerprint.
 type Suspects struct {
 	cfg   SuspectsConfig
 	size  atomic.Int64
 	mu    sync.Mutex
 	known map[uint64]*list.Element
-	loose *list.List // of *suspect, latest first, not in quarantine
-	held  *list.List // of *suspect, latest first, in quarantine
+	loose *list.List // of *suspect, not in quarantine, most recently changed first
+	held  *list.List // of *suspect, in quarantine, most recently changed first
 }
 
 type suspect struct {
 	print   uint64
-	targets []uint64 // hashes of the targets that crashed here
-	last    time.Time
+	targets []uint64  // hashes of the targets whose crash this entry observed
+	last    time.Time // of the last crash or clearing
 	held    bool
 	cleared bool
 	peers   [maxPeers]peerCount
@@ -82,13 +82,13 @@
 	return &Suspects{cfg: cfg, known: make(map[uint64]*list.Element), loose: list.New(), held: list.New()}
 }
 
-// Crash reports whether a failure in this stage may be the request's doing.
+// MayBeCrash reports whether a failure at this stage may be caused by the request.
 func (s Stage) Crash() bool {
 	return s == StageSent || s == StageCut
 }
 
-// Crashed notes that target broke the connection under a request that was
-// dispatched at began, and reports whether the request is in quarantine.
+// RecordCrash records that target broke the connection of a request that was dispatched
+// at began, and reports whether the request is in quarantine.
 func (s *Suspects) Crashed(now time.Time, fp uint64, target string, began time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,18 +102,19 @@
 	return x.held
 }
 
-func (x *suspect) crash(target uint64, most int) {
+// addTarget adds a crashed target, up to limit different targets.
+func (x *suspect) crash(target uint64, limit int) {
 	for _, t := range x.targets {
 		if t == target {
 			return
 		}
 	}
-	if len(x.targets) < most {
+	if len(x.targets) < limit {
 		x.targets = append(x.targets, target)
 	}
 }
 
-// Crashes returns how many targets a request has crashed, as far as is known here.
+// CrashCount returns the number of target crashes known for a request.
 func (s *Suspects) Crashes(fp uint64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +124,8 @@
 	return 0
 }
 
-// Quarantined returns how long a request stays in quarantine, 0 if it isn't.
+// QuarantineRemaining returns the remaining quarantine of a request, or 0 if it isn't in
+// quarantine.
 func (s *Suspects) Quarantined(now time.Time, fp uint64) time.Duration {
 	if s.size.Load() == 0 {
 		return 0
@@ -141,8 +143,8 @@
 	return max(s.cfg.Hold-now.Sub(x.last), 0)
 }
 
-// Answered clears a fingerprint: a target ran the request and lives. It reports whether
-// anything was known of it.
+// RecordResponse clears a fingerprint because a target ran the request and is still alive.
+// It reports whether the fingerprint had crashes.
 func (s *Suspects) Answered(now time.Time, fp uint64) bool {
 	if s.size.Load() == 0 {
 		return false
@@ -162,6 +164,7 @@
 	s.put(x)
 }
 
+// crashCount returns the crashes that this entry observed plus those that peers reported.
 func (x *suspect) count() int {
 	n := len(x.targets)
 	for _, p := range x.peers {
@@ -170,8 +173,8 @@
 	return n
 }
 
-// take removes a fingerprint from the lists, or starts a new one when it is
-// unknown or out of time.
+// detach removes a fingerprint from the table and returns it. It returns a new one when
+// the fingerprint is unknown or expired.
 func (s *Suspects) take(now time.Time, fp uint64) *suspect {
 	e := s.known[fp]
 	if e == nil {
@@ -203,8 +206,9 @@
 	s.size.Store(int64(len(s.known)))
 }
 
-// put files a fingerprint. Each list is bounded by itself, so that a storm of
-// single crashes can't push a request out of its quarantine.
+// insert adds a fingerprint to the list that matches its crash count, and removes the
+// oldest one beyond MaxFingerprints. Each list has its own limit, so that many single
+// crashes can't evict a request from quarantine.
 func (s *Suspects) put(x *suspect) {
 	x.held = x.count() >= s.cfg.Crashes
 	l := s.loose
--- a/pkg/call/suspect_test.go
+++ b/pkg/call/suspect_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// crash is one target that breaks its connection; times are in seconds.
+// crash is one target that breaks its connection. Times are in seconds.
 type crash struct {
 	began, at int
 	target    string
@@ -19,27 +19,28 @@
 	return start.Add(time.Duration(seconds) * time.Second)
 }
 
-// One request crashes whatever target runs it, and its caller sends it again,
-// under the same key or a new one: the fingerprint doesn't look at keys. After
-// two targets it is refused, and what only stood near a crash isn't.
+// A request crashes every target that runs it, and its caller sends it again, under the
+// same idempotency key or a new one: the fingerprint excludes keys. After two crashed
+// targets it must be quarantined. A request that was only in flight during the crash of
+// another must not be.
 func TestQuarantine(t *testing.T) {
 	tests := []struct {
 		name    string
 		crashes []crash
-		cleared int // second of a whole answer; 0 is none
+		cleared int // second of a complete response; 0: none
 		ask     int
 		held    bool
 	}{
 		{"one target", []crash{{0, 1, "a"}}, 0, 2, false},
-		{"two targets, one after the other", []crash{{0, 1, "a"}, {2, 3, "b"}}, 0, 4, true},
+		{"two targets in succession", []crash{{0, 1, "a"}, {2, 3, "b"}}, 0, 4, true},
 		{"the same target twice", []crash{{0, 1, "a"}, {2, 3, "a"}}, 0, 4, false},
 		{"two targets at once", []crash{{0, 2, "a"}, {1, 2, "b"}}, 0, 4, false},
-		{"begun before the first crash was known", []crash{{0, 1, "a"}, {0, 3, "b"}}, 0, 4, false},
+		{"dispatched before the first crash was recorded", []crash{{0, 1, "a"}, {0, 3, "b"}}, 0, 4, false},
 		{"further apart than the window", []crash{{0, 1, "a"}, {62, 63, "b"}}, 0, 64, false},
-		{"answered in between", []crash{{0, 1, "a"}, {2, 5, "b"}}, 3, 6, false},
-		{"answered by one that was under way", []crash{{0, 1, "a"}, {2, 3, "b"}}, 4, 5, false},
-		{"within the hold", []crash{{0, 1, "a"}, {2, 3, "b"}}, 0, 302, true},
-		{"after the hold", []crash{{0, 1, "a"}, {2, 3, "b"}}, 0, 303, false},
+		{"response in between", []crash{{0, 1, "a"}, {2, 5, "b"}}, 3, 6, false},
+		{"response of a dispatch in flight", []crash{{0, 1, "a"}, {2, 3, "b"}}, 4, 5, false},
+		{"during the quarantine", []crash{{0, 1, "a"}, {2, 3, "b"}}, 0, 302, true},
+		{"after the quarantine", []crash{{0, 1, "a"}, {2, 3, "b"}}, 0, 303, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -60,8 +61,9 @@
 	}
 }
 
-// A caller sends the request to another entry each time, so that each sees one
-// crash. The entries tell each other, also by way of a third and twice over.
+// A caller sends the request to a different entry each time, so that each entry sees one
+// crash. The entries exchange their counts, also repeatedly and through a third entry. Each
+// crash must count once.
 func TestQuarantineBetweenEntries(t *testing.T) {
 	c := qt.New(t)
 	a, b, d := NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{})
@@ -89,8 +91,7 @@
 	c.Assert(d.Quarantined(at(11), 7), qt.Equals, time.Duration(0))
 }
 
-// A storm of single crashes fills the table and doesn't free a request that is
-// in quarantine.
+// Many single crashes fill the table. They must not evict a request from quarantine.
 func TestSuspectsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	s := NewSuspects(SuspectsConfig{Kept: 8})
@@ -104,8 +105,8 @@
 	c.Assert(s.Quarantined(at(4), 7) > 0, qt.IsTrue)
 }
 
-// Whatever is noted, merged, cleared and exported in whatever order, the lists
-// and the index stay one table within its bound.
+// In any sequence of operations, the lists and the index stay consistent and within their
+// limits.
 func TestSuspectsProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewSuspects(SuspectsConfig{Kept: 3})
@@ -118,7 +119,7 @@
 			case 0:
 				s.Answered(now, fp)
 				if s.Quarantined(now, fp) != 0 {
-					t.Fatal("answered and in quarantine")
+					t.Fatal("in quarantine after a response")
 				}
 			case 1:
 				age := time.Duration(rapid.IntRange(-5, 400).Draw(t, "age")) * time.Second
@@ -127,7 +128,7 @@
 				s.Crashed(now, fp, target, now.Add(-time.Second))
 			}
 			if s.held.Len() > 3 || s.loose.Len() > 3 || len(s.known) != s.held.Len()+s.loose.Len() {
-				t.Fatalf("%d held, %d loose, %d known", s.held.Len(), s.loose.Len(), len(s.known))
+				t.Fatalf("%d quarantined, %d watched, %d in the index", s.held.Len(), s.loose.Len(), len(s.known))
 			}
 			for _, x := range s.Export(now, 10) {
 				if x.Age < 0 || x.Crashes < 0 || x.Crashes > 2 {
