--- a/pkg/call/crash_test.go
+++ b/pkg/call/crash_test.go
@@ -58,7 +58,7 @@
 }
 
 // A caller sends a request that crashes its target 100 times, one second apart, to one
-// entry or to all in turn. At most two targets may crash per quarantine period. Without
+// entry or to all in turn. Exactly two targets crash per quarantine period. Without
 // the quarantine, each send would crash one target, or three with retries.
 func TestOneBadRequest(t *testing.T) {
 	tests := []struct {
--- a/pkg/call/step.go
+++ b/pkg/call/step.go
@@ -41,6 +41,8 @@
 	return acts
 }
 
+// dispatch sends the request to target. The first dispatch also counts for the budget
+// and starts the hedge timer.
 func (c *Call) dispatch(now time.Time, target string, acts *Actions) {
 	first := c.n == 0
 	attempt := c.arrival.Attempt + c.mayHaveRun()
@@ -141,8 +143,8 @@
 	if e.Quarantined {
 		c.reason = ReasonQuarantined
 	}
-	again := e.Replay && !e.Quarantined && e.Stage.retryable()
-	c.again(now, &acts, again)
+	retry := e.Replay && !e.Quarantined && e.Stage.retryable()
+	c.again(now, &acts, retry)
 	return acts
 }
 
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -1,7 +1,7 @@
-// Package claim decides what becomes of a keyed request that must not run twice.
-// The record of its key in the store is created before the request is sent to a
-// target, so that one attempt only can have created it. The package does no I/O
-// and reads no clock.
+// Package claim ensures that a request with an idempotency key runs at most once.
+// The record of the key is created in the store before the request is sent to a
+// target, so that only one attempt can create it. The package does no I/O and reads
+// no clock.
 package claim
 
 import (
@@ -16,25 +16,25 @@
 	Value string
 }
 
-// Answer is what a run gave, kept for replay.
+// Response is the recorded response of a run.
 type Answer struct {
 	Outcome call.Outcome // Ran or Unknown
 	Status  int
 	Header  []Field
 	Body    []byte
-	Whole   bool // false when the answer was too long to keep
+	Whole   bool // false if the response was too long to record
 }
 
-// Record is what the store holds of a key.
+// Record is the stored record of a key.
 type Record struct {
 	Print  uint64    // fingerprint of the request
-	ID     string    // of the attempt that may run it
-	At     time.Time // of the claim, by the clock of the entry that made it
-	Until  time.Time // after it the request is no longer sent to a target
-	Answer *Answer   // nil while it may run
+	ID     string    // of the attempt that may run the request
+	At     time.Time // time of the claim, by the clock of the entry that created it
+	Until  time.Time // time after which the request is not sent to a target
+	Answer *Answer   // nil while the request may run
 }
 
-// Ended is the outcome of a run.
+// RunResult is the result of a run.
 type Ended struct {
 	Outcome    call.Outcome
 	Answer     Answer // with Ran
@@ -42,35 +42,35 @@
 	RetryAfter time.Duration
 }
 
-// Kind tells what a Result means.
+// Kind is the kind of a Result.
 type Kind uint8
 
-// The zero Kind claims nothing of the run.
+// The zero Kind makes no claim about the run.
 const (
-	Uncertain Kind = iota // the key may have run or be running; this attempt did not run it, or can't tell
-	NotRun                // the key has not run, and this attempt won't run it
-	Fresh                 // the answer of this attempt's own run
-	Replay                // the recorded answer of the run
-	Conflict              // the key belongs to another request; this one did not run
+	Uncertain Kind = iota // the request may have run or be running; this attempt did not run it, or its outcome is unknown
+	NotRun                // the request has not run, and this attempt won't run it
+	Fresh                 // the response of this attempt's own run
+	Replay                // the recorded response of an earlier run
+	Conflict              // the key belongs to a different request; this one did not run
 )
 
-// Reason says in one word why there is no answer of a run.
+// Reason is the machine-readable cause of a Result without a response.
 type Reason string
 
-// The reasons that come from claims.
+// Reasons of this package.
 const (
-	ReasonDeadline    Reason = "deadline"          // the time ran out before the dispatch
+	ReasonDeadline    Reason = "deadline"          // the deadline passed before the dispatch
 	ReasonInProgress  Reason = "in-progress"       // another attempt may be running it
-	ReasonUnreachable Reason = "claim-unreachable" // the store doesn't tell whether the key has run
-	ReasonKeyReused   Reason = "key-reused"        // the key was used for another request
-	ReasonNotKept     Reason = "answer-not-kept"   // it ran; its answer was too long to keep
-	ReasonRanUnknown  Reason = "run-unknown"       // it was dispatched once and nobody knows its outcome
+	ReasonUnreachable Reason = "claim-unreachable" // the store did not report whether the key has a record
+	ReasonKeyReused   Reason = "key-reused"        // the key was used for a different request
+	ReasonNotKept     Reason = "answer-not-kept"   // the request ran; its response was too long to record
+	ReasonRanUnknown  Reason = "run-unknown"       // the request was dispatched; its outcome is unknown
 )
 
-// RetrySoon is when a caller is told to come back whose key is in doubt.
+// RetryDelay is the retry delay for a caller whose key is in progress or can't be looked up.
 const RetrySoon = time.Second
 
-// Result is what the caller of the request is told.
+// Result is the result that the caller of the request receives.
 type Result struct {
 	Kind       Kind
 	Answer     Answer // with Fresh and Replay
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -9,8 +9,8 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// A caller's key has a record. Whatever the record holds, however old it is, the
-// request isn't run again.
+// A key with a record never lets its request run again, regardless of the record's
+// content and age.
 func TestMeet(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ran := &Answer{Outcome: call.Ran, Status: 201, Whole: true}
@@ -21,10 +21,10 @@
 	}{
 		{"another request", Record{Print: 2, Answer: ran}, Result{Kind: Conflict, Reason: ReasonKeyReused}},
 		{"ran", Record{Print: 1, Answer: ran}, Result{Kind: Replay, Answer: *ran}},
-		{"ran, not kept", Record{Print: 1, Answer: &Answer{Outcome: call.Ran}}, Result{Kind: Replay, Reason: ReasonNotKept, Answer: Answer{Outcome: call.Ran}}},
+		{"ran, response not recorded", Record{Print: 1, Answer: &Answer{Outcome: call.Ran}}, Result{Kind: Replay, Reason: ReasonNotKept, Answer: Answer{Outcome: call.Ran}}},
 		{"outcome unknown", Record{Print: 1, Answer: &Answer{Outcome: call.Unknown}}, Result{Reason: ReasonRanUnknown}},
 		{"running", Record{Print: 1, Until: now}, Result{Reason: ReasonInProgress, RetryAfter: RetrySoon}},
-		{"should have ended", Record{Print: 1, Until: now.Add(-time.Second)}, Result{Reason: ReasonRanUnknown}},
+		{"dispatch deadline passed", Record{Print: 1, Until: now.Add(-time.Second)}, Result{Reason: ReasonRanUnknown}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -35,10 +35,10 @@
 
 func TestFinish(t *testing.T) {
 	tests := []struct {
-		name  string
-		ended Ended
-		want  Kind
-		kept  bool
+		name     string
+		ended    Ended
+		want     Kind
+		recorded bool
 	}{
 		{"ran", Ended{Outcome: call.Ran}, Fresh, true},
 		{"unknown", Ended{Outcome: call.Unknown}, Uncertain, true},
@@ -46,9 +46,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r, kept := Finish(tt.ended)
+			r, recorded := Finish(tt.ended)
 			qt.Assert(t, r.Kind, qt.Equals, tt.want)
-			qt.Assert(t, kept != nil, qt.Equals, tt.kept)
+			qt.Assert(t, recorded != nil, qt.Equals, tt.recorded)
 		})
 	}
 }
--- a/pkg/claim/decide.go
+++ b/pkg/claim/decide.go
@@ -6,12 +6,12 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// Meet decides what the caller of a request with that fingerprint is told whose
-// key has a record of another attempt. It never lets the request run: the record's attempt may have
-// run it, or may still, whoever made it and however old it is.
-func Meet(now time.Time, found Record, mark uint64) Result {
+// ResolveExisting returns the result for a request with the given fingerprint whose key
+// has a record of another attempt. The request never runs again: that attempt may have
+// run it or may still run it, regardless of the record's age and creator.
+func Meet(now time.Time, found Record, fingerprint uint64) Result {
 	switch {
-	case found.Print != mark:
+	case found.Print != fingerprint:
 		return Result{Kind: Conflict, Reason: ReasonKeyReused}
 	case found.Answer != nil && found.Answer.Outcome == call.Ran:
 		return replay(*found.Answer)
@@ -21,6 +21,7 @@
 	return Result{Kind: Uncertain, Reason: ReasonInProgress, RetryAfter: RetrySoon}
 }
 
+// replay returns the recorded response.
 func replay(a Answer) Result {
 	r := Result{Kind: Replay, Answer: a}
 	if !a.Whole {
@@ -29,17 +30,17 @@
 	return r
 }
 
-// Doubt is what the caller is told while the store doesn't say whether the key
-// has a record. It never says that the key has not run: an earlier attempt may
-// have.
+// StoreUnreachable returns the result while the store doesn't report whether the key
+// has a record. The result is uncertain, because an earlier attempt may have run the
+// request.
 func Doubt() Result {
 	return Result{Kind: Uncertain, Reason: ReasonUnreachable, RetryAfter: RetrySoon}
 }
 
-// Finish gives what the caller is told after the run, and what the record keeps
-// of it. It keeps nothing where the request surely did not run: the key is free
-// for the next attempt then.
-func Finish(e Ended) (r Result, kept *Answer) {
+// Finish returns the result for the caller after the run, and the response to record.
+// It records nothing if the request did not run, so that the key is free for the next
+// attempt.
+func Finish(e Ended) (r Result, recorded *Answer) {
 	switch e.Outcome {
 	case call.NotRun:
 		return Result{Kind: NotRun, Reason: e.Reason, RetryAfter: e.RetryAfter}, nil
@@ -51,8 +52,8 @@
 	return Result{Kind: Fresh, Answer: a}, &a
 }
 
-// Retention is how long a record is kept. Callers come back within minutes; an
-// hour leaves room for those that were cut off.
+// Retention is the time for which a record is kept. Callers retry within minutes; an
+// hour also covers callers that were disconnected.
 const Retention = time.Hour
 
 // Expired reports whether the record may be removed.
