--- a/pkg/pool/action.go
+++ b/pkg/pool/action.go
@@ -2,46 +2,47 @@
 
 import "time"
 
-// ActionKind tells what the driver has to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Kinds of actions.
 const (
 	// Dispatch sends request ID to Target.
 	Dispatch ActionKind = iota
-	// Refuse answers request ID finally: it was not run.
+	// Refuse refuses request ID, which did not run.
 	Refuse
-	// Probe asks Target for its health; the result goes to Probed.
+	// Probe sends a health probe to Target. The result is passed to ProbeDone.
 	Probe
-	// Left tells that Target itself said that it leaves, for peers to hear.
+	// NoteLeaving reports that Target announced that it is leaving. The driver forwards it
+	// to peers.
 	Left
 )
 
-// Reason is why a request is refused.
+// Reason is the reason for a refusal.
 type Reason uint8
 
 // Reasons of a refusal.
 const (
 	NoReason   Reason = iota
-	NoTarget          // no target may get new work
-	QueueFull         // the expected wait or the queue is over its limit
-	TooLate           // the deadline would pass before the answer
-	DeadlineUp        // the deadline came near while the request was queued
+	NoTarget          // no target accepts new requests
+	QueueFull         // the expected wait or the queue length exceeds its limit
+	TooLate           // the deadline would pass before the response
+	DeadlineUp        // while queued, the request ran out of time for a response
 )
 
-// String returns the reason as one word.
+// String returns the name of the reason.
 func (r Reason) String() string {
 	return [...]string{"none", "no-target", "queue-full", "too-late", "deadline"}[r]
 }
 
-// Action is one thing for the driver to do.
+// Action is one action for the driver to perform.
 type Action struct {
 	Kind       ActionKind
-	ID         uint64 // of the request, with Dispatch and Refuse
+	ID         uint64 // of the request; of Dispatch and Refuse
 	Target     string
 	Boot       uint64 // incarnation of Target
 	Addr       string
-	Trial      bool // a Dispatch that tests a target that was out
+	Trial      bool // a Dispatch that tests an ejected or suspected target
 	Reason     Reason
 	RetryAfter time.Duration
 }
--- a/pkg/pool/admit.go
+++ b/pkg/pool/admit.go
@@ -4,46 +4,47 @@
 
 const gapWeight = 1.0 / 64
 
-// gap is the mean time between answers while requests are queued: the pace at
-// which the queue moves, whoever else uses the targets. One sample counts for at
-// most the mean answer time, the pace of a single slot: after a pause of all
-// targets a longer one would have every request refused, and as only a queue
-// shows the pace, nothing would ever correct it.
+// queueInterval is the mean time between completions while requests are queued: the
+// rate at which the queue advances, including the effect of other entries that use the
+// same targets. One sample counts for at most the mean service time, the rate of a
+// single slot. Otherwise a pause of all targets would make the pool refuse every
+// request, and the mean would never recover, because it is measured only while requests
+// are queued.
 type gap struct {
-	mean float64 // nanoseconds; zero until measured
-	last time.Duration
-	busy bool
+	mean float64       // nanoseconds; zero until measured
+	last time.Duration // last completion
+	busy bool          // requests were queued at the last completion
 }
 
-func (g *gap) done(now time.Duration, queued bool, most time.Duration) {
+// observe records a completion. limit is the largest sample that counts.
+func (g *gap) done(now time.Duration, queued bool, limit time.Duration) {
 	if g.busy && queued {
-		between := float64(min(now-g.last, most))
+		interval := float64(min(now-g.last, limit))
 		if g.mean == 0 {
-			g.mean = between
+			g.mean = interval
 		}
-		g.mean += gapWeight * (between - g.mean)
+		g.mean += gapWeight * (interval - g.mean)
 	}
 	g.last, g.busy = now, queued
 }
 
-// wait is the expected time that a request queued now would wait.
+// expectedWait returns the expected wait of a request that is queued now.
 func (p *Pool[P]) wait(idempotent bool) time.Duration {
-	between := p.gap.mean
-	if between == 0 {
+	interval := p.gap.mean
+	if interval == 0 {
 		slots := 0
 		for _, m := range p.members {
 			if !m.left && !m.out {
 				slots += m.Slots
 			}
 		}
-		between = float64(p.curve.Mean(p.cfg.Service)) / float64(max(slots, 1))
+		interval = float64(p.curve.Mean(p.cfg.Service)) / float64(max(slots, 1))
 	}
-	return time.Duration(between * float64(p.queue.ahead(idempotent)+1))
+	return time.Duration(interval * float64(p.queue.ahead(idempotent)+1))
 }
 
-// admit tells whether a request may be queued. Refusing here, at once, is the
-// only honest answer to a request that would be given up later: it has not run
-// and its caller can still go elsewhere.
+// admit decides whether a request may be queued. A request that would miss its deadline
+// is refused immediately: it has not run, and its caller still has time to go elsewhere.
 func (p *Pool[P]) admit(w waiting) (reason Reason, wait time.Duration) {
 	wait = p.wait(w.Idempotent)
 	switch {
@@ -55,7 +56,8 @@
 	return NoReason, 0
 }
 
-// need is the time below which an answer can't be expected.
+// expectedServiceTime returns the median response time. With less time left, a request
+// can't expect a response.
 func (p *Pool[P]) need() time.Duration {
 	return p.curve.Median(p.cfg.Service)
 }
--- a/pkg/pool/answer.go
+++ b/pkg/pool/answer.go
@@ -7,7 +7,7 @@
 	shedPauseMax = 100 * time.Millisecond
 )
 
-// take learns from the end of request r at m.
+// applyOutcome updates the health of m from the end of dispatch r.
 func (p *Pool[P]) take(m *Member, r run, kind Kind) {
 	m.answered = p.now
 	if p.cfg.Blind {
@@ -34,6 +34,8 @@
 	p.judge(m, good)
 }
 
+// applyServed updates m after a served request, and reports whether the response time
+// counts in favor of m.
 func (p *Pool[P]) takeServed(m *Member, took time.Duration) (good bool) {
 	m.sheds = 0
 	m.served++
@@ -49,7 +51,8 @@
 	return change <= trialBad
 }
 
-// takeShed holds a target back for a moment that grows while it refuses all.
+// applyShed pauses new requests to a target for a time that doubles with each
+// consecutive shed, up to maxShedCooldown.
 func (p *Pool[P]) takeShed(m *Member) {
 	m.sheds++
 	m.room = max(float64(len(m.runs)), 1)
@@ -59,8 +62,8 @@
 	}
 }
 
-// report takes what a target says of itself. Its number of requests is of use
-// only for what other entries have there, beside own of this one.
+// applyLoad processes a target's report of its load. The reported number of requests
+// gives the estimate of those from other entries: own is the number of this entry.
 func (p *Pool[P]) report(m *Member, l Load, own int, out []Action) []Action {
 	if l.Leaving && !m.left {
 		p.leave(m)
--- a/pkg/pool/bench_test.go
+++ b/pkg/pool/bench_test.go
@@ -12,12 +12,12 @@
 
 const (
 	services = 110
-	each     = 18 // targets of a service
-	more     = 20 // services with one more, 2,000 targets in all
-	busy     = 20 // requests in flight in each service
+	each     = 18 // targets per service
+	more     = 20 // services with one target more; 2,000 targets in total
+	busy     = 20 // requests in flight per service
 )
 
-// fleet is one entry's pools of 2,000 targets in 110 services.
+// fleet holds the pools of one entry with 2,000 targets in 110 services.
 type fleet struct {
 	pools    []pool.Chooser
 	inFlight [][]uint64
@@ -40,7 +40,7 @@
 	return f
 }
 
-// decide takes one arrival, and one answer once some requests are in flight.
+// decide processes one arrival, and one completion when enough requests are in flight.
 func (f *fleet) decide() {
 	s := int(f.id % services)
 	f.now = f.now.Add(10 * time.Microsecond)
@@ -54,8 +54,8 @@
 	}
 }
 
-// Allocations on the hot path would feed the collector, and callers would wait
-// for it. The driver passes its own slice; maps and slices grow only at first.
+// Allocations on the hot path would trigger the garbage collector and delay callers. The
+// driver passes its own slice; maps and slices grow only at the start.
 func TestAllocations(t *testing.T) {
 	f := fleetOf()
 	for range 100 * services {
--- a/pkg/pool/chooser.go
+++ b/pkg/pool/chooser.go
@@ -7,48 +7,49 @@
 	"github.com/pkg/errors"
 )
 
-// Chooser is a pool of any policy.
+// Balancer is a Pool with any policy.
 type Chooser interface {
-	// Targets takes the whole list of targets; one that is missing is gone.
+	// SetTargets replaces the list of targets. A target not in the list is removed.
 	Targets(now time.Time, list []Target, out []Action) []Action
-	// Leave takes word that an incarnation of a target is leaving.
+	// MarkLeaving records that an incarnation of a target is leaving.
 	Leave(now time.Time, target string, boot uint64, out []Action) []Action
-	// Held returns the leaving words in force.
+	// LeavingNotices returns the leaving notices that have not expired.
 	Held(now time.Time) []Held
-	// Arrive takes a request; it is dispatched, queued or refused.
+	// Submit dispatches, queues or refuses a request.
 	Arrive(now time.Time, a Arrival, out []Action) []Action
-	// Done takes the end of a dispatched request.
+	// Done processes the completion of a dispatched request.
 	Done(now time.Time, a Answer, out []Action) []Action
-	// Cancel takes back a queued request, or gives up a dispatched one.
+	// Cancel cancels a queued or dispatched request.
 	Cancel(now time.Time, id uint64, out []Action) []Action
-	// Probed takes the result of a probe.
+	// ProbeDone processes the result of a probe.
 	Probed(now time.Time, r Probed, out []Action) []Action
-	// Tick does what is due by now.
+	// Tick performs the work that is due by now.
 	Tick(now time.Time, out []Action) []Action
-	// Next tells when Tick is needed next; the zero time means not at all.
+	// NextTick returns when Tick is needed next. The zero time means never.
 	Next() time.Time
-	// Explain tells of each target why it would or would not be chosen.
+	// Explain returns for each target whether it would be chosen, and why.
 	Explain(now time.Time) []Row
-	// Len returns the number of queued requests and of those in flight.
+	// RequestCounts returns the number of queued requests and of requests in flight.
 	Len() (queued, inFlight int)
 }
 
-// Names of the policies.
+// Policy names.
 const (
-	NameFreeSlot      = "freeslot" // the product's own, the default
+	NameFreeSlot      = "freeslot" // the default
 	NameRoundRobin    = "roundrobin"
 	NameRandom        = "random"
 	NameTwoChoices    = "twochoices"
 	NameLeastInFlight = "leastinflight"
 )
 
-// Names lists the policies, the default first.
+// PolicyNames returns the names of the policies, the default first.
 func Names() []string {
 	return []string{NameFreeSlot, NameRoundRobin, NameRandom, NameTwoChoices, NameLeastInFlight}
 }
 
-// ByName returns a pool with the named policy; the empty name is the default.
-// The baselines dispatch at once and judge nothing.
+// NewBalancer returns a pool with the named policy; the empty name is the default.
+// The other policies are baselines for comparison: they dispatch immediately, never eject
+// a target and send no probes.
 func ByName(name string, cfg Config, rnd *rand.Rand) (c Chooser, err error) {
 	defer func() { err = errors.WithMessage(err, "pool") }()
 	plain := cfg
--- a/pkg/pool/config.go
+++ b/pkg/pool/config.go
@@ -6,23 +6,23 @@
 	"plumpitch.example/plumpitch/pkg/probe"
 )
 
-// Config holds the limits of one service. Zero fields take the defaults.
+// Config configures the pool of one service. Zero fields take the defaults.
 type Config struct {
-	Slots     int           // requests that a target runs at once, where it names none
-	Allowance int           // requests beyond its slots that one target may hold; negative: none
-	MaxQueue  int           // requests in the queue
-	MaxWait   time.Duration // expected wait above which a request is refused
-	Service   time.Duration // mean service time until enough answers are seen
-	MaxOut    float64       // share of targets that may be ejected at once
-	Hold      time.Duration // how long a leaving word outweighs a list that says live
-	TrialMin  time.Duration // first pause before a trial
-	TrialMax  time.Duration // longest pause before a trial
-	Warmup    int           // answers until a new target counts as warm
-	Silent    time.Duration // without an answer for so long a target is worth a probe
+	Slots     int           // concurrent requests per target that reports no number; default 2
+	Allowance int           // requests beyond its slots that a target may hold; default 2, negative: none
+	MaxQueue  int           // limit of queued requests; default 10000
+	MaxWait   time.Duration // expected wait above which a request is refused; default 100 ms
+	Service   time.Duration // mean service time assumed until enough responses are seen; default 5 ms
+	MaxOut    float64       // share of targets that may be ejected at the same time; default 0.34
+	Hold      time.Duration // how long a leaving notice overrides a list that shows the target as live; default 1 min
+	TrialMin  time.Duration // shortest pause before a trial request; default 50 ms
+	TrialMax  time.Duration // longest pause before a trial request; default 1 s
+	Warmup    int           // served requests until a new target counts as warmed up; default 8
+	Silent    time.Duration // time without a response after which a target is probed; default 2 s
 
-	Unlimited bool          // dispatch at once, without queue or limits: for baselines
-	Blind     bool          // judge no target by its answers: for baselines
-	Budget    *probe.Budget // nil: no probes
+	Unlimited bool          // dispatch immediately, without queue or limits; for baselines
+	Blind     bool          // keep no health state, eject no target; for baselines
+	Budget    *probe.Budget // budget for probes; nil: no probes
 }
 
 func orInt(v, d int) int {
--- a/pkg/pool/curve.go
+++ b/pkg/pool/curve.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	stepBits     = 3 // buckets per doubling: 8
+	stepBits     = 3 // 8 buckets per doubling of the latency
 	buckets      = 27 << stepBits
-	rebuildEvery = 128
-	curveKeep    = 8192 // samples at which the older half is forgotten
-	curveReady   = 64   // samples below which nothing is judged
+	rebuildEvery = 128  // samples
+	curveKeep    = 8192 // samples above which all weights are halved
+	curveReady   = 64   // samples below which no target is evaluated
 )
 
-// Curve is the distribution of the service's answer times, learnt from all
-// targets together. It forgets: beyond curveKeep samples the weight of the old
-// ones is halved.
+// LatencyDistribution is the distribution of the response times of the service, over all
+// targets. Above maxSamples samples, the weight of the existing ones is halved, so that
+// it follows changes.
 type Curve struct {
 	count  [buckets]float64
 	hazard [buckets]float64 // cumulative hazard at the bucket's lower end
 	total  float64
 	sum    float64 // nanoseconds
 	median time.Duration
-	fresh  int
-	ready  bool
+	fresh  int  // samples since the last rebuild
+	ready  bool // enough samples were seen
 }
 
+// bucketOf returns the index of the bucket that contains d.
 func bucket(d time.Duration) int {
 	us := uint64(max(d, 0)/time.Microsecond) + 1<<stepBits
 	top := bits.Len64(us) - 1
@@ -34,6 +35,7 @@
 	return min(i, buckets-1)
 }
 
+// bucketStart returns the lower end of bucket i.
 func lower(i int) time.Duration {
 	top := i>>stepBits + stepBits
 	us := uint64(1)<<top + uint64(i&(1<<stepBits-1))<<(top-stepBits)
@@ -70,25 +72,25 @@
 	}
 }
 
-// Hazard returns the cumulative hazard at age d: minus the logarithm of the
-// share of answers that take longer. Its mean over finished requests of an
-// ordinary target is 1. It is 0 until enough answers are seen.
+// Hazard returns the cumulative hazard at age d: the negative logarithm of the share
+// of responses that take longer. Its mean over the finished requests of a normal target
+// is 1. It is 0 until enough responses are seen.
 func (c *Curve) Hazard(d time.Duration) float64 {
 	return c.hazard[bucket(d)]
 }
 
-// Mean returns the mean answer time, or or while there is too little to tell.
-func (c *Curve) Mean(or time.Duration) time.Duration {
+// Mean returns the mean response time, or fallback until enough responses are seen.
+func (c *Curve) Mean(fallback time.Duration) time.Duration {
 	if !c.ready {
-		return or
+		return fallback
 	}
 	return time.Duration(c.sum / c.total)
 }
 
-// Median returns the median answer time, or or while there is too little to tell.
-func (c *Curve) Median(or time.Duration) time.Duration {
+// Median returns the median response time, or fallback until enough responses are seen.
+func (c *Curve) Median(fallback time.Duration) time.Duration {
 	if !c.ready {
-		return or
+		return fallback
 	}
 	return c.median
 }
--- a/pkg/pool/event.go
+++ b/pkg/pool/event.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// State is what the lists and the store say of a target.
+// State is the state of a target according to the target list.
 type State uint8
 
 // States of a target.
@@ -12,49 +12,49 @@
 	Gone
 )
 
-// Target is one target of the service, as its sources name it.
+// Target is one target of the service, as listed.
 type Target struct {
 	ID    string
-	Boot  uint64 // incarnation: a restarted target has another one
+	Boot  uint64 // incarnation; it changes when the target restarts
 	Addr  string // host:port
 	Place string
-	Slots int // requests that it runs at once; zero means Config.Slots
+	Slots int // concurrent requests; zero: Config.DefaultSlots
 	State State
-	// Evacuated says that its place is to get no new work. It is no word of the target's:
-	// work goes there again as soon as that ends.
+	// Evacuated means that the target's place gets no new requests. Unlike a leaving
+	// target, an evacuated one gets requests again as soon as the evacuation ends.
 	Evacuated bool
 }
 
-// Arrival is a request that wants a target.
+// Arrival is a request that needs a target.
 type Arrival struct {
 	ID         uint64    // unique among the requests in this pool
 	Deadline   time.Time // zero: none
 	Idempotent bool
-	Avoid      string // target that was tried before, or empty
+	Avoid      string // target of an earlier dispatch of the request, or empty
 }
 
-// Kind is how a dispatched request ended.
+// Outcome is how a dispatched request ended.
 type Kind uint8
 
-// Ends of a dispatched request.
+// Outcomes of a dispatched request.
 const (
-	Served      Kind = iota // answered without a server error
-	Failed                  // answered with a server error
-	Shed                    // refused by the target, surely not run
-	RefusedConn             // no connection, surely not run
-	Broken                  // connection lost before the whole answer
-	TimedOut                // no answer by the deadline
-	Cancelled               // given up by the entry or the caller
+	Served      Kind = iota // response without a server error
+	Failed                  // response with a server error
+	Shed                    // refused by the target; did not run
+	RefusedConn             // no connection; did not run
+	Broken                  // connection lost before the complete response
+	TimedOut                // no response by the deadline
+	Cancelled               // cancelled by the entry or the caller
 )
 
-// Load is what a target says of itself on an answer.
+// Load is the load report of a target on a response.
 type Load struct {
-	InFlight int  // requests there, of all entries, the answered one included
-	Known    bool // whether InFlight was given
-	Leaving  bool
+	InFlight int  // requests at the target from all entries, including the completed one
+	Known    bool // InFlight was reported
+	Leaving  bool // the target is leaving
 }
 
-// Answer is the end of a dispatched request.
+// Completion is the end of a dispatched request.
 type Answer struct {
 	ID   uint64
 	Kind Kind
--- a/pkg/pool/explain.go
+++ b/pkg/pool/explain.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Row tells of one target why it would or would not be chosen now.
+// TargetStatus explains whether a target would be chosen now, and why.
 type Row struct {
 	Target   string
 	Boot     uint64
-	Chosen   bool // it could get a request now
+	Chosen   bool // the target could get a request now
 	Why      string
 	InFlight int
 	Limit    int
-	Foreign  float64 // estimated requests of other entries
-	Slow     float64 // evidence of being slower than the others; 12 ejects
-	Fail     float64 // evidence of failing more than the others; 3.5 ejects
-	Until    time.Time
+	Foreign  float64   // estimated requests from other entries
+	Slow     float64   // evidence that the target is slower than the others; ejected above 12
+	Fail     float64   // evidence that the target fails more than the others; ejected above 3.5
+	Until    time.Time // end of the leaving notice or cooldown, or time of the next trial; zero if none
 }
 
-// Explain returns a row for each listed target, in the order of the list.
+// Explain returns the status of each listed target, in the order of the list.
 func (p *Pool[P]) Explain(now time.Time) []Row {
 	p.set(now)
 	rows := make([]Row, 0, len(p.members))
--- a/pkg/pool/freeslot.go
+++ b/pkg/pool/freeslot.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// FreeSlot binds a request to a target only where it has reason to believe a
-// slot free, or else, up to the allowance, to the target that is most likely to
-// have one soon. Without any allowance each slot would idle for the round trip
-// after each answer, and the service would collapse near saturation.
+// FreeSlot assigns a request to a target that probably has a free slot. If there is
+// none, it assigns it to the target that is most likely to have one soon, up to the
+// allowance. Without an allowance, each slot would be idle for a round trip after each
+// response, and the throughput of the service would collapse near saturation.
 type FreeSlot struct{}
 
-// extraHorizon is the time over which a target must show a free slot, in units
-// of the mean answer time.
+// horizonFactor is the time within which a slot should become free, in multiples of the
+// mean response time.
 const extraHorizon = 1
 
-// Pick prefers a free slot on a target that is not suspected.
+// Pick prefers a free slot on a target that is not suspected, and there the target with
+// the fewest requests.
 func (FreeSlot) Pick(c *Choice) int {
 	best, ties, bestRank := -1, 0, 0.0
 	for i, m := range c.Members {
@@ -36,8 +37,11 @@
 	return soonest(c)
 }
 
+// suspectPenalty ranks suspected targets behind all others.
 const suspectRank = 1000
 
+// freeRank returns the rank of m by its number of requests; the lowest is the best. ok is
+// false when m has no free slot.
 func freeRank(c *Choice, m *Member) (rank float64, ok bool) {
 	rank = float64(m.InFlight()) + m.Foreign(c.Now, c.Keep)
 	if rank > float64(m.limit(c.Config))-0.5 {
@@ -49,9 +53,9 @@
 	return rank, true
 }
 
-// soonest picks among the full targets with the fewest requests beyond their
-// slots the one least likely to keep all slots busy over the horizon, by the
-// ages of the requests there.
+// soonestFree picks, among the full targets with the fewest requests beyond their slots,
+// the one least likely to keep all slots busy over the horizon, given the ages of its
+// requests.
 func soonest(c *Choice) int {
 	best, bestStay, bestOver := -1, 0.0, 0
 	span := extraHorizon * c.Curve.Mean(c.Keep)
@@ -76,6 +80,7 @@
 	return best
 }
 
+// hazardOver returns the hazard that r finishes within span.
 func stayHazard(c *Choice, r run, span time.Duration) float64 {
 	age := c.Now - r.start
 	return c.Curve.Hazard(age+span) - c.Curve.Hazard(age)
--- a/pkg/pool/health.go
+++ b/pkg/pool/health.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// A target is judged by how its answer times and failures compare with those
-// of all targets of the service. The evidence is a sum of log likelihood
-// ratios, never below zero (a CUSUM test), so that it needs no window, counts
-// requests that are still running, and fades by itself on good answers. A
-// service that is slow or failing as a whole moves the yardstick, not the
-// judgement of one target.
+// The health of a target is evaluated by comparing its response times and failures with
+// those of all targets of the service. The evidence is a sum of log-likelihood ratios
+// with a lower limit of zero (a CUSUM test). So it needs no time window, includes requests
+// that are still running, and decreases with good responses. When the service as a whole
+// is slow or failing, the baseline changes, and not the evidence against one target.
 const (
-	slowFactor  = 0.2 // a straggler finishes at a fifth of the usual rate or less
-	slowOut     = 12.0
-	slowSuspect = 5.0
-	slowReturn  = 2.0
-	slowTrial   = 5.0 // evidence left at ejection, for good trials to wear down
-	hazardCap   = 4.5 // one long request alone can't eject its target
+	slowFactor  = 0.2  // a straggler finishes requests at a fifth of the normal rate or less
+	slowOut     = 12.0 // evidence above which a target is ejected
+	slowSuspect = 5.0  // evidence above which a target is suspected
+	slowReturn  = 2.0  // evidence up to which a target is readmitted
+	slowTrial   = 5.0  // limit of the evidence at ejection, so that good trials can reduce it
+	hazardCap   = 4.5  // per request, so that one long request can't eject its target
 	slowKeep    = 2 * time.Second
 
-	trialEvery = 200 // requests for each trial after a bad one, so that few meet it
-	trialBad   = 1.0 // change by an answer from which on a trial counts as bad
+	trialEvery = 200 // arrivals per trial after a bad one, so that few requests reach a bad target
+	trialBad   = 1.0 // change of the slow evidence above which a trial counts as bad
 
-	failOut     = 3.5
-	failSuspect = 1.8
-	failReturn  = 1.5
-	failFloor   = 0.01
-	failCeil    = 0.45
-	failBad     = 0.5
-	failWeight  = 1.0 / 32
+	failOut     = 3.5      // evidence above which a target is ejected
+	failSuspect = 1.8      // evidence above which a target is suspected
+	failReturn  = 1.5      // evidence up to which a target is readmitted
+	failFloor   = 0.01     // lower limit of the failure rate of the other targets
+	failCeil    = 0.45     // upper limit of that rate in a likelihood ratio, below failBad
+	failBad     = 0.5      // failure rate of a faulty target
+	failWeight  = 1.0 / 32 // of one completion in the failure rate
 
-	shedsOut = 3
+	shedsOut = 3 // consecutive sheds from which on each counts as a failure
 )
 
+// finishedGain is the change of the slow evidence by the end of a request.
 var slowGain = math.Log(slowFactor)
 
-// fade lets slight evidence age. A suspected target is judged anew by trials
-// instead: in a quiet service its evidence would fade between two requests, and
-// callers would meet the same slow target again and again.
+// decaySlow halves weak evidence every slowHalfLife. The evidence against a suspected
+// target is reduced only by trials: in a service with few requests it would otherwise
+// decay between two requests, and callers would repeatedly reach the same slow target.
 func (m *Member) fade(now time.Duration) {
 	if m.slow <= slowSuspect && !m.out {
 		m.slow *= math.Exp2(-float64(now-m.slowAt) / float64(slowKeep))
@@ -46,6 +46,8 @@
 	m.slowAt = now
 }
 
+// addLatency updates the slow evidence from a request that has taken took so far, and
+// returns the change.
 func (m *Member) addSlow(now time.Duration, c *Curve, took time.Duration, finished bool) (change float64) {
 	m.fade(now)
 	if !c.ready {
@@ -59,7 +61,7 @@
 	return change
 }
 
-// suspicion is the evidence with what the running requests already show.
+// currentSlowEvidence returns the slow evidence including that of the running requests.
 func (m *Member) suspicion(now time.Duration, c *Curve) (s float64) {
 	s = m.slow
 	for i := range m.runs {
@@ -70,36 +72,36 @@
 	return s
 }
 
-// addFail counts an answer against or for the target. Where the others fail as
-// often, a failure says nothing against this one, and what was held against it
-// before the others began goes by halves: else the first ones to meet a fault
-// of all would stay out.
+// addFail updates the failure evidence after a request. While the other targets fail as
+// often as a faulty one, a failure is no evidence against this target, and each failure
+// halves its existing evidence. Otherwise the first targets affected by a common fault
+// would stay ejected.
 func (p *Pool[P]) addFail(m *Member, failed bool) {
-	usual := p.usualFail(m)
+	others := p.usualFail(m)
 	before := m.failRate
 	switch {
 	case !failed:
-		m.fail += math.Log((1 - failBad) / (1 - min(usual, failCeil)))
+		m.fail += math.Log((1 - failBad) / (1 - min(others, failCeil)))
 		m.failRate -= failWeight * m.failRate
-	case usual >= failBad:
+	case others >= failBad:
 		m.fail /= 2
 		m.failRate += failWeight * (1 - m.failRate)
 	default:
-		m.fail += math.Log(failBad / min(usual, failCeil))
+		m.fail += math.Log(failBad / min(others, failCeil))
 		m.failRate += failWeight * (1 - m.failRate)
 	}
 	m.fail = min(max(m.fail, 0), failOut+1)
 	p.failSum += m.failRate - before
 }
 
-// usualFail is the share of failures at the other targets.
+// otherFailureRate returns the mean failure rate of the other targets.
 func (p *Pool[P]) usualFail(m *Member) float64 {
 	others := p.failSum - m.failRate
 	return max(others/float64(max(len(p.members)-1, 1)), failFloor)
 }
 
-// lost counts a connection that failed: that alone takes a target out, so that
-// a crash costs no more than the requests there, unless the others fail too.
+// addConnectionLoss records a failed connection. One is enough to eject the target, so that a
+// crash affects only the requests in flight there, unless the others fail too.
 func (p *Pool[P]) lost(m *Member) {
 	p.addFail(m, true)
 	if p.usualFail(m) < failBad {
@@ -107,8 +109,8 @@
 	}
 }
 
-// eject takes a target out unless too many are out. Without that floor a fault
-// that all targets share would leave nothing to send to.
+// eject ejects a target unless too many are ejected. Without that limit, a fault common
+// to all targets would leave no target to send requests to.
 func (p *Pool[P]) eject(m *Member) {
 	if m.out || p.cfg.Blind || float64(p.out+1) > p.maxOut() {
 		return
@@ -120,7 +122,8 @@
 	m.slow = min(m.slow, slowTrial)
 }
 
-// maxOut is how many targets may be out, by those that may get new work.
+// maxEjected returns the number of targets that may be ejected, a share of those that are
+// not excluded.
 func (p *Pool[P]) maxOut() float64 {
 	live := 0
 	for _, m := range p.members {
@@ -131,6 +134,7 @@
 	return p.cfg.MaxOut * float64(live)
 }
 
+// readmit ends the ejection of a target, with a limit of one request at first.
 func (p *Pool[P]) readmit(m *Member) {
 	if !m.out {
 		return
@@ -142,8 +146,9 @@
 	m.slowAt = p.now
 }
 
-// judge draws the conclusion from an answer. good tells whether it spoke for
-// the target; a bad trial doubles the pause before the next.
+// updateEjection ejects or readmits a target after a completion or a probe. good means
+// that the result counts in favor of the target. A bad trial doubles the pause before
+// the next one.
 func (p *Pool[P]) judge(m *Member, good bool) {
 	if !m.out {
 		if m.slow > slowOut && !p.slowAlike(m) || m.fail > failOut {
@@ -166,15 +171,15 @@
 	p.putOff(m)
 }
 
-// putOff makes the pause before the next trial longer.
+// postponeTrial doubles the pause before the next trial, up to TrialMax.
 func (p *Pool[P]) putOff(m *Member) {
 	m.pause = min(2*m.pause, p.cfg.TrialMax)
 	m.trialAt = p.now + m.pause
 	m.nextTry = p.arrivals + trialEvery
 }
 
-// watch ejects a target whose running requests alone show that it is stuck:
-// a stalled target gives no answers by which to judge it.
+// ejectIfStuck ejects a target whose running requests take too long. A stalled target
+// sends no responses that could be evaluated.
 func (p *Pool[P]) watch(m *Member) {
 	if m.out || len(m.runs) == 0 || !m.warm(&p.cfg) {
 		return
@@ -184,9 +189,9 @@
 	}
 }
 
-// slowAlike tells whether at least half of the others look slow too. Then the
-// service is slow and the curve has yet to learn it; taking targets out would
-// leave the rest with more than they can do.
+// othersAreSlow reports whether at least half of the other targets look slow too. Then the
+// service as a whole is slow, and the latency distribution doesn't reflect it yet.
+// Ejecting targets would overload the rest.
 func (p *Pool[P]) slowAlike(m *Member) bool {
 	alike, others := 0, 0
 	for _, o := range p.members {
--- a/pkg/pool/health_test.go
+++ b/pkg/pool/health_test.go
@@ -11,10 +11,10 @@
 
 const ms = time.Millisecond
 
-// how is what a target does with a request that reaches it at a time.
+// behavior returns the response time and outcome of request n that a target gets at a time.
 type how func(at time.Duration, n int) (took time.Duration, kind pool.Kind)
 
-// usual spreads answers over 2 to 10 ms.
+// normal spreads response times over 2 to 10 ms.
 func usual(_ time.Duration, n int) (time.Duration, pool.Kind) {
 	return 2*ms + time.Duration(uint32(n)*2654435761>>8%9)*ms, pool.Served
 }
@@ -26,11 +26,12 @@
 	}
 }
 
+// always returns a behavior with a fixed response time and outcome.
 func ends(took time.Duration, kind pool.Kind) how {
 	return func(time.Duration, int) (time.Duration, pool.Kind) { return took, kind }
 }
 
-// during makes a target behave otherwise from one time to another.
+// during returns a behavior that is bad from one time to another, and normal otherwise.
 func during(from, to time.Duration, bad how) how {
 	return func(at time.Duration, n int) (time.Duration, pool.Kind) {
 		if at >= from && at < to {
@@ -40,6 +41,7 @@
 	}
 }
 
+// flight is a request at a target.
 type flight struct {
 	id     uint64
 	target string
@@ -47,11 +49,11 @@
 	kind   pool.Kind
 }
 
-// load keeps n requests with the pool for a while, and returns how many each
-// target got in it.
-func (b *bed) load(n int, whole time.Duration, targets map[string]how) map[string]int {
+// load keeps n requests queued or in flight for a while, and returns the number of
+// requests that each target got.
+func (b *bed) load(n int, duration time.Duration, targets map[string]how) map[string]int {
 	got := map[string]int{}
-	until := b.now.Add(whole)
+	until := b.now.Add(duration)
 	take := func(out []pool.Action) {
 		for _, a := range out {
 			if a.Kind == pool.Probe {
@@ -93,7 +95,7 @@
 	return got
 }
 
-// probe answers at once; only a target that refuses connections looks bad.
+// probe returns a probe result at once. Only a target that refuses connections fails it.
 func (b *bed) probe(target string, do how) {
 	ok := true
 	if do != nil {
@@ -103,23 +105,23 @@
 	b.pool.Probed(b.now, pool.Probed{Target: target, OK: ok}, nil)
 }
 
-// A target turns bad without a word, at 1 s; callers would see its delays and
-// errors. Its answers, or its silence, compare badly with those of the others;
-// it is taken out but for trials, and used fully again 2 s after its recovery.
+// A target becomes bad at 1 s, without notice, so that callers would see its delays and
+// errors. It must be ejected by comparison with the other targets, get only trial
+// requests, and get its full share again 2 s after its recovery.
 func TestEjection(t *testing.T) {
 	tests := []struct {
 		name string
 		bad  how
-		n    int // requests with the pool at any time
-		most int // requests that it may get in 2 s, of some 4000
+		n    int // requests queued or in flight at any time
+		most int // limit of its requests in 2 s, of about 4000
 	}{
 		{"ten times slower", slowBy(10), 10, 40},
 		{"five times slower", slowBy(5), 10, 80},
-		{"stuck for the whole time", func(at time.Duration, _ int) (time.Duration, pool.Kind) { return 3*time.Second - at, pool.Served }, 10, 4},
+		{"stuck", func(at time.Duration, _ int) (time.Duration, pool.Kind) { return 3*time.Second - at, pool.Served }, 10, 4},
 		{"stuck under full load", func(at time.Duration, _ int) (time.Duration, pool.Kind) { return 3*time.Second - at, pool.Served }, 40, 5},
 		{"fails fast", ends(ms, pool.Failed), 10, 20},
 		{"refuses connections", ends(ms/2, pool.RefusedConn), 10, 16},
-		{"breaks off", ends(ms, pool.Broken), 10, 16},
+		{"breaks connections", ends(ms, pool.Broken), 10, 16},
 		{"sheds all", ends(ms/2, pool.Shed), 10, 24},
 		{"times out", ends(200*ms, pool.TimedOut), 10, 16},
 	}
@@ -139,23 +141,23 @@
 	}
 }
 
-// A fault that many targets share looks like the fault of each. Were all of
-// them taken out, callers would be refused by a service that could still
-// answer; so at least two thirds stay in, and a pool of two never ejects.
+// A fault that many targets share looks like a fault of each. If all of them were ejected,
+// callers would be refused by a service that can still respond. So at least two thirds
+// of the targets must stay in use, and a pool of two must never eject one.
 func TestFloor(t *testing.T) {
 	tests := []struct {
 		name    string
 		targets int
 		bad     int
 		do      how
-		out     int // at most
+		out     int // limit of ejected targets at the end
 	}{
 		{"all fail", 6, 6, ends(ms, pool.Failed), 0},
 		{"all are slow", 6, 6, slowBy(10), 0},
 		{"half refuse connections", 6, 3, ends(ms, pool.RefusedConn), 2},
 		{"all refuse connections", 6, 6, ends(ms, pool.RefusedConn), 0},
 		{"one of two fails", 2, 1, ends(ms, pool.Failed), 0},
-		{"the only one fails", 1, 1, ends(ms, pool.Failed), 0},
+		{"a single target fails", 1, 1, ends(ms, pool.Failed), 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -185,28 +187,28 @@
 	return n
 }
 
-// All targets stand still for ten seconds with requests queued, then go on. The
-// pace of the queue was nil meanwhile; taken for the pace of now, it would have
-// every caller refused who finds the slots full, for ever, since only a queue
-// shows the pace.
+// All targets stall for ten seconds while requests are queued, then continue. The queue did
+// not advance meanwhile. If the mean interval between completions included the stall, every
+// request that finds the slots full would be refused, permanently, because the interval is
+// measured only while requests are queued.
 func TestPaceRecovers(t *testing.T) {
 	c := qt.New(t)
 	b := bedOf(c, "", pool.Config{}, targets(3))
-	still := func(at time.Duration, n int) (time.Duration, pool.Kind) {
+	stalled := func(at time.Duration, n int) (time.Duration, pool.Kind) {
 		if at > time.Second && at < 11*time.Second {
 			return 11*time.Second - at, pool.Served
 		}
 		return usual(at, n)
 	}
-	bad := map[string]how{"t0": still, "t1": still, "t2": still}
+	bad := map[string]how{"t0": stalled, "t1": stalled, "t2": stalled}
 	b.load(20, 12*time.Second, bad)
 	b.refused = 0
 	b.load(20, time.Second, nil)
 	c.Check(b.refused, qt.Equals, 0)
 }
 
-// A new target is slow at first; callers sent there in numbers would all wait.
-// It gets one request at a time until it is warm.
+// A new target is slow at first, and many requests sent to it at the same time would be
+// delayed. It must get one request at a time until it is warmed up.
 func TestCold(t *testing.T) {
 	c := qt.New(t)
 	b := bedOf(c, "", pool.Config{}, targets(4))
@@ -220,10 +222,10 @@
 	c.Check(got["t4"] > got["t1"]*4/5, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-// The wall clock of a VM steps back. Callers would be refused, since their
-// deadlines lie before the time that the pool has seen; targets with a request
-// in flight would look stuck, a leaving one would come back, and one that is out
-// would have its trial an hour later.
+// The wall clock of a VM steps back. Without correction, requests would be refused because
+// their deadlines lie before the pool's time, targets with requests in flight would look
+// stuck, a leaving target would be used again, and an ejected one would get its trial an
+// hour late.
 func TestClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -ms} {
 		c := qt.New(t)
--- a/pkg/pool/heap/heap.go
+++ b/pkg/pool/heap/heap.go
@@ -1,33 +1,33 @@
-// Package heap is a binary heap of values. It allocates only to grow, unlike
+// Package heap implements a binary min-heap. It allocates only to grow, unlike
 // container/heap, whose interface boxes each value.
 package heap
 
-// Ordered is a value that can tell whether it comes before another.
+// Ordered is implemented by values with an order.
 type Ordered[T any] interface{ Before(T) bool }
 
-// Heap gives the least value first.
+// Heap is a binary min-heap.
 type Heap[T Ordered[T]] struct{ items []T }
 
 // Len returns the number of values.
 func (h *Heap[T]) Len() int { return len(h.items) }
 
-// Head returns the least value. The heap must not be empty.
+// Min returns the least value. The heap must not be empty.
 func (h *Heap[T]) Head() T { return h.items[0] }
 
 // Push adds a value.
 func (h *Heap[T]) Push(v T) {
 	h.items = append(h.items, v)
 	for i := len(h.items) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !h.items[i].Before(h.items[up]) {
+		parent := (i - 1) / 2
+		if !h.items[i].Before(h.items[parent]) {
 			return
 		}
-		h.items[i], h.items[up] = h.items[up], h.items[i]
-		i = up
+		h.items[i], h.items[parent] = h.items[parent], h.items[i]
+		i = parent
 	}
 }
 
-// Pop takes the least value. The heap must not be empty.
+// Pop removes and returns the least value. The heap must not be empty.
 func (h *Heap[T]) Pop() (v T) {
 	v = h.items[0]
 	last := len(h.items) - 1
--- a/pkg/pool/member.go
+++ b/pkg/pool/member.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// run is one request at a target.
+// dispatch is one request at a target.
 type run struct {
 	id    uint64
 	sent  time.Duration
-	start time.Duration // when it got a slot, as far as this entry knows
-	on    bool          // whether it is counted in a slot
+	start time.Duration // when it got a slot, by the estimate of this entry
+	on    bool          // it counts as being in a slot
 	trial bool
 }
 
-// Member is a target with what this entry knows of it.
+// Member is a target with the state that this entry keeps for it.
 type Member struct {
 	Target
 	runs []run
 
-	foreign   float64 // requests of other entries there, by the last report
+	foreign   float64 // requests of other entries there, from the last load report
 	foreignAt time.Duration
-	answered  time.Duration // last answer of any kind
-	served    int
-	room      float64 // limit learnt from refusals
-	blocked   time.Duration
-	sheds     int // in a row
+	answered  time.Duration // last completion or probe result
+	served    int           // served requests
+	room      float64       // concurrency limit learned from sheds
+	blocked   time.Duration // no new requests until then, after a shed
+	sheds     int
 
-	slow     float64 // evidence of being slower than the others
+	slow     float64 // evidence that the target is slower than the others
 	slowAt   time.Duration
-	fail     float64 // evidence of failing more than the others
+	fail     float64 // evidence that the target fails more than the others
 	failRate float64
 	out      bool
 	trialAt  time.Duration
-	pause    time.Duration
-	trials   int           // trial requests in flight
-	nextTry  int           // arrivals at the pool before the next trial
-	unclear  bool          // whether it may be gone: a probe goes before a trial
-	probing  time.Duration // until then the result of a probe may come
+	pause    time.Duration // before the next trial
+	trials   int
+	nextTry  int           // no trial before this number of arrivals at the pool
+	unclear  bool          // connections failed or requests timed out; a probe precedes a trial
+	probing  time.Duration // a probe is pending until then at the latest
 
-	left      bool
+	left      bool // leaving or evacuated: no new requests
 	leftUntil time.Duration
 }
 
 // InFlight returns the number of this entry's requests at the target.
 func (m *Member) InFlight() int { return len(m.runs) }
 
-// Foreign returns the estimated requests of other entries there. The report
-// counts for less as it ages: keep is the time in which its weight halves.
-func (m *Member) Foreign(now, keep time.Duration) float64 {
+// OtherInFlight returns the estimated number of requests of other entries there. The
+// weight of the load report halves with each halfLife.
+func (m *Member) Foreign(now, halfLife time.Duration) float64 {
 	if m.foreign == 0 {
 		return 0
 	}
-	return m.foreign * math.Exp2(-float64(now-m.foreignAt)/float64(keep))
+	return m.foreign * math.Exp2(-float64(now-m.foreignAt)/float64(halfLife))
 }
 
 func (m *Member) add(id uint64, now time.Duration, trial bool) {
@@ -62,6 +62,7 @@
 	}
 }
 
+// removeDispatch removes a request. The slot it frees goes to the next request there.
 func (m *Member) remove(id uint64, now time.Duration) (r run) {
 	for i := range m.runs {
 		if m.runs[i].id == id {
@@ -83,7 +84,7 @@
 
 func (m *Member) warm(c *Config) bool { return m.served >= c.Warmup }
 
-// limit is how many requests the target may hold, before any allowance.
+// limit returns the number of requests that the target may hold, without the allowance.
 func (m *Member) limit(c *Config) int {
 	if !m.warm(c) {
 		return 1
--- a/pkg/pool/policy.go
+++ b/pkg/pool/policy.go
@@ -12,22 +12,22 @@
 	Pick(c *Choice) int
 }
 
-// Choice is what a policy may look at.
+// PickInput is the input of a policy.
 type Choice struct {
-	Now     time.Duration // on the pool's own clock
-	Members []*Member     // those that may get the request
-	Keep    time.Duration // time in which a report's weight halves
+	Now     time.Duration // on the pool's clock
+	Members []*Member     // targets that may get the request
+	Keep    time.Duration // time in which the weight of a load report halves
 	Curve   *Curve
 	Config  *Config
 	Rand    *rand.Rand
 }
 
-// Suspect tells whether the target looks slower or more faulty than the others.
+// IsSuspect reports whether the target appears slower or more faulty than the others.
 func (c *Choice) Suspect(m *Member) bool {
 	return m.fail > failSuspect || m.suspicion(c.Now, c.Curve) > slowSuspect
 }
 
-// RoundRobin takes the targets in turn.
+// RoundRobin picks the targets in turn.
 type RoundRobin struct{ next int }
 
 // Pick returns the next index.
@@ -36,13 +36,13 @@
 	return r.next % len(c.Members)
 }
 
-// Random takes any target.
+// Random picks a random target.
 type Random struct{}
 
 // Pick returns a random index.
 func (Random) Pick(c *Choice) int { return c.Rand.IntN(len(c.Members)) }
 
-// TwoChoices takes the one with fewer requests in flight of two random targets.
+// TwoChoices picks the target with fewer requests in flight out of two random ones.
 type TwoChoices struct{}
 
 // Pick compares two random members.
@@ -62,10 +62,10 @@
 	return a
 }
 
-// LeastInFlight takes a target with the fewest requests of this entry in flight.
+// LeastInFlight picks a target with the fewest requests of this entry in flight.
 type LeastInFlight struct{}
 
-// Pick returns a random one of the members with the least in flight.
+// Pick returns a random one of the members with the fewest requests in flight.
 func (LeastInFlight) Pick(c *Choice) int {
 	best, ties := 0, 0
 	for i, m := range c.Members {
--- a/pkg/pool/pool.go
+++ b/pkg/pool/pool.go
@@ -6,33 +6,35 @@
 	"time"
 )
 
+// notice is the leaving notice of one incarnation of a target.
 type hold struct {
 	boot  uint64
 	until time.Duration
 }
 
-// Pool holds the targets of one service and the requests that wait for one.
+// Pool balances the requests of one service over its targets and queues requests while
+// no target has room.
 type Pool[P Policy] struct {
 	cfg    Config
 	policy P
 	rnd    *rand.Rand
 
 	epoch    time.Time
-	now      time.Duration // since epoch; never goes back
+	now      time.Duration // since epoch; never decreases
 	members  []*Member
 	byID     map[string]*Member
-	holds    map[string]hold // targets that said they leave
+	holds    map[string]hold // leaving notices by target
 	flights  map[uint64]*Member
 	queue    queue
 	curve    Curve
 	gap      gap
-	out      int
-	failSum  float64
+	out      int     // ejected targets
+	failSum  float64 // of the failure rates of all members
 	arrivals int
-	asked    time.Duration // last look for a target worth a probe
+	asked    time.Duration // last scan for targets to probe
 
-	usable []*Member // scratch
-	choice Choice
+	usable []*Member // reused by pick
+	choice Choice    // reused by pick
 }
 
 // New returns a pool without targets.
@@ -50,9 +52,9 @@
 	return p
 }
 
-// set moves the pool's clock. Where the clock that is passed in steps back, the
-// pool's own goes on from where it was: else pauses and holds would last as
-// much longer, and every deadline would seem to be over.
+// setClock sets the pool's clock. When now steps back, the pool's clock continues from
+// its last value. Otherwise pauses and leaving notices would last longer by the size of
+// the step, and every deadline would appear to have passed.
 func (p *Pool[P]) set(now time.Time) {
 	if p.epoch.IsZero() {
 		p.epoch = now
@@ -65,12 +67,12 @@
 	p.now = at
 }
 
-// Len returns the number of queued requests and of those in flight.
+// RequestCounts returns the number of queued requests and of requests in flight.
 func (p *Pool[P]) Len() (queued, inFlight int) {
 	return p.queue.len(), len(p.flights)
 }
 
-// Arrive dispatches the request, queues it, or refuses it at once.
+// Submit dispatches, queues or refuses a request.
 func (p *Pool[P]) Arrive(now time.Time, a Arrival, out []Action) []Action {
 	p.set(now)
 	p.arrivals++
@@ -87,6 +89,7 @@
 	return p.drain(out)
 }
 
+// dueTime converts a deadline to the pool's clock.
 func (p *Pool[P]) due(deadline time.Time) time.Duration {
 	if deadline.IsZero() {
 		return math.MaxInt64
@@ -94,8 +97,8 @@
 	return deadline.Sub(p.epoch)
 }
 
-// Done takes the end of a dispatched request. An unknown id is ignored: the
-// request was given up before.
+// Done processes the completion of a dispatched request. An unknown ID is ignored, because
+// the request was cancelled before.
 func (p *Pool[P]) Done(now time.Time, a Answer, out []Action) []Action {
 	p.set(now)
 	m := p.flights[a.ID]
@@ -110,7 +113,7 @@
 	return p.drain(out)
 }
 
-// Cancel takes back a queued request, or gives up a dispatched one.
+// Cancel cancels a queued or dispatched request.
 func (p *Pool[P]) Cancel(now time.Time, id uint64, out []Action) []Action {
 	p.set(now)
 	if p.queue.remove(id) {
@@ -119,8 +122,9 @@
 	return p.Done(now, Answer{ID: id, Kind: Cancelled}, out)
 }
 
-// pick returns the target that the policy chooses, or nil to wait. open tells
-// whether there is a target that may get new work at all.
+// pick returns the target that the policy chooses, or nil if the request has to wait.
+// open reports whether any target can get new requests, now or later. The target in avoid
+// is used only if there is no other.
 func (p *Pool[P]) pick(avoid string) (m *Member, open bool) {
 	p.usable = p.usable[:0]
 	var avoided *Member
@@ -165,8 +169,8 @@
 	return append(out, Action{Kind: Dispatch, ID: id, Target: m.ID, Boot: m.Boot, Addr: m.Addr, Trial: trial})
 }
 
-// drain refuses what has become too late and dispatches from the head of the
-// queue while a target has room.
+// serveQueue refuses queued requests that would be late, then dispatches from the head of
+// the queue while a target has room.
 func (p *Pool[P]) drain(out []Action) []Action {
 	out = p.refuseLate(out)
 	for {
@@ -183,6 +187,7 @@
 	}
 }
 
+// refuseLate refuses queued requests that can't get a response by their deadline.
 func (p *Pool[P]) refuseLate(out []Action) []Action {
 	for {
 		w, ok := p.queue.late(p.now + p.need())
@@ -193,8 +198,8 @@
 	}
 }
 
-// place dispatches the request, or refuses it where no target may get new
-// work. done is false when it has to wait.
+// tryDispatch dispatches the request, or refuses it if no target accepts new requests.
+// done is false if the request has to wait.
 func (p *Pool[P]) place(a Arrival, out []Action) (next []Action, done bool) {
 	if m := p.trial(a); m != nil {
 		return p.dispatch(m, a.ID, true, out), true
--- a/pkg/pool/pool_test.go
+++ b/pkg/pool/pool_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-// bed drives a pool with targets that take as long as the test says.
+// harness drives a pool with simulated targets.
 type bed struct {
 	pool pool.Chooser
 	now  time.Time
@@ -61,8 +61,8 @@
 	return b.act(b.pool.Done(b.now, pool.Answer{ID: id, Kind: kind}, nil))
 }
 
-// serve runs n requests one after the other, each as slow and as lucky as its
-// target; it returns how many each target got.
+// serve runs n requests in sequence, each with the response time and outcome of its
+// target, and returns the number of requests that each target got.
 func (b *bed) serve(n int, took func(string) (time.Duration, pool.Kind)) map[string]int {
 	got := map[string]int{}
 	for range n {
@@ -94,23 +94,23 @@
 	c.Assert(err, qt.ErrorMatches, `pool: policy: found "best", expected one of .*`)
 }
 
-// A caller is refused at once, or waits and is then served or refused once.
-// Requests come while all slots are taken; the queue gives the earliest
-// deadline the next slot and drops what can't be in time any more.
+// Requests arrive while all slots are taken. Each must be refused at once, or queued and
+// then dispatched or refused exactly once. The earliest deadline gets the next slot, and
+// requests that can't meet their deadline any more are refused.
 func TestQueue(t *testing.T) {
 	ms := time.Millisecond
 	tests := []struct {
 		name      string
 		cfg       pool.Config
 		deadlines []time.Duration
-		wait      time.Duration // before the slots come free
-		dispatch  []uint64      // in this order, of those that came after the first two
+		wait      time.Duration // before slots become free
+		dispatch  []uint64      // expected order, without the first two requests
 		refuse    map[uint64]pool.Reason
 	}{
 		{"by deadline", pool.Config{}, []time.Duration{900 * ms, 500 * ms}, 0, []uint64{4, 3}, nil},
-		{"first come at equal deadlines", pool.Config{}, []time.Duration{900 * ms, 900 * ms}, 0, []uint64{3, 4}, nil},
-		{"too late already", pool.Config{}, []time.Duration{ms}, 0, nil, map[uint64]pool.Reason{3: pool.TooLate}},
-		{"late in the queue", pool.Config{}, []time.Duration{30 * ms, 900 * ms}, 40 * ms, []uint64{4}, map[uint64]pool.Reason{3: pool.DeadlineUp}},
+		{"by arrival at equal deadlines", pool.Config{}, []time.Duration{900 * ms, 900 * ms}, 0, []uint64{3, 4}, nil},
+		{"too late on arrival", pool.Config{}, []time.Duration{ms}, 0, nil, map[uint64]pool.Reason{3: pool.TooLate}},
+		{"too late in the queue", pool.Config{}, []time.Duration{30 * ms, 900 * ms}, 40 * ms, []uint64{4}, map[uint64]pool.Reason{3: pool.DeadlineUp}},
 		{"queue full", pool.Config{MaxQueue: 1}, []time.Duration{900 * ms, 900 * ms}, 0, []uint64{3}, map[uint64]pool.Reason{4: pool.QueueFull}},
 		{"wait too long", pool.Config{MaxWait: 4 * ms}, []time.Duration{900 * ms, 900 * ms}, 0, []uint64{3}, map[uint64]pool.Reason{4: pool.QueueFull}},
 	}
@@ -149,9 +149,9 @@
 	}
 }
 
-// A target that leaves gets no new work from the first word on, whoever speaks
-// it, although the list lags and still says that the target is live. A new
-// incarnation of it is a new target.
+// A leaving target must get no new requests from the first notice on, regardless of its
+// source, while an outdated list still shows the target as live. A new incarnation is a
+// new target.
 func TestLeaving(t *testing.T) {
 	list := targets(3)
 	with := func(state pool.State, boot uint64) []pool.Target {
@@ -160,28 +160,28 @@
 		return l
 	}
 	tests := []struct {
-		name  string
-		tell  func(b *bed)
-		after []pool.Target
-		wait  time.Duration
-		back  bool
+		name   string
+		notify func(b *bed)
+		after  []pool.Target
+		wait   time.Duration
+		back   bool
 	}{
-		{"own word", ownWord, list, 0, false},
+		{"own announcement", ownWord, list, 0, false},
 		{"peer or store", func(b *bed) { b.pool.Leave(b.now, "t0", 1, nil) }, list, 0, false},
-		{"list says leaving", func(b *bed) { b.pool.Targets(b.now, with(pool.Leaving, 1), nil) }, list, 0, false},
-		{"list says gone", func(b *bed) { b.pool.Targets(b.now, with(pool.Gone, 1), nil) }, list, 0, false},
-		{"list drops it", func(b *bed) { b.pool.Targets(b.now, list[1:], nil) }, list[1:], 0, false},
+		{"list shows it as leaving", func(b *bed) { b.pool.Targets(b.now, with(pool.Leaving, 1), nil) }, list, 0, false},
+		{"list shows it as gone", func(b *bed) { b.pool.Targets(b.now, with(pool.Gone, 1), nil) }, list, 0, false},
+		{"not in the list", func(b *bed) { b.pool.Targets(b.now, list[1:], nil) }, list[1:], 0, false},
 		{"old list after 30 s", ownWord, list, 30 * time.Second, false},
-		{"hold lapses", ownWord, list, 61 * time.Second, true},
+		{"notice expires", ownWord, list, 61 * time.Second, true},
 		{"new incarnation", ownWord, with(pool.Live, 2), 0, true},
-		{"word on another incarnation", func(b *bed) { b.pool.Leave(b.now, "t0", 7, nil) }, list, 0, true},
+		{"notice of another incarnation", func(b *bed) { b.pool.Leave(b.now, "t0", 7, nil) }, list, 0, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			b := bedOf(c, "", pool.Config{}, list)
 			b.serve(50, steady)
-			test.tell(b)
+			test.notify(b)
 			b.now = b.now.Add(test.wait)
 			b.act(b.pool.Targets(b.now, test.after, nil))
 			b.act(b.pool.Tick(b.now, nil))
@@ -196,6 +196,7 @@
 	}
 }
 
+// announceLeaving completes a request of t0 with a load report that it is leaving.
 func ownWord(b *bed) {
 	for {
 		id, _ := b.arrive(time.Minute)
@@ -205,14 +206,14 @@
 		}
 		out := b.pool.Done(b.now, pool.Answer{ID: id, Kind: pool.Served, Load: pool.Load{Leaving: true}}, nil)
 		if len(out) != 1 || out[0].Kind != pool.Left || out[0].Boot != 1 {
-			panic("no action Left")
+			panic("no action NoteLeaving")
 		}
 		return
 	}
 }
 
-// A driver replaces a pool, and callers must not be sent to a target that told
-// only the old one that it leaves.
+// A driver replaces a pool. The new one must not use a target that announced only to the
+// old one that it is leaving.
 func TestHeld(t *testing.T) {
 	c := qt.New(t)
 	b := bedOf(c, "", pool.Config{}, targets(3))
@@ -227,17 +228,17 @@
 	c.Assert(b.pool.Held(b.now.Add(time.Hour)), qt.HasLen, 0)
 }
 
-// A target's own count names requests of other entries, which this entry must
-// leave room for; a report that counts only this entry's own says nothing.
+// A load report includes requests of other entries, for which this entry must leave room.
+// A report that contains only requests of this entry must not reduce the room.
 func TestReport(t *testing.T) {
 	tests := []struct {
 		name   string
-		report int // with one of two own requests answered
-		more   int // requests that then fit without a queue
+		report int // requests reported when one of two own requests completes
+		more   int // requests that then can be dispatched at once
 	}{
-		{"own only", 2, 1},
+		{"own requests only", 2, 1},
 		{"one of another entry", 3, 0},
-		{"below the own", 0, 1},
+		{"less than own requests", 0, 1},
 	}
 	for _, test := range tests {
 		c := qt.New(t)
@@ -251,9 +252,9 @@
 	}
 }
 
-// At overload browsing would crowd out bookings, whose callers can't just try
-// again. Those that are not idempotent go first, whatever their deadlines, and
-// are not refused for the length of a queue that they pass.
+// At overload, reads would displace writes, whose callers can't simply retry. Requests that
+// aren't idempotent must be served first, regardless of deadlines, and must not be refused
+// because of queued requests that they precede.
 func TestPriority(t *testing.T) {
 	c := qt.New(t)
 	b := bedOf(c, "", pool.Config{Allowance: -1, MaxWait: 4 * time.Millisecond}, targets(1))
@@ -270,7 +271,7 @@
 	c.Assert(out[0].ID, qt.Equals, read)
 }
 
-// A request without a deadline waits like any other.
+// A request without a deadline is queued like any other.
 func TestNoDeadline(t *testing.T) {
 	c := qt.New(t)
 	b := bedOf(c, "", pool.Config{Allowance: -1}, targets(1))
--- a/pkg/pool/probe_test.go
+++ b/pkg/pool/probe_test.go
@@ -16,10 +16,10 @@
 	return b
 }
 
-// idle ticks the pool for a while and returns how often each target was probed.
-func (b *bed) idle(whole time.Duration, ok func(target string) bool) map[string]int {
+// idle ticks the pool for a while and returns the number of probes of each target.
+func (b *bed) idle(duration time.Duration, ok func(target string) bool) map[string]int {
 	probed := map[string]int{}
-	for until := b.now.Add(whole); b.now.Before(until); b.now = b.now.Add(10 * ms) {
+	for until := b.now.Add(duration); b.now.Before(until); b.now = b.now.Add(10 * ms) {
 		for _, a := range b.pool.Tick(b.now, nil) {
 			if a.Kind == pool.Probe {
 				probed[a.Target]++
@@ -32,18 +32,18 @@
 
 func fine(string) bool { return true }
 
-// Measuring takes time from the targets, which callers pay for. A target is
-// probed only where the result could change a decision.
+// Probes consume capacity of the targets. A target must be probed only when the result
+// could change a decision.
 func TestWorthProbing(t *testing.T) {
 	tests := []struct {
-		name string
-		make func(b *bed)
-		most int // probes of t0 in the next second
-		none bool
+		name    string
+		prepare func(b *bed)
+		most    int  // limit of probes of t0 in the next second
+		none    bool // no probe at all
 	}{
 		{"busy", func(b *bed) { b.load(4, time.Second, nil) }, 0, true},
 		{"silent for a second", func(b *bed) { b.load(4, time.Second, nil); b.now = b.now.Add(500 * ms) }, 0, true},
-		{"silent for long", func(b *bed) { b.now = b.now.Add(time.Minute) }, 1, false},
+		{"silent for a minute", func(b *bed) { b.now = b.now.Add(time.Minute) }, 1, false},
 		{"leaving and silent", func(b *bed) { b.pool.Leave(b.now, "t0", 1, nil); b.now = b.now.Add(30 * time.Second) }, 0, true},
 		{"slow, not gone", func(b *bed) {
 			b.load(6, 500*ms, nil)
@@ -56,7 +56,7 @@
 			c := qt.New(t)
 			b := bedOf(c, "", pool.Config{Budget: budget(start)}, targets(4))
 			b.idle(500*ms, fine)
-			test.make(b)
+			test.prepare(b)
 			got := b.idle(time.Second, fine)
 			c.Check(got["t0"] <= test.most, qt.IsTrue, qt.Commentf("%v", got))
 			c.Check(got["t0"] == 0, qt.Equals, test.none, qt.Commentf("%v", got))
@@ -64,15 +64,15 @@
 	}
 }
 
-// Callers of a quiet service would find out one by one that a target is gone.
-// Its connections fail; probes ask whether it is back, and a request goes there
-// only after a good one, or as a last resort where no probe can be had.
+// A target of a service with few requests is gone: its connections fail. Without probes,
+// one request after the other would fail there. A trial request must be sent only after a
+// successful probe, or without one if there is no probe budget.
 func TestProbeBeforeTrial(t *testing.T) {
 	gone := map[string]how{"t0": ends(ms, pool.RefusedConn)}
 	tests := []struct {
 		name   string
 		budget bool
-		most   int // requests to the target in 4 s
+		most   int // limit of requests to the target in 4 s
 	}{
 		{"with a budget", true, 1},
 		{"without", false, 16},
@@ -96,8 +96,9 @@
 	}
 }
 
-// With few requests a second, each pause before a trial passes between two of
-// them; every second caller would be sent to a target that is known to be slow.
+// With few requests per second, each pause before a trial ends between two requests. The
+// number of arrivals must limit the trials too: otherwise every second request would go to
+// a target that is known to be slow.
 func TestQuietTrials(t *testing.T) {
 	c := qt.New(t)
 	b := bedOf(c, "", pool.Config{}, targets(6))
@@ -118,19 +119,19 @@
 	c.Check(got <= 20, qt.IsTrue, qt.Commentf("%d", got))
 }
 
-// Ticks of all services would cost an idle entry as much as requests do.
+// An idle pool must need no ticks: ticks of all services would use as much CPU as requests.
 func TestNext(t *testing.T) {
 	tests := []struct {
-		name  string
-		of    int // entries that share the budget; zero: this one has no share
-		make  func(b *bed)
-		after time.Duration // zero: never
+		name    string
+		of      int // entries that share the probe budget; zero: this entry has no share
+		prepare func(b *bed)
+		after   time.Duration // zero: never
 	}{
 		{"idle, no share", 0, func(*bed) {}, 0},
 		{"in flight, no share", 0, func(b *bed) { b.arrive(time.Minute) }, 0},
 		{"idle with a share", 1, func(*bed) {}, 50 * ms},
 		{"queued", 0, func(b *bed) { b.load(40, ms/4, nil) }, ms},
-		{"told that one leaves", 0, func(b *bed) { b.pool.Leave(b.now, "t0", 1, nil) }, time.Second},
+		{"notice of a leaving target", 0, func(b *bed) { b.pool.Leave(b.now, "t0", 1, nil) }, time.Second},
 	}
 	for _, test := range tests {
 		c := qt.New(t)
@@ -139,7 +140,7 @@
 		b := bedOf(c, "", pool.Config{Budget: shared}, targets(4))
 		b.pool.Tick(b.now.Add(50*ms), nil)
 		b.now = b.now.Add(50 * ms)
-		test.make(b)
+		test.prepare(b)
 		next := b.pool.Next()
 		c.Check(next.IsZero(), qt.Equals, test.after == 0, qt.Commentf(test.name))
 		if test.after > 0 {
@@ -148,8 +149,7 @@
 	}
 }
 
-// The result of a probe may never come, as with any call. The target must not
-// go unprobed for ever because of it.
+// The result of a probe may never arrive. The target must be probed again nevertheless.
 func TestProbeWithoutResult(t *testing.T) {
 	c := qt.New(t)
 	b := bedOf(c, "", pool.Config{Budget: budget(start)}, targets(1))
@@ -162,8 +162,8 @@
 	c.Check(probes <= 4, qt.IsTrue, qt.Commentf("%d", probes))
 }
 
-// A health endpoint misleads both ways. Callers keep their targets where one
-// probe fails by chance; and a good probe does not bring back a slow target.
+// The result of a health endpoint can be wrong in both directions. One failed probe must
+// not eject a target, and a successful probe must not readmit a slow one.
 func TestProbesMislead(t *testing.T) {
 	c := qt.New(t)
 	b := bedOf(c, "", pool.Config{Budget: budget(start)}, targets(6))
--- a/pkg/pool/queue.go
+++ b/pkg/pool/queue.go
@@ -6,12 +6,13 @@
 	"plumpitch.example/plumpitch/pkg/pool/heap"
 )
 
+// queuedRequest is a request in the queue.
 type waiting struct {
 	Arrival
 	due time.Duration // deadline on the pool's clock
 }
 
-// Before orders by deadline, then by arrival.
+// Before orders by deadline, then by ID, the order of arrival.
 func (w waiting) Before(o waiting) bool {
 	if w.due != o.due {
 		return w.due < o.due
@@ -19,20 +20,19 @@
 	return w.ID < o.ID
 }
 
-// queue holds waiting requests, those that are not idempotent before the rest,
-// each by deadline. A request that is taken back stays in its heap and is
-// passed over when it comes up.
+// queue is a priority queue: requests that are not idempotent come first, and each group
+// is ordered by deadline. A removed request stays in its heap and is skipped when it
+// reaches the top.
 type queue struct {
-	first  heap.Heap[waiting] // not idempotent
+	first  heap.Heap[waiting]
 	rest   heap.Heap[waiting]
-	live   map[uint64]bool // whether it is idempotent
+	live   map[uint64]bool // by ID, whether the request is idempotent
 	firsts int
 }
 
 func (q *queue) len() int { return len(q.live) }
 
-// ahead returns how many requests would go before a new one, if all came by
-// the same deadline.
+// countAhead returns the number of requests that precede a new one with the same deadline.
 func (q *queue) ahead(idempotent bool) int {
 	if idempotent {
 		return len(q.live)
@@ -59,7 +59,7 @@
 	return found
 }
 
-// head returns the next request.
+// head returns the next request without removing it.
 func (q *queue) head() (w waiting, ok bool) {
 	if w, ok = q.top(&q.first); ok {
 		return w, true
@@ -67,6 +67,7 @@
 	return q.top(&q.rest)
 }
 
+// peek returns the first request of h that was not removed.
 func (q *queue) top(h *heap.Heap[waiting]) (w waiting, ok bool) {
 	for h.Len() > 0 {
 		w = h.Head()
@@ -78,10 +79,10 @@
 	return waiting{}, false
 }
 
-// late takes out a request that is due before then.
-func (q *queue) late(then time.Duration) (w waiting, ok bool) {
+// popLate removes and returns a request that is due before limit.
+func (q *queue) late(limit time.Duration) (w waiting, ok bool) {
 	for _, h := range []*heap.Heap[waiting]{&q.first, &q.rest} {
-		if w, ok = q.top(h); ok && w.due < then {
+		if w, ok = q.top(h); ok && w.due < limit {
 			q.remove(w.ID)
 			return w, true
 		}
--- a/pkg/pool/targets.go
+++ b/pkg/pool/targets.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Targets takes the whole list of targets. One that is missing gets no new
-// work; its requests in flight go on.
+// SetTargets replaces the list of targets. A target not in the list gets no new requests;
+// its requests in flight continue.
 func (p *Pool[P]) Targets(now time.Time, list []Target, out []Action) []Action {
 	p.set(now)
 	old := p.byID
-	newcomers := len(old) > 0
+	newAreCold := len(old) > 0
 	p.byID = make(map[string]*Member, len(list))
 	p.members = p.members[:0]
 	p.out, p.failSum = 0, 0
@@ -20,7 +20,7 @@
 			p.hold(t.ID, t.Boot)
 			continue
 		}
-		m := p.listed(old[t.ID], t, newcomers)
+		m := p.listed(old[t.ID], t, newAreCold)
 		p.byID[t.ID] = m
 		p.members = append(p.members, m)
 		p.failSum += m.failRate
@@ -35,8 +35,8 @@
 	return p.drain(out)
 }
 
-// listed brings one target up to date. A new incarnation starts without the
-// old one's history, the word that it was leaving included.
+// updateMember updates or creates the member of a listed target. A new incarnation starts
+// without the state of the old one, including its leaving notice.
 func (p *Pool[P]) listed(m *Member, t Target, cold bool) *Member {
 	if t.Slots <= 0 {
 		t.Slots = p.cfg.Slots
@@ -57,7 +57,7 @@
 	return m
 }
 
-// keepFloor lets targets back in while more are out than may be.
+// enforceMaxEjected readmits the targets with the least evidence while too many are ejected.
 func (p *Pool[P]) keepFloor() {
 	for float64(p.out) > p.maxOut() {
 		var best *Member
@@ -73,10 +73,12 @@
 	}
 }
 
+// addNotice records that an incarnation of a target is leaving.
 func (p *Pool[P]) hold(id string, boot uint64) {
 	p.holds[id] = hold{boot: boot, until: p.now + p.cfg.Hold}
 }
 
+// setLeaving excludes a listed target from new requests.
 func (p *Pool[P]) leave(m *Member) {
 	p.hold(m.ID, m.Boot)
 	m.left = true
@@ -85,8 +87,8 @@
 	p.keepFloor()
 }
 
-// settle drops a leaving target from the count of those that are out: it
-// would take up the floor of the others.
+// clearEjected ends the ejection of an excluded target, so that it doesn't count towards
+// the limit of ejected targets.
 func (p *Pool[P]) settle(m *Member) {
 	if m.left && m.out {
 		m.out = false
@@ -94,8 +96,8 @@
 	}
 }
 
-// Leave takes word from the store or a peer that an incarnation of a target is
-// leaving. It holds also for a target that is not listed yet.
+// MarkLeaving records a report from the store or a peer that an incarnation of a target is
+// leaving. The target need not be listed yet.
 func (p *Pool[P]) Leave(now time.Time, target string, boot uint64, out []Action) []Action {
 	p.set(now)
 	m := p.byID[target]
@@ -109,23 +111,23 @@
 	return p.drain(out)
 }
 
-// Held is an incarnation of a target that said, or of which was said, that it
-// leaves.
+// LeavingNotice is an incarnation of a target that is leaving, by its own announcement or
+// by a report.
 type Held struct {
 	Target string
 	Boot   uint64
 }
 
-// Held returns the leaving words in force. A driver that replaces a pool passes
-// them on by Leave: else a target that only this pool was told of would get new
-// work again.
-func (p *Pool[P]) Held(now time.Time) (held []Held) {
+// LeavingNotices returns the leaving notices that have not expired. A driver that replaces
+// a pool passes them to the new one with MarkLeaving. Otherwise a target whose notice only
+// this pool received would get new requests again.
+func (p *Pool[P]) Held(now time.Time) (notices []Held) {
 	p.set(now)
 	for id, h := range p.holds {
 		if p.now < h.until {
-			held = append(held, Held{Target: id, Boot: h.boot})
+			notices = append(notices, Held{Target: id, Boot: h.boot})
 		}
 	}
-	slices.SortFunc(held, func(a, b Held) int { return cmp.Compare(a.Target, b.Target) })
-	return held
+	slices.SortFunc(notices, func(a, b Held) int { return cmp.Compare(a.Target, b.Target) })
+	return notices
 }
--- a/pkg/pool/tick.go
+++ b/pkg/pool/tick.go
@@ -3,14 +3,13 @@
 import "time"
 
 const (
-	queueTick = time.Millisecond
-	probeTick = 50 * time.Millisecond
-	probeLost = time.Second
-	probeFail = 2.0 // evidence of a failed probe
+	queueTick = time.Millisecond      // while requests are queued
+	probeTick = 50 * time.Millisecond // between scans for targets to probe
+	probeLost = time.Second           // a probe without a result is repeated after it
+	probeFail = 2.0                   // failure evidence of a failed probe
 )
 
-// Tick refuses what has become too late, dispatches what has got room, lets
-// holds lapse and asks for probes.
+// Tick removes expired leaving notices, serves the queue and requests probes.
 func (p *Pool[P]) Tick(now time.Time, out []Action) []Action {
 	p.set(now)
 	p.lapse()
@@ -18,6 +17,7 @@
 	return p.probes(now, out)
 }
 
+// expireNotices removes expired leaving notices.
 func (p *Pool[P]) lapse() {
 	for id, h := range p.holds {
 		if h.until > p.now {
@@ -30,9 +30,9 @@
 	}
 }
 
-// Next tells when Tick is needed next; the zero time means not at all. An entry
-// without a share of the probe budget needs no ticks for it, since most entries
-// hold most services without probing them; a new share is a reason to ask again.
+// NextTick returns when Tick is needed next. The zero time means never. A pool without a
+// share of the probe budget needs no ticks for probes: most entries don't probe most of
+// their services. The driver must call NextTick again when the share changes.
 func (p *Pool[P]) Next() time.Time {
 	switch {
 	case p.queue.len() > 0:
@@ -45,7 +45,7 @@
 	return time.Time{}
 }
 
-// probes asks about the targets of which an answer would change a decision.
+// requestProbes requests probes of the targets where the result can change a decision.
 func (p *Pool[P]) probes(now time.Time, out []Action) []Action {
 	if p.cfg.Budget == nil || p.now < p.asked+probeTick {
 		return out
@@ -64,8 +64,9 @@
 	return out
 }
 
-// worth tells whether a probe of m could change what it is sent: one that is
-// due back after lost connections, or one that has been silent.
+// worthProbing reports whether the result of a probe could change the requests that m
+// gets. That is the case before a trial after lost connections or timeouts, and for a
+// target without recent responses.
 func (p *Pool[P]) worth(m *Member) bool {
 	if m.doubted() {
 		return m.unclear && p.now >= p.trialDue(m)-probeFirst
@@ -73,8 +74,9 @@
 	return !m.out && len(m.runs) == 0 && p.now-m.answered > p.cfg.Silent
 }
 
-// Probed takes the result of a probe. A good one only allows a trial request,
-// since health endpoints lag and mislead; it takes two bad ones to eject.
+// ProbeDone processes the result of a probe. A good result only allows a trial request,
+// because health endpoints can be outdated or wrong. It takes two bad results to eject a
+// target.
 func (p *Pool[P]) Probed(now time.Time, r Probed, out []Action) []Action {
 	p.set(now)
 	m := p.byID[r.Target]
--- a/pkg/pool/trial.go
+++ b/pkg/pool/trial.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// probeFirst is how much later a trial is due that a probe could clear before.
+// probeHeadStart delays a trial so that a probe can check the target before.
 const probeFirst = time.Second
 
-// trial returns a target that is due for a trial request. One that is suspected
-// needs trials too: being used last, it may get nothing else, and its judgement
-// would outlast its fault.
+// dueTrial returns a target that is due for a trial request, or nil. Suspected targets need
+// trials too: as they are used last, they may get no other requests, and the evidence
+// would outlast the fault. A request
+// that isn't idempotent is used only after a further pause.
 func (p *Pool[P]) trial(a Arrival) *Member {
 	if p.cfg.Blind || a.Avoid != "" {
 		return nil
@@ -24,7 +25,7 @@
 	return nil
 }
 
-// doubted tells whether a trial could show something of the target.
+// needsTrial reports whether a trial can give information about the target.
 func (m *Member) doubted() bool {
 	switch {
 	case m.left || m.trials > 0:
@@ -35,9 +36,8 @@
 	return len(m.runs) == 0 && (m.slow > slowSuspect || m.fail > failSuspect)
 }
 
-// trialDue is when a trial request may be sent. A target whose connections
-// failed is probed before, where there is a budget, so that no request has to
-// find out that it is still gone.
+// trialDue returns when a trial request may be sent. If there is a probe budget, a target
+// that may be gone is probed first, so that no request is lost to it.
 func (p *Pool[P]) trialDue(m *Member) (at time.Duration) {
 	at = m.trialAt
 	if !m.out {
