--- a/pkg/call/call_test.go
+++ b/pkg/call/call_test.go
@@ -71,8 +71,8 @@
 	deadline := start.Add(100 * time.Millisecond)
 	nonIdempotent := Arrival{Deadline: deadline}
 	idempotent := Arrival{Deadline: deadline, Idempotent: true, Hedge: 10 * time.Millisecond}
-	notRun := func(try int, s Stage) Failed { return Failed{Try: try, Stage: s, Ran: DidNotRun, Replay: true} }
-	mayHaveRun := func(try int, s Stage) Failed { return Failed{Try: try, Stage: s, Replay: true} }
+	notRun := func(dispatch int, s Stage) Failed { return Failed{Try: dispatch, Stage: s, Ran: DidNotRun, Replay: true} }
+	mayHaveRun := func(dispatch int, s Stage) Failed { return Failed{Try: dispatch, Stage: s, Replay: true} }
 	tests := []struct {
 		name    string
 		steps   []step
@@ -242,7 +242,7 @@
 
 // event draws any event, including late, duplicate and out-of-order ones.
 func (m *model) event() any {
-	try := rapid.IntRange(-1, MaxTries).Draw(m.t, "try")
+	dispatch := rapid.IntRange(-1, MaxTries).Draw(m.t, "try")
 	switch rapid.IntRange(0, 8).Draw(m.t, "event") {
 	case 0, 1, 2:
 		return Choice{Target: "t"}
@@ -251,26 +251,26 @@
 		return Decline{Reason: ReasonOverload}
 	case 4, 5:
 		ran := rapid.SampledFrom([]Execution{MayHaveRun, DidNotRun, DidNotRun, DidRun}).Draw(m.t, "ran")
-		m.hear(try, ran == DidNotRun)
-		return Failed{Try: try, Stage: Stage(rapid.IntRange(1, 9).Draw(m.t, "stage")), Ran: ran, Replay: rapid.Bool().Draw(m.t, "replay")}
+		m.hear(dispatch, ran == DidNotRun)
+		return Failed{Try: dispatch, Stage: Stage(rapid.IntRange(1, 9).Draw(m.t, "stage")), Ran: ran, Replay: rapid.Bool().Draw(m.t, "replay")}
 	case 6:
 		shed := rapid.Bool().Draw(m.t, "shed")
-		m.hear(try, shed)
-		return Head{Try: try, Status: rapid.SampledFrom([]int{200, 503}).Draw(m.t, "status"), Shed: shed, Replay: true}
+		m.hear(dispatch, shed)
+		return Head{Try: dispatch, Status: rapid.SampledFrom([]int{200, 503}).Draw(m.t, "status"), Shed: shed, Replay: true}
 	case 7:
 		return hedge{}
 	default:
-		return rapid.SampledFrom([]any{expire{}, leave{}, End{Try: try}}).Draw(m.t, "end")
+		return rapid.SampledFrom([]any{expire{}, leave{}, End{Try: dispatch}}).Draw(m.t, "end")
 	}
 }
 
 // hear records the first result of a dispatch; later ones don't change it.
-func (m *model) hear(try int, notRun bool) {
-	if try < 0 || try >= len(m.flights) || m.flights[try].ended {
+func (m *model) hear(dispatch int, notRun bool) {
+	if dispatch < 0 || dispatch >= len(m.flights) || m.flights[dispatch].ended {
 		return
 	}
-	m.flights[try].ended = true
-	m.flights[try].mayHaveRun = !notRun
+	m.flights[dispatch].ended = true
+	m.flights[dispatch].mayHaveRun = !notRun
 }
 
 // For any events in any order: a caller gets exactly one response. A request that isn't
--- a/pkg/pool/admit.go
+++ b/pkg/pool/admit.go
@@ -11,21 +11,21 @@
 // request, and the mean would never recover, because it is measured only while requests
 // are queued.
 type gap struct {
-	mean float64       // nanoseconds; zero until measured
-	last time.Duration // last completion
-	busy bool          // requests were queued at the last completion
+	mean float64 // nanoseconds; zero until measured
+	last time.Duration
+	busy bool // requests were queued at the last completion
 }
 
 // observe records a completion. limit is the largest sample that counts.
-func (g *gap) done(now time.Duration, queued bool, limit time.Duration) {
-	if g.busy && queued {
-		interval := float64(min(now-g.last, limit))
-		if g.mean == 0 {
-			g.mean = interval
+func (q *gap) done(now time.Duration, queued bool, limit time.Duration) {
+	if q.busy && queued {
+		interval := float64(min(now-q.last, limit))
+		if q.mean == 0 {
+			q.mean = interval
 		}
-		g.mean += gapWeight * (interval - g.mean)
+		q.mean += gapWeight * (interval - q.mean)
 	}
-	g.last, g.busy = now, queued
+	q.last, q.busy = now, queued
 }
 
 // expectedWait returns the expected wait of a request that is queued now.
--- a/pkg/pool/answer.go
+++ b/pkg/pool/answer.go
@@ -8,15 +8,15 @@
 )
 
 // applyOutcome updates the health of m from the end of dispatch r.
-func (p *Pool[P]) take(m *Member, r run, kind Kind) {
+func (p *Pool[P]) take(m *Member, r run, outcome Kind) {
 	m.answered = p.now
 	if p.cfg.Blind {
 		return
 	}
 	took := p.now - r.start
 	good := false
-	m.unclear = kind == RefusedConn || kind == Broken || kind == TimedOut
-	switch kind {
+	m.unclear = outcome == RefusedConn || outcome == Broken || outcome == TimedOut
+	switch outcome {
 	case Served:
 		good = p.takeServed(m, took)
 	case Failed:
--- a/pkg/pool/event.go
+++ b/pkg/pool/event.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// State is the state of a target according to the target list.
+// State is the state of a target as reported by the target lists and the store.
 type State uint8
 
 // States of a target.
--- a/pkg/pool/health.go
+++ b/pkg/pool/health.go
@@ -26,14 +26,14 @@
 	failSuspect = 1.8      // evidence above which a target is suspected
 	failReturn  = 1.5      // evidence up to which a target is readmitted
 	failFloor   = 0.01     // lower limit of the failure rate of the other targets
-	failCeil    = 0.45     // upper limit of that rate in a likelihood ratio, below failBad
+	failCeil    = 0.45     // upper limit of that rate in a likelihood ratio, below badFailureRate
 	failBad     = 0.5      // failure rate of a faulty target
 	failWeight  = 1.0 / 32 // of one completion in the failure rate
 
 	shedsOut = 3 // consecutive sheds from which on each counts as a failure
 )
 
-// finishedGain is the change of the slow evidence by the end of a request.
+// finishedGain is added to the slow evidence when a request finishes. It is negative.
 var slowGain = math.Log(slowFactor)
 
 // decaySlow halves weak evidence every slowHalfLife. The evidence against a suspected
@@ -193,15 +193,15 @@
 // service as a whole is slow, and the latency distribution doesn't reflect it yet.
 // Ejecting targets would overload the rest.
 func (p *Pool[P]) slowAlike(m *Member) bool {
-	alike, others := 0, 0
+	slow, others := 0, 0
 	for _, o := range p.members {
 		if o == m || o.left {
 			continue
 		}
 		others++
 		if o.suspicion(p.now, &p.curve) >= slowTrial {
-			alike++
+			slow++
 		}
 	}
-	return 2*alike >= others
+	return 2*slow >= others
 }
--- a/pkg/pool/health_test.go
+++ b/pkg/pool/health_test.go
@@ -12,7 +12,7 @@
 const ms = time.Millisecond
 
 // behavior returns the response time and outcome of request n that a target gets at a time.
-type how func(at time.Duration, n int) (took time.Duration, kind pool.Kind)
+type how func(at time.Duration, n int) (took time.Duration, outcome pool.Kind)
 
 // normal spreads response times over 2 to 10 ms.
 func usual(_ time.Duration, n int) (time.Duration, pool.Kind) {
@@ -21,14 +21,14 @@
 
 func slowBy(factor int) how {
 	return func(at time.Duration, n int) (time.Duration, pool.Kind) {
-		took, kind := usual(at, n)
-		return time.Duration(factor) * took, kind
+		took, outcome := usual(at, n)
+		return time.Duration(factor) * took, outcome
 	}
 }
 
 // always returns a behavior with a fixed response time and outcome.
-func ends(took time.Duration, kind pool.Kind) how {
-	return func(time.Duration, int) (time.Duration, pool.Kind) { return took, kind }
+func ends(took time.Duration, outcome pool.Kind) how {
+	return func(time.Duration, int) (time.Duration, pool.Kind) { return took, outcome }
 }
 
 // during returns a behavior that is bad from one time to another, and normal otherwise.
@@ -43,10 +43,10 @@
 
 // flight is a request at a target.
 type flight struct {
-	id     uint64
-	target string
-	end    time.Time
-	kind   pool.Kind
+	id      uint64
+	target  string
+	end     time.Time
+	outcome pool.Kind
 }
 
 // load keeps n requests queued or in flight for a while, and returns the number of
@@ -54,7 +54,7 @@
 func (b *bed) load(n int, duration time.Duration, targets map[string]how) map[string]int {
 	got := map[string]int{}
 	until := b.now.Add(duration)
-	take := func(out []pool.Action) {
+	process := func(out []pool.Action) {
 		for _, a := range out {
 			if a.Kind == pool.Probe {
 				b.probe(a.Target, targets[a.Target])
@@ -67,8 +67,8 @@
 			if do == nil {
 				do = usual
 			}
-			took, kind := do(b.now.Sub(start), int(a.ID))
-			b.flights = append(b.flights, flight{a.ID, a.Target, b.now.Add(took), kind})
+			took, outcome := do(b.now.Sub(start), int(a.ID))
+			b.flights = append(b.flights, flight{a.ID, a.Target, b.now.Add(took), outcome})
 		}
 	}
 	for ; b.now.Before(until); b.now = b.now.Add(ms / 4) {
@@ -79,13 +79,13 @@
 			}
 			b.flights = append(b.flights[:i], b.flights[i+1:]...)
 			i--
-			take(b.pool.Done(b.now, pool.Answer{ID: f.id, Kind: f.kind}, nil))
+			process(b.pool.Done(b.now, pool.Answer{ID: f.id, Kind: f.outcome}, nil))
 		}
-		take(b.pool.Tick(b.now, nil))
+		process(b.pool.Tick(b.now, nil))
 		for queued, inFlight := b.pool.Len(); queued+inFlight < n; queued, inFlight = b.pool.Len() {
 			b.id++
 			out := b.pool.Arrive(b.now, pool.Arrival{ID: b.id, Deadline: b.now.Add(time.Minute), Idempotent: true}, nil)
-			take(out)
+			process(out)
 			if len(out) > 0 && out[0].Kind == pool.Refuse {
 				b.refused++
 				break
@@ -99,8 +99,8 @@
 func (b *bed) probe(target string, do how) {
 	ok := true
 	if do != nil {
-		_, kind := do(b.now.Sub(start), 0)
-		ok = kind != pool.RefusedConn
+		_, outcome := do(b.now.Sub(start), 0)
+		ok = outcome != pool.RefusedConn
 	}
 	b.pool.Probed(b.now, pool.Probed{Target: target, OK: ok}, nil)
 }
@@ -110,10 +110,10 @@
 // requests, and get its full share again 2 s after its recovery.
 func TestEjection(t *testing.T) {
 	tests := []struct {
-		name string
-		bad  how
-		n    int // requests queued or in flight at any time
-		most int // limit of its requests in 2 s, of about 4000
+		name  string
+		bad   how
+		n     int // requests queued or in flight at any time
+		limit int // limit of its requests in 2 s, of about 4000
 	}{
 		{"ten times slower", slowBy(10), 10, 40},
 		{"five times slower", slowBy(5), 10, 80},
@@ -133,7 +133,7 @@
 			before := b.load(test.n, time.Second, bad)
 			c.Check(before["t3"] > 100, qt.IsTrue, qt.Commentf("before: %v", before))
 			during := b.load(test.n, 2*time.Second, bad)
-			c.Check(during["t3"] <= test.most, qt.IsTrue, qt.Commentf("during: %v", during))
+			c.Check(during["t3"] <= test.limit, qt.IsTrue, qt.Commentf("during: %v", during))
 			b.load(test.n, 2*time.Second, bad)
 			after := b.load(test.n, time.Second, bad)
 			c.Check(after["t3"] > after["t2"]*4/5, qt.IsTrue, qt.Commentf("after: %v %+v", after, b.pool.Explain(b.now)[3]))
--- a/pkg/pool/member.go
+++ b/pkg/pool/member.go
@@ -33,7 +33,7 @@
 	failRate float64
 	out      bool
 	trialAt  time.Duration
-	pause    time.Duration // before the next trial
+	pause    time.Duration
 	trials   int
 	nextTry  int           // no trial before this number of arrivals at the pool
 	unclear  bool          // connections failed or requests timed out; a probe precedes a trial
--- a/pkg/pool/pool.go
+++ b/pkg/pool/pool.go
@@ -28,10 +28,10 @@
 	queue    queue
 	curve    Curve
 	gap      gap
-	out      int     // ejected targets
+	out      int     // number of ejected targets
 	failSum  float64 // of the failure rates of all members
 	arrivals int
-	asked    time.Duration // last scan for targets to probe
+	asked    time.Duration
 
 	usable []*Member // reused by pick
 	choice Choice    // reused by pick
--- a/pkg/pool/pool_test.go
+++ b/pkg/pool/pool_test.go
@@ -56,9 +56,9 @@
 	return b.id, b.act(b.pool.Arrive(b.now, a, nil))
 }
 
-func (b *bed) done(id uint64, kind pool.Kind) []pool.Action {
+func (b *bed) done(id uint64, outcome pool.Kind) []pool.Action {
 	delete(b.sent, id)
-	return b.act(b.pool.Done(b.now, pool.Answer{ID: id, Kind: kind}, nil))
+	return b.act(b.pool.Done(b.now, pool.Answer{ID: id, Kind: outcome}, nil))
 }
 
 // serve runs n requests in sequence, each with the response time and outcome of its
@@ -74,9 +74,9 @@
 			continue
 		}
 		got[target]++
-		d, kind := took(target)
+		d, outcome := took(target)
 		b.now = b.now.Add(d)
-		b.done(id, kind)
+		b.done(id, outcome)
 	}
 	return got
 }
--- a/pkg/pool/targets.go
+++ b/pkg/pool/targets.go
@@ -51,9 +51,9 @@
 	if t.State == Leaving {
 		p.hold(t.ID, t.Boot)
 	}
-	h, ok := p.holds[t.ID]
-	m.left = t.Evacuated || ok && h.boot == t.Boot && p.now < h.until
-	m.leftUntil = h.until
+	n, ok := p.holds[t.ID]
+	m.left = t.Evacuated || ok && n.boot == t.Boot && p.now < n.until
+	m.leftUntil = n.until
 	return m
 }
 
@@ -123,9 +123,9 @@
 // this pool received would get new requests again.
 func (p *Pool[P]) Held(now time.Time) (notices []Held) {
 	p.set(now)
-	for id, h := range p.holds {
-		if p.now < h.until {
-			notices = append(notices, Held{Target: id, Boot: h.boot})
+	for id, n := range p.holds {
+		if p.now < n.until {
+			notices = append(notices, Held{Target: id, Boot: n.boot})
 		}
 	}
 	slices.SortFunc(notices, func(a, b Held) int { return cmp.Compare(a.Target, b.Target) })
--- a/pkg/pool/tick.go
+++ b/pkg/pool/tick.go
@@ -19,8 +19,8 @@
 
 // expireNotices removes expired leaving notices.
 func (p *Pool[P]) lapse() {
-	for id, h := range p.holds {
-		if h.until > p.now {
+	for id, n := range p.holds {
+		if n.until > p.now {
 			continue
 		}
 		delete(p.holds, id)
--- a/pkg/pool/trial.go
+++ b/pkg/pool/trial.go
@@ -7,8 +7,8 @@
 
 // dueTrial returns a target that is due for a trial request, or nil. Suspected targets need
 // trials too: as they are used last, they may get no other requests, and the evidence
-// would outlast the fault. A request
-// that isn't idempotent is used only after a further pause.
+// would outlast the fault. A request that isn't idempotent is used only after a further
+// pause.
 func (p *Pool[P]) trial(a Arrival) *Member {
 	if p.cfg.Blind || a.Avoid != "" {
 		return nil
