--- a/pkg/call/call_test.go
+++ b/pkg/call/call_test.go
@@ -264,7 +264,7 @@
 	}
 }
 
-// hear records the first result of a dispatch; later ones don't change it.
+// record stores the first result of a dispatch and ignores later ones.
 func (m *model) hear(dispatch int, notRun bool) {
 	if dispatch < 0 || dispatch >= len(m.flights) || m.flights[dispatch].ended {
 		return
