--- a/pkg/member/config.go
+++ b/pkg/member/config.go
@@ -8,27 +8,27 @@
 // Config builds a Table. Zero durations take the defaults.
 type Config struct {
 	Self       Entry         // ID, addresses, place and region of this entry
-	Seeds      []string      // peer addresses for a first contact
-	Period     time.Duration // between rounds; 1 s
+	Seeds      []string      // peer addresses for the first contact
+	Period     time.Duration // between gossip rounds; 1 s
 	Timeout    time.Duration // of a direct exchange; 400 ms
-	Relay      time.Duration // of a ping through another entry; 800 ms
-	Suspicion  time.Duration // until a suspect is declared dead, up to 16 entries; 1.5 s
-	ForgetDead time.Duration // after which a dead entry is no longer retried; 24 h
-	ForgetLeft time.Duration // after which an entry that left is forgotten; 1 h
-	FanOut     int           // others that news are pushed to at once; 2
-	// Room is how many bytes of entries a message has room for, where it has to fit
-	// into a packet; 0 leaves the bounds by number alone.
+	Relay      time.Duration // of an indirect ping; 800 ms
+	Suspicion  time.Duration // until a suspect is declared dead, with up to 16 entries; 1.5 s
+	ForgetDead time.Duration // how long a dead entry is retried; 24 h
+	ForgetLeft time.Duration // how long an entry that left is remembered; 1 h
+	FanOut     int           // peers that a change is pushed to at once; 2
+	// MaxEntryBytes bounds the entries of a message that must fit into a packet. With
+	// 0 only their number is bounded.
 	Room int
-	// Bulk is the number of differing buckets from which on all that a peer knows is
-	// fetched in place of an exchange of lists; 0 never does.
+	// BulkThreshold is the number of differing buckets from which this entry fetches
+	// the peer's whole view instead of exchanging summaries; 0 disables it.
 	Bulk int
-	// Sole says that there is never another process of this name: a later
-	// incarnation that others know of was one before a clock went back.
+	// ExclusiveName promises that no other process uses this name. A later incarnation
+	// in the peers' views is then an earlier process, from before its clock was set back.
 	Sole bool
 	Rand *rand.Rand
 }
 
-// Defaults, chosen so that 14 entries know of a death within 5 s.
+// With these defaults 14 entries detect a death within 5 s.
 const (
 	DefaultPeriod     = time.Second
 	DefaultTimeout    = 400 * time.Millisecond
--- a/pkg/member/entry.go
+++ b/pkg/member/entry.go
@@ -1,33 +1,33 @@
-// Package member decides which entries of the system are up. Entries learn of
-// each other by gossip: in each round an entry exchanges digests with a bounded
-// number of others, and changes travel only where digests differ. The package
-// does no I/O: typed events go into Table.Handle, typed actions come out.
+// Package member detects which entries are up, by gossip. In each round an entry
+// exchanges digests with a bounded number of peers, and sends entries only where
+// the digests differ. The package does no I/O: Table.Handle takes typed events and
+// returns typed actions.
 package member
 
 import "time"
 
-// ID names one incarnation of an entry: a restart gives another boot number.
+// ID identifies one incarnation of an entry. Each restart has a new boot number.
 type ID struct {
 	Name string
-	Boot uint64 // grows with each restart of the same name
+	Boot uint64 // increases with each restart of the same name
 }
 
-// State is what is believed of an incarnation. Of two statements with the same
-// sequence number the one with the higher state holds.
+// State is the believed state of an incarnation. Of two updates with the same
+// sequence number, the one with the higher state takes precedence.
 type State uint8
 
-// The states, in the order in which they override each other.
+// The states in ascending order of precedence.
 const (
-	Alive   State = iota // answers
+	Alive   State = iota // responds
 	Leaving              // announced its stop and still serves
-	Suspect              // did not answer, neither directly nor through others
-	Dead                 // suspected for too long without an objection
-	Left                 // said itself that it is gone
+	Suspect              // did not respond, neither directly nor to indirect pings
+	Dead                 // did not refute the suspicion in time
+	Left                 // announced that it has stopped serving
 )
 
 var stateNames = [...]string{"alive", "leaving", "suspect", "dead", "left"}
 
-// String gives the state's name in lower case.
+// String returns the state's name in lower case.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -35,40 +35,40 @@
 	return "unknown"
 }
 
-// Gone tells whether nothing is expected of such an incarnation any more.
+// Gone reports whether the incarnation is dead or has left.
 func (s State) Gone() bool { return s == Dead || s == Left }
 
-// Entry is one incarnation as it is known here.
+// Entry is one incarnation in the view of this entry.
 type Entry struct {
 	ID       ID
-	Sequence uint64 // raised by the incarnation itself only
+	Sequence uint64 // incremented only by the incarnation itself
 	State    State
-	Ready    bool      // knows settings and targets, so that callers may be sent to it
+	Ready    bool      // has settings and targets, so that callers may be sent to it
 	Since    time.Time // when the state was declared
 	Caller   string    // host:port of the callers' listener
 	Peer     string    // host:port of the peers' listener
 	Place    string
 	Region   string
-	Capacity float64 // requests a second that it is fit for
+	Capacity float64 // requests per second
 	Condition
-	Marks Marks // as it last said itself to this entry; not passed on
+	Marks Marks // as last received from the incarnation itself; not relayed
 }
 
-// Condition is what an entry says of how well it works.
+// Condition is what an entry reports about its own health.
 type Condition struct {
-	Strained bool // it can't keep up
+	Strained bool // can't keep up with its load
 	Shut     bool // the store doesn't serve it
 }
 
-// Brief tells whether the addresses are left out.
+// IsSummary reports whether the entry is a summary, which has no addresses.
 func (e Entry) Brief() bool { return e.Peer == "" }
 
-// Serves tells whether requests may be sent to the entry: a suspect is
-// included, since most suspicions turn out wrong.
+// Serves reports whether requests may be sent to the entry. They may be sent to a
+// suspect, since most suspicions turn out wrong.
 func (e Entry) Serves() bool { return e.State == Alive || e.State == Suspect }
 
-// Ref is where an incarnation listens for peers. The ID is zero where only the
-// address is known.
+// Ref is the peer address of an incarnation. The ID is zero if only the address is
+// known.
 type Ref struct {
 	ID      ID
 	Address string
@@ -81,7 +81,7 @@
 	return e
 }
 
-// newer tells whether e overrides old. Both are of one name.
+// newer reports whether e takes precedence over old, which has the same name.
 func (e Entry) newer(old Entry) bool {
 	if e.ID.Boot != old.ID.Boot {
 		return e.ID.Boot > old.ID.Boot
--- a/pkg/member/event.go
+++ b/pkg/member/event.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// Event is something that happened to the entry. The set is closed.
+// Event is an input of Table.Handle. The set is closed.
 type Event interface{ event() }
 
 type (
-	// Tick is the time for which Table.Next asked.
+	// Tick signals that the time given by Table.Next has come.
 	Tick struct{}
 
-	// Request is a peer's message, which Handle answers with one Reply.
+	// Request is a peer's message. Handle returns one Reply to it.
 	Request struct{ Message Message }
 
-	// Answer is a peer's answer to a Send.
+	// Response is a peer's response to a Send.
 	Answer struct {
 		Exchange uint64
 		Message  Message
 	}
 
-	// NoAnswer tells that a Send or a Reach failed or took too long.
+	// ExchangeFailed signals that a Send or an IndirectPing failed or timed out.
 	NoAnswer struct{ Exchange uint64 }
 
-	// Reached tells which incarnation answered the ping of a Reach.
+	// IndirectAck tells which incarnation responded to an IndirectPing.
 	Reached struct {
 		Exchange uint64
 		ID       ID
 	}
 
-	// Seeds replaces the addresses that are tried for a first contact.
+	// SetSeeds replaces the seed addresses.
 	Seeds struct{ Addresses []string }
 
-	// Revised gives the revisions that are now in force here.
+	// SetRevisions sets the revisions that are in force at this entry.
 	Revised struct{ Marks Marks }
 
-	// Ready tells that the entry knows settings and targets.
+	// Ready signals that this entry has settings and targets.
 	Ready struct{}
 
-	// Feel tells how well the entry works.
+	// SetCondition sets the health that this entry reports.
 	Feel struct{ Condition Condition }
 
-	// Fetched brings all that a peer knows, after a Fetch.
+	// Fetched holds a peer's whole view, in response to a Fetch.
 	Fetched struct{ Entries []Entry }
 
-	// News tells that the driver has something in its messages that others should
-	// hear at once.
+	// PushNow asks for messages to be sent at once: the driver adds data of its own
+	// to them that peers should receive without waiting for the next round.
 	News struct{}
 
-	// Tell starts rumours.
+	// SpreadRumours starts to spread rumours from this entry.
 	Tell struct{ Rumours Rumours }
 
-	// Leave announces that the entry will stop; it still serves.
+	// Leave announces that this entry will stop; it still serves.
 	Leave struct{}
 
-	// Depart announces that the entry serves no more.
+	// Depart announces that this entry has stopped serving.
 	Depart struct{}
 )
 
@@ -71,11 +71,12 @@
 func (Leave) event()    {}
 func (Depart) event()   {}
 
-// Action is what the driver has to do. The set is closed.
+// Action is an output of Table.Handle, which the driver carries out. The set is
+// closed.
 type Action interface{ action() }
 
 type (
-	// Send starts an exchange; an Answer or a NoAnswer with its number ends it.
+	// Send starts an exchange. A Response or an ExchangeFailed with its ID ends it.
 	Send struct {
 		Exchange uint64
 		To       Ref
@@ -83,7 +84,8 @@
 		Timeout  time.Duration
 	}
 
-	// Reach asks one peer to ping another; Reached or NoAnswer ends it.
+	// IndirectPing asks one peer to ping another. An IndirectAck or an ExchangeFailed
+	// with its ID ends it.
 	Reach struct {
 		Exchange uint64
 		Via      Ref
@@ -91,30 +93,30 @@
 		Timeout  time.Duration
 	}
 
-	// Reply answers the Request that was handled.
+	// Reply is the response to the Request that was handled.
 	Reply struct{ Message Message }
 
-	// Fetch asks a peer for all that it knows: there is more to tell than
-	// messages have room for. A Fetched may follow.
+	// Fetch asks a peer for its whole view, since the views differ in more entries
+	// than fit into messages. A Fetched may follow.
 	Fetch struct{ From Ref }
 
-	// Changed tells that View has changed.
+	// ViewChanged signals that View has changed.
 	Changed struct{}
 
-	// Marked tells that View has changed in the marks of an entry only.
+	// RevisionsChanged signals that View has changed only in the revisions of an entry.
 	Marked struct{}
 
-	// Behind tells that a peer has newer revisions than this entry.
+	// PeerAhead signals that a peer has newer revisions than this entry.
 	Behind struct {
 		Peer  Ref
 		Marks Marks
 	}
 
-	// Learned brings rumours that are new here.
+	// RumoursReceived holds rumours that are new to this entry.
 	Learned struct{ Rumours Rumours }
 
-	// Superseded tells that a later incarnation of this entry's own name is up:
-	// this one must stop.
+	// Superseded signals that a later incarnation of this entry's own name is up, so
+	// that this process must stop.
 	Superseded struct{ By ID }
 )
 
--- a/pkg/member/exchange.go
+++ b/pkg/member/exchange.go
@@ -4,18 +4,18 @@
 	"time"
 )
 
-// exchange is a Send or a Reach whose end is awaited.
+// exchange is a Send or an IndirectPing that has not ended.
 type exchange struct {
 	to     Ref
 	join   bool
 	follow bool // the second exchange after differing digests
-	check  ID   // of a Reach: whom it checks
+	check  ID   // of an IndirectPing: the incarnation that is pinged
 }
 
-// check is an indirect check of an entry that did not answer.
+// indirectCheck checks an entry that did not respond, through relays.
 type check struct {
 	sequence uint64
-	left     int // relays whose answer is awaited
+	left     int // relays that have not responded
 }
 
 func (t *Table) send(to Ref, m Message, ex exchange) {
@@ -25,7 +25,7 @@
 	t.act(Send{Exchange: t.exchange, To: to, Message: m, Timeout: t.cfg.Timeout})
 }
 
-// message gives what every message to an entry holds.
+// newMessage returns a message with the parts that all messages have in common.
 func (t *Table) message(now time.Time, to string) Message {
 	return Message{
 		From:    t.self.ID,
@@ -37,8 +37,8 @@
 	}
 }
 
-// withVerdict puts in front what is held against the receiver, so that it can
-// object at once.
+// prependSuspicion puts the receiver's own entry first if it is suspected or gone, so
+// that the receiver can refute it at once.
 func (t *Table) withVerdict(to string, entries []Entry) []Entry {
 	r, ok := t.records[to]
 	if !ok || r.State == Alive || r.State == Leaving {
@@ -57,7 +57,7 @@
 	t.send(Ref{Address: address}, m, exchange{join: true})
 }
 
-// request answers a peer. When the digests agree the answer holds no entry.
+// handleRequest replies to a peer. If the digests are equal the reply holds no entry.
 func (t *Table) request(now time.Time, m Message) {
 	before := t.self.Sequence
 	t.receive(now, m, false)
@@ -81,7 +81,7 @@
 	t.act(Reply{Message: reply})
 }
 
-// greet asks a sender that is not known for its entry.
+// requestUnknownSender asks an unknown sender for its entry.
 func (t *Table) greet(from ID) {
 	if from.Name == t.self.ID.Name {
 		t.learnSelf(t.handled, Entry{ID: from})
@@ -92,7 +92,7 @@
 	}
 }
 
-// receive takes what a message of either direction holds.
+// receive merges the content of a request or a response.
 func (t *Table) receive(now time.Time, m Message, all bool) {
 	for _, e := range m.Entries {
 		t.learn(now, e, all)
@@ -112,7 +112,7 @@
 
 func (t *Table) everything() []Entry {
 	if t.cfg.Bulk > 0 {
-		return []Entry{t.self.Entry} // the digest makes the sender fetch the rest
+		return []Entry{t.self.Entry} // the sender fetches the rest, since its digest differs
 	}
 	var all []Entry
 	for _, r := range t.byName() {
@@ -123,23 +123,24 @@
 	return all
 }
 
-// Known gives a digest of each entry that this one knows, for Lacking.
+// EntryDigests returns a digest of each entry that is not gone, for a peer's
+// EntriesMissingFrom.
 func (t *Table) Known() []uint32 {
-	known := make([]uint32, 0, len(t.records))
+	digests := make([]uint32, 0, len(t.records))
 	for _, r := range t.byName() {
 		if !r.State.Gone() {
-			known = append(known, uint32(r.sum))
+			digests = append(digests, uint32(r.sum))
 		}
 	}
-	return known
+	return digests
 }
 
-// Lacking gives the entries that another one lacks, or knows otherwise, by its
-// Known.
-func (t *Table) Lacking(known []uint32) (entries []Entry) {
-	has := make(map[uint32]bool, len(known))
-	for _, sum := range known {
-		has[sum] = true
+// EntriesMissingFrom returns the entries that are missing from a peer's view, or
+// differ there, given the peer's EntryDigests.
+func (t *Table) Lacking(digests []uint32) (entries []Entry) {
+	has := make(map[uint32]bool, len(digests))
+	for _, digest := range digests {
+		has[digest] = true
 	}
 	for _, r := range t.byName() {
 		if r.State != Left && !has[uint32(r.sum)] && len(entries) < MaxJoin {
@@ -149,32 +150,33 @@
 	return entries
 }
 
-// lacking gives what the sender of a message lacks of the buckets in its Ask.
+// missingInBuckets returns the entries of the buckets in a message's BucketMask that
+// its sender lacks, or whose state it has out of date.
 func (t *Table) lacking(m Message) []Entry {
 	has := make(map[string]Entry, len(m.Entries))
 	for _, e := range m.Entries {
 		has[e.ID.Name] = e
 	}
 	var entries []Entry
-	room := t.room()
+	budget := t.room()
 	for _, r := range t.byName() {
 		if m.Ask&(1<<r.bucket) == 0 || len(entries) == MaxEntries {
 			continue
 		}
-		var told Entry
+		var missing Entry
 		e, ok := has[r.ID.Name]
 		switch {
 		case !ok && !r.State.Gone(), ok && r.ID.Boot > e.ID.Boot:
-			told = r.Entry
+			missing = r.Entry
 		case ok && r.newer(e):
-			told = r.brief()
+			missing = r.brief()
 		default:
 			continue
 		}
-		if !room.take(told) {
+		if !budget.take(missing) {
 			break
 		}
-		entries = append(entries, told)
+		entries = append(entries, missing)
 	}
 	return entries
 }
@@ -205,7 +207,7 @@
 	}
 }
 
-// answered notes that an incarnation is up as seen from here.
+// responded records that an incarnation has responded to this entry.
 func (t *Table) answered(id ID) {
 	delete(t.checks, id)
 	if r, ok := t.records[id.Name]; ok && r.State == Dead {
@@ -213,8 +215,8 @@
 	}
 }
 
-// follow sends in brief the entries of the buckets whose digests differ, of as
-// many as the message has room for.
+// followUp sends summaries of the buckets whose digests differ, as many as fit into
+// the message.
 func (t *Table) follow(now time.Time, to Ref, theirs []uint32) {
 	t.followed = true
 	differing := t.differing(theirs)
@@ -228,19 +230,19 @@
 }
 
 func (t *Table) differing(theirs []uint32) (buckets []int) {
-	for i, sum := range t.digests() {
-		if theirs[i] != sum {
+	for i, digest := range t.digests() {
+		if theirs[i] != digest {
 			buckets = append(buckets, i)
 		}
 	}
 	return buckets
 }
 
-// listing gives the entries of buckets in brief, and a bit for each bucket that
-// is whole. It starts anywhere, so that what there is no room for has its turn
-// another time.
+// summarizeBuckets returns summaries of the entries of buckets, and a bit for each
+// bucket that is complete. It starts at a random bucket, so that buckets that don't
+// fit are included in a later message.
 func (t *Table) listing(buckets []int) (ask uint64, entries []Entry) {
-	room := t.room()
+	budget := t.room()
 	start := t.rand.IntN(len(buckets))
 	for i := range buckets {
 		bucket := buckets[(start+i)%len(buckets)]
@@ -249,7 +251,7 @@
 			break
 		}
 		for _, e := range part {
-			if !room.take(e) && len(entries) > 0 {
+			if !budget.take(e) && len(entries) > 0 {
 				return ask, entries
 			}
 		}
--- a/pkg/member/faults_test.go
+++ b/pkg/member/faults_test.go
@@ -10,12 +10,12 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// size is a fleet to run a fault on.
+// size is a size of the fleet that a fault is injected into.
 type size struct {
 	name    string
 	cfg     fleet.Config
 	seeds   uint64
-	noticed time.Duration // bound for a death to be known everywhere
+	noticed time.Duration // limit for a death to reach every entry
 }
 
 var (
@@ -34,6 +34,8 @@
 	return f
 }
 
+// seenAs returns a check that every entry has the current incarnation of n in one of
+// the states.
 func seenAs(f *fleet.Fleet, n *fleet.Node, states ...member.State) func() bool {
 	return func() bool {
 		return f.All(func(_ *fleet.Node, v member.View) bool {
@@ -48,14 +50,14 @@
 	}
 }
 
-// within runs until ok holds, and fails if that takes too long.
+// within runs the fleet until ok returns true, and fails if that takes longer than bound.
 func within(c *qt.C, f *fleet.Fleet, bound time.Duration, what string, ok func() bool) {
 	took := f.RunUntil(bound, ok)
 	c.Assert(ok(), qt.IsTrue, qt.Commentf("%s: not after %v", what, took))
 }
 
-// watched runs for d and fails as soon as any entry sees one of innocent as
-// gone.
+// watched runs the fleet for d and fails as soon as any entry sees one of the innocent
+// nodes as gone.
 func watched(c *qt.C, f *fleet.Fleet, d time.Duration, innocent ...*fleet.Node) {
 	const step = 100 * time.Millisecond
 	for end := f.Now().Add(d); f.Now().Before(end); f.Run(step) {
@@ -69,10 +71,10 @@
 	}
 }
 
-// Callers hold an address from locate, so an entry that is gone must vanish
-// from every view within the bound, and one that only looked gone must come
-// back, with no other entry harmed. Each row makes one fault in a settled fleet
-// and tells what every entry must see, and until when.
+// Callers keep an entry's address from locate. An entry that is gone must therefore
+// be gone in every view within the limit, and one that was only unreachable must
+// return, without effect on any other entry. Each row injects one fault into a settled
+// fleet, and checks what every entry must see and by when.
 func TestFaults(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -201,12 +203,12 @@
 	}
 }
 
-// Two regions lose each other, here for three minutes: longer makes no difference
-// until the dead are forgotten after a day. Each goes on with the entries that
-// it reaches and holds the other for dead; when they meet again each is told
-// that its own entries died long ago. Taken at its word that would empty
-// locate in both regions at once. No entry may see one of its own side as gone
-// at any time, and all must agree again soon.
+// A network partition separates one region from the others for three minutes. Longer
+// makes no difference until dead entries are removed after a day. Each side believes
+// the other dead, and when the partition heals each receives old reports of the death
+// of its own entries. Merging these would leave locate without entries on both sides
+// at once. No entry may see one of its own side as gone at any time after the
+// partition heals, and all must agree soon.
 func TestRegionsApart(t *testing.T) {
 	c := qt.New(t)
 	f := settled(c, grown, 7)
@@ -229,8 +231,8 @@
 	c.Assert(f.Agreed(), qt.IsTrue)
 }
 
-// An operator's edit reaches one entry, right before or while others can't be
-// reached. Every entry must have it within 13 s of being reachable.
+// An operator's edit reaches one entry, in some rows while others are unreachable.
+// Every entry must have it within 13 s of being reachable.
 func TestMarksSpread(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -271,9 +273,9 @@
 	}
 }
 
-// A target says that it is about to stop to the one entry that it serves just
-// then, and a request that crashes targets meets one entry at a time: each must
-// be known to the others within a few seconds.
+// A target announces its stop only to the entry that it serves at that time, and a
+// request that crashes targets is observed by one entry at a time. Each notice must
+// reach the other entries within 5 s, and must be new to each of them only once.
 func TestRumours(t *testing.T) {
 	for _, s := range []size{today, grown} {
 		t.Run(s.name, func(t *testing.T) {
--- a/pkg/member/home.go
+++ b/pkg/member/home.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// mixer spreads the product of two hashes (the multiplier of splitmix64).
+// splitmixMultiplier is the first multiplier of the splitmix64 finalizer.
 const mixer = 0xbf58476d1ce4e5b9
 
-// Homes gives the first k of the rendezvous order of a service over entries, in
-// distinct places where there are as many. The first is preferred.
+// PreferredEntries returns k entries for a service by rendezvous hashing, the most
+// preferred first. They are in distinct places if there are enough places.
 func Homes(entries []Entry, service string, k int) []Entry {
 	ranked := order(entries, xxhash.Sum64String(service))
 	k = min(k, len(ranked))
@@ -27,8 +27,8 @@
 	return append(homes, rest[:k-len(homes)]...)
 }
 
-// order ranks by name without the boot number: an entry that restarts keeps
-// its services, and one that leaves moves only its own.
+// rankByHash ranks by name without the boot number, so that an entry that restarts
+// keeps its services. An entry that leaves moves only its own services.
 func order(entries []Entry, seed uint64) []Entry {
 	score := func(e Entry) uint64 { return mix(xxhash.Sum64String(e.ID.Name) ^ seed) }
 	ranked := slices.Clone(entries)
--- a/pkg/member/learn.go
+++ b/pkg/member/learn.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// An accusation that is older than freshAccusation and reaches an entry which
-// believes the accused alive comes from a part of the network that was cut off.
+// maxReportAge is the age up to which a suspicion or death is believed without
+// verification. An older one that reaches an entry in whose view the suspect is alive
+// comes from the other side of a network partition.
 const freshAccusation = 15 * time.Second
 
-// maxDoubts bounds the accusations that wait for verification.
+// maxUnverified bounds the suspicions that wait for verification.
 const maxDoubts = 64
 
-// learn takes what a peer says of an incarnation. With all the peer has sent
+// merge merges a peer's update about an incarnation. all is set if the peer has sent
 // its whole view.
 func (t *Table) learn(now time.Time, e Entry, all bool) {
 	if e.ID.Name == t.self.ID.Name {
@@ -52,8 +53,8 @@
 	}
 }
 
-// learnSelf objects to a wrong statement about this entry with a higher
-// sequence number, which overrides it everywhere.
+// refute overrides a wrong update about this entry with a higher sequence number,
+// which takes precedence everywhere.
 func (t *Table) learnSelf(now time.Time, e Entry) {
 	if e.ID.Boot > t.self.ID.Boot {
 		t.supersede(now, e.ID)
@@ -78,12 +79,12 @@
 	t.act(Superseded{By: by})
 }
 
-// accused takes a suspicion, or the news of a death, of an entry believed up.
+// mergeSuspicion merges a suspicion or death of an entry that is believed up.
 //
-// Two parts of the network that meet again each hold the other for dead. Taking
-// that at its word would take down entries that answer, for a while and all at
-// once; so an old accusation is verified with the accused. A fresh one of a
-// death begins as a suspicion: the accused has the time to object.
+// When a network partition heals, each side believes the other dead. Merging that
+// directly would remove many responsive entries from the view at once, for a while.
+// An old suspicion is therefore verified with the suspect itself. A recent death is
+// merged as a suspicion first, which gives the suspect time to refute it.
 func (t *Table) accused(now time.Time, r *record, e Entry) {
 	if r.State != Suspect && now.Sub(e.Since) > freshAccusation {
 		t.doubt(e)
@@ -95,11 +96,11 @@
 	t.update(now, r, e)
 }
 
-// accusations gives entries that don't answer, by the digest of what was last
-// said of them. While many are lost at once, entries in brief take 17 times the
-// room: of 260 lost among 472, all of which had been found after 1 s, the last was
-// known everywhere after 3 s.
-func (t *Table) accusations() (accused []uint32) {
+// takeSuspectDigests returns suspects for a message, by the digest of the update that
+// was in force before the suspicion. While many entries fail at once, summaries
+// take 17 times as many bytes: with them, of 260 failures among 472 entries that were
+// all detected within 1 s, the last took 3 s to reach every entry.
+func (t *Table) accusations() (digests []uint32) {
 	if !t.many() {
 		return nil
 	}
@@ -107,18 +108,18 @@
 	start := t.rand.IntN(len(all))
 	for i := range all {
 		r := all[(start+i)%len(all)]
-		if r.State == Suspect && r.accuses > 0 && len(accused) < maxAccused {
+		if r.State == Suspect && r.accuses > 0 && len(digests) < maxAccused {
 			r.accuses--
-			accused = append(accused, r.was)
+			digests = append(digests, r.was)
 		}
 	}
-	return accused
+	return digests
 }
 
-// hearAccused takes what a peer says of entries that don't answer it or others.
-func (t *Table) hearAccused(now time.Time, accused []uint32) {
-	for _, sum := range accused {
-		r := t.bySum[sum]
+// receiveSuspectDigests merges a peer's suspicions that are sent by digest.
+func (t *Table) hearAccused(now time.Time, digests []uint32) {
+	for _, digest := range digests {
+		r := t.bySum[digest]
 		if r == nil || r.State != Alive {
 			continue
 		}
@@ -143,7 +144,8 @@
 	}
 }
 
-// update takes a newer statement about a known incarnation. Its addresses stay.
+// update merges a newer update about a known incarnation. Its addresses, place, region,
+// capacity and revisions are kept.
 func (t *Table) update(now time.Time, r *record, e Entry) {
 	e.Caller, e.Peer, e.Place, e.Region, e.Capacity, e.Marks = r.Caller, r.Peer, r.Place, r.Region, r.Capacity, r.Marks
 	if e.State == Suspect && (r.State != Suspect || e.Sequence != r.Sequence) {
@@ -155,22 +157,22 @@
 	t.news = true
 }
 
-// suspicion gives the time that a suspect has to object. It grows with the
-// rounds that the suspicion needs to spread.
+// suspicionTimeout returns the time that a suspect has to refute the suspicion. It
+// grows with the number of rounds that the suspicion needs to spread.
 func (t *Table) suspicion() time.Duration {
 	factor := math.Log2(float64(len(t.records))) / suspicionRounds
 	return time.Duration(float64(t.cfg.Suspicion) * max(1, factor))
 }
 
-// suspicionRounds is the binary logarithm of the number of entries up to which
-// Config.Suspicion holds as it is.
+// suspicionBaseLog2 is the binary logarithm of the number of entries up to which
+// Config.SuspicionTimeout applies unscaled.
 const suspicionRounds = 4
 
-// suspect declares that an incarnation did not answer, and asks the one behind it
-// in the order at once: where many are lost together, it may be too, and whoever
-// watched it. One that had announced
-// its stop is held for dead at once, since a suspect would be located again; it
-// is not held for one that left, since it may still run what it took.
+// suspect records that an incarnation did not respond, and contacts its successor in
+// hash order at once: when many entries fail together, the successor and its other
+// watchers may have failed too. An entry that had announced its stop becomes dead at
+// once, since requests may be sent to a suspect. It doesn't become left, since it may
+// still run the requests that it accepted.
 func (t *Table) suspect(now time.Time, r *record) {
 	e := r.Entry
 	e.Since = now
@@ -195,7 +197,7 @@
 	}
 }
 
-// asks tells whether an answer of an entry is awaited already.
+// exchangePending reports whether an exchange with an entry has not ended.
 func (t *Table) asks(r *record) bool {
 	for _, ex := range t.exchanges {
 		if ex.to.ID == r.ID {
@@ -205,8 +207,8 @@
 	return false
 }
 
-// expire declares the suspects dead whose time is over, and forgets those that
-// are gone for long.
+// expire declares suspects dead when their suspicion times out, and removes entries
+// that have been dead or left for longer than their retention.
 func (t *Table) expire(now time.Time) {
 	for _, r := range t.byName() {
 		switch {
--- a/pkg/member/message.go
+++ b/pkg/member/message.go
@@ -4,49 +4,49 @@
 
 // Bounds on what one message holds.
 const (
-	MaxEntries = 64   // entries of one message, but for the answer to a join
-	MaxJoin    = 4096 // entries in the answer to a join
-	maxChanges = 16   // recent changes that one message carries
-	maxRumours = 16   // rumours of each kind that one message carries
-	// packetRumours is the same where a message has to fit into a packet.
+	MaxEntries = 64   // entries of one message, except for the response to a join
+	MaxJoin    = 4096 // entries of the response to a join
+	maxChanges = 16   // recent changes in one message
+	maxRumours = 16   // rumours of each kind in one message
+	// maxPacketRumours replaces maxRumours if a message must fit into a packet.
 	packetRumours = 8
 	maxWants      = 8  // names whose addresses one message asks for
-	maxAccused    = 96 // accusations by digest that one message carries
-	// maxHot is how many changes wait to be carried. Where there are more, as at a
-	// start of hundreds, the digests find what is missing with fewer bytes.
+	maxAccused    = 96 // suspicions by digest in one message
+	// maxQueued bounds the changes that wait to be sent. With more of them, as when
+	// hundreds of entries start, comparing digests finds the missing ones with fewer bytes.
 	maxHot = 64
 )
 
-// Marks are the revisions in force at an entry.
+// Revisions are the revisions of the settings and targets in force at an entry.
 type Marks struct {
 	Settings uint64
 	Targets  uint64
 }
 
-// behind tells whether other has anything newer.
+// olderThan reports whether other has a newer revision of either.
 func (m Marks) behind(other Marks) bool {
 	return other.Settings > m.Settings || other.Targets > m.Targets
 }
 
-// Stopping is the notice that a target is about to stop.
+// StopNotice announces that a target is about to stop.
 type Stopping struct {
 	Target string
 	Boot   uint64
 	At     time.Time
 }
 
-// Crasher is a request that has crashed targets.
+// CrashReport reports a request that has crashed targets.
 type Crasher struct {
-	Print   uint64 // fingerprint of the request
+	Print   uint64 // identifies the request
 	Crashes uint32 // targets that it has crashed
 	At      time.Time
-	// By is the entry that saw it, where each counts for itself, and Sequence its
-	// number for this word.
+	// Reporter is the entry that observed the crashes; each entry counts only its own
+	// observations. Sequence orders the reports of one entry.
 	By       string
 	Sequence uint64
 }
 
-// Rumours are short-lived notices which pass from entry to entry.
+// Rumours are short-lived notices that entries relay to each other.
 type Rumours struct {
 	Stopping []Stopping
 	Crashers []Crasher
@@ -60,10 +60,10 @@
 	Digest  uint64 // over the sender's entries that are not gone
 	Marks   Marks
 	Join    bool     // first contact: asks for every entry
-	Entries []Entry  // recent changes, or the entries of the buckets in Ask
-	Sums    []uint32 // by bucket, in an answer whose digest differs from the request's
-	Ask     uint64   // a bit for each bucket whose entries stand in Entries, in brief
+	Entries []Entry  // recent changes, or summaries of the buckets in BucketMask
+	Sums    []uint32 // by bucket, in a response whose digest differs from the request's
+	Ask     uint64   // a bit for each bucket whose summaries are in Entries
 	Want    []string // names whose addresses the sender lacks
-	Accused []uint32 // digests of entries that don't answer, where they are many
+	Accused []uint32 // digests of suspects, sent while there are many
 	Rumours Rumours
 }
--- a/pkg/member/pause_test.go
+++ b/pkg/member/pause_test.go
@@ -18,10 +18,9 @@
 	return s
 }
 
-// The process is stopped for half a minute right after it asked its peers. When
-// it goes on, the timeouts of their answers and of a suspicion have long run
-// out, all at once. None of that is the peers' fault: nobody may be suspected
-// or declared dead for it. After a gap of an ordinary length they are.
+// The process is paused for 30 s right after it contacted its peers. When it resumes,
+// its exchanges and a suspicion have all timed out. The peers did not fail, so none may
+// be suspected or declared dead. After a gap of ordinary length they are.
 func TestOwnPause(t *testing.T) {
 	tests := []struct {
 		name string
@@ -35,14 +34,14 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
 			a := table("a")
-			told := []member.Entry{entry("b", 1, 0, member.Alive), entry("c", 1, 0, member.Alive), entry("c", 1, 0, member.Suspect)}
-			reply(a, member.Message{From: member.ID{Name: "b", Boot: 1}, Entries: told})
-			asked := sends(a.Handle(epoch, member.Tick{}))
-			c.Assert(asked, qt.Not(qt.HasLen), 0)
+			updates := []member.Entry{entry("b", 1, 0, member.Alive), entry("c", 1, 0, member.Alive), entry("c", 1, 0, member.Suspect)}
+			reply(a, member.Message{From: member.ID{Name: "b", Boot: 1}, Entries: updates})
+			sent := sends(a.Handle(epoch, member.Tick{}))
+			c.Assert(sent, qt.Not(qt.HasLen), 0)
 
 			now := epoch.Add(tt.gap)
 			checks := 0
-			for _, s := range asked {
+			for _, s := range sent {
 				for _, act := range a.Handle(now, member.NoAnswer{Exchange: s.Exchange}) {
 					if _, ok := act.(member.Reach); ok {
 						checks++
@@ -59,22 +58,21 @@
 	}
 }
 
-// An entry that slept through a death, or belongs to a part that was cut off,
-// hears of it only as an old accusation. It must ask the accused in the next
-// round, and tell it, so that either the death is noticed or the accuser hears
-// an objection.
+// An entry that was paused or partitioned during a death receives only an old report
+// of it. It must send the report to the suspect in the next round, once. Then either
+// the suspect refutes it, or the death is detected.
 func TestOldAccusationIsVerified(t *testing.T) {
 	c := qt.New(t)
 	a := table("a")
 	dead := entry("b", 1, 0, member.Dead)
 	dead.Since = epoch.Add(-time.Hour)
-	told := []member.Entry{dead, entry("c", 1, 0, member.Alive)}
-	reply(a, member.Message{From: member.ID{Name: "c", Boot: 1}, Entries: append([]member.Entry{entry("b", 1, 0, member.Alive)}, told...)})
-	var asked bool
+	updates := []member.Entry{dead, entry("c", 1, 0, member.Alive)}
+	reply(a, member.Message{From: member.ID{Name: "c", Boot: 1}, Entries: append([]member.Entry{entry("b", 1, 0, member.Alive)}, updates...)})
+	var verified bool
 	for _, s := range sends(a.Handle(epoch, member.Tick{})) {
-		asked = asked || s.To.ID.Name == "b" && len(s.Message.Entries) > 0 && s.Message.Entries[0].State == member.Dead
+		verified = verified || s.To.ID.Name == "b" && len(s.Message.Entries) > 0 && s.Message.Entries[0].State == member.Dead
 	}
-	c.Assert(asked, qt.IsTrue)
+	c.Assert(verified, qt.IsTrue)
 	for range 3 {
 		for _, s := range sends(a.Handle(epoch.Add(time.Second), member.Tick{})) {
 			again := s.To.ID.Name == "b" && len(s.Message.Entries) > 0 && s.Message.Entries[0].State == member.Dead
--- a/pkg/member/records.go
+++ b/pkg/member/records.go
@@ -9,22 +9,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is into how many parts entries are dealt out by their names, so that
-// a difference between two tables is found by comparing a few of them. Of 2,000
-// entries 31 are in each.
+// Buckets is the number of buckets that entries are divided into by the hash of their
+// names. Comparing bucket digests narrows down where two tables differ. With 2,000
+// entries a bucket holds 31.
 const Buckets = 64
 
-// sums holds the digests: the exclusive or over the entries that are not gone,
-// so that a change costs the same for any number of entries. Entries that are
-// gone are left out, since each table forgets them at a time of its own.
+// digests holds the digests of all entries and of each bucket. Each is the XOR of the
+// digests of its entries, so that an update costs the same for any number of entries.
+// Entries that are gone are excluded, since each table removes them at its own time.
 type sums struct {
 	all     uint64
 	buckets [Buckets]uint64
 }
 
-func (s *sums) mix(bucket int, sum uint64) {
-	s.all ^= sum
-	s.buckets[bucket] ^= sum
+func (s *sums) mix(bucket int, digest uint64) {
+	s.all ^= digest
+	s.buckets[bucket] ^= digest
 }
 
 func sumOf(e Entry) uint64 {
@@ -39,23 +39,24 @@
 	return xxhash.Sum64(b)
 }
 
-func bit(is bool) byte {
-	if is {
+func bit(b bool) byte {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// digests gives the digest of each bucket, cut to what tells two apart.
+// bucketDigests returns the digest of each bucket, truncated to the 32 bits that
+// suffice to tell two apart.
 func (t *Table) digests() []uint32 {
 	all := make([]uint32, Buckets)
-	for i, sum := range t.sums.buckets {
-		all[i] = uint32(sum)
+	for i, digest := range t.sums.buckets {
+		all[i] = uint32(digest)
 	}
 	return all
 }
 
-// add puts an incarnation in the place of an earlier one of its name, if any.
+// add adds an incarnation, which replaces an earlier one of the same name.
 func (t *Table) add(e Entry) *record {
 	if old, ok := t.records[e.ID.Name]; ok {
 		t.discount(old)
@@ -68,7 +69,7 @@
 	return r
 }
 
-// put replaces what is said of an incarnation.
+// setEntry replaces the entry of a record.
 func (t *Table) put(r *record, e Entry) {
 	t.sums.mix(r.bucket, r.sum)
 	t.suspects += int(bit(e.State == Suspect)) - int(bit(r.State == Suspect))
@@ -81,14 +82,15 @@
 	t.changed = true
 }
 
-// unindex forgets the digest of what was last said of an incarnation.
+// unindex removes a record from the index by digest.
 func (t *Table) unindex(r *record) {
 	if t.bySum[uint32(r.sum)] == r {
 		delete(t.bySum, uint32(r.sum))
 	}
 }
 
-// discount takes a record out of all that is worked out over the records.
+// unaccount removes a record from the index, the digests and the count of suspects, and
+// stops sending it.
 func (t *Table) discount(r *record) {
 	t.unindex(r)
 	t.sums.mix(r.bucket, r.sum)
@@ -115,14 +117,14 @@
 	return t.sorted
 }
 
-// announce lets the next messages carry a record, and pushes them.
+// announce queues a record with its addresses for the next messages and pushes them.
 func (t *Table) announce(r *record) {
 	t.carry(r, true)
 	t.news = true
 }
 
-// carry lets as many messages carry a record as make it likely that everyone
-// hears of it; the digests find whoever did not.
+// enqueue adds a record to so many messages that it probably reaches every entry. The
+// digests find the entries that it didn't reach.
 func (t *Table) carry(r *record, full bool) {
 	if !r.hot && len(t.hot) >= maxHot && r != t.self {
 		return
@@ -135,7 +137,7 @@
 	}
 }
 
-// cool drops the changes that have been carried often enough.
+// pruneQueue removes the changes that have been sent often enough.
 func (t *Table) cool() {
 	t.hot = slices.DeleteFunc(t.hot, func(r *record) bool {
 		r.hot = r.sends > 0
@@ -145,17 +147,17 @@
 
 func (t *Table) spread() int { return bits.Len(uint(len(t.records))) + 1 }
 
-// changes takes the records which had the fewest messages so far.
+// takeChanges returns queued changes for one message, those sent least often first.
 func (t *Table) changes() []Entry {
 	t.cool()
 	slices.SortStableFunc(t.hot, func(a, b *record) int {
 		return cmp.Or(cmp.Compare(b.sends, a.sends), cmp.Compare(a.ID.Name, b.ID.Name))
 	})
-	room := t.room()
+	budget := t.room()
 	var entries []Entry
 	for _, r := range t.hot[:min(len(t.hot), maxChanges)] {
 		e := r.said()
-		if !room.take(e) {
+		if !budget.take(e) {
 			break
 		}
 		r.sends--
@@ -164,7 +166,7 @@
 	return entries
 }
 
-// room is what is left of a message's bytes for entries.
+// entryBudget tracks the bytes that a message has left for entries.
 type room struct {
 	left  int
 	bound bool
@@ -172,20 +174,23 @@
 
 func (t *Table) room() room { return room{left: t.cfg.Room, bound: t.cfg.Room > 0} }
 
-// entryBytes is what an entry takes beside its texts: numbers, state and tags.
+// entryOverheadBytes is the size of an encoded entry without its strings: numbers,
+// state and field tags.
 const entryBytes = 46
 
-func (r *room) take(e Entry) bool {
-	if !r.bound {
+// reserve takes the bytes of an entry and reports whether it fits.
+func (b *room) take(e Entry) bool {
+	if !b.bound {
 		return true
 	}
-	r.left -= entryBytes + len(e.ID.Name) + len(e.Caller) + len(e.Peer) + len(e.Place) + len(e.Region)
-	return r.left >= 0
+	b.left -= entryBytes + len(e.ID.Name) + len(e.Caller) + len(e.Peer) + len(e.Place) + len(e.Region)
+	return b.left >= 0
 }
 
-// settle counts a peer with the same digest as having heard of every change.
-// Without it a start of hundreds of entries at once would fill the messages for
-// most of a minute with what everyone knows.
+// creditChanges counts each queued change as sent once more if a peer has the same
+// digest, since the peer then has all of them. Otherwise, after a start of hundreds
+// of entries at once, messages would be filled for most of a minute with changes that
+// every entry already has.
 func (t *Table) settle(digest uint64) {
 	if digest != t.sums.all {
 		return
@@ -202,15 +207,14 @@
 	return r.brief()
 }
 
-// View is what an entry knows at one time. It is not changed after it was given
-// out.
+// View is an immutable snapshot of a table.
 type View struct {
 	Self    Entry
 	Entries []Entry // by name, this entry and those that are gone included
 	Digest  uint64
 }
 
-// View gives a copy of the table.
+// View returns a snapshot of the table.
 func (t *Table) View() View {
 	v := View{Self: t.self.Entry, Digest: t.sums.all}
 	for _, r := range t.byName() {
@@ -219,7 +223,7 @@
 	return v
 }
 
-// Find gives the entry of a name.
+// Find returns the entry with a name.
 func (v View) Find(name string) (Entry, bool) {
 	i, ok := slices.BinarySearchFunc(v.Entries, name, func(e Entry, n string) int { return cmp.Compare(e.ID.Name, n) })
 	if !ok {
@@ -228,7 +232,7 @@
 	return v.Entries[i], true
 }
 
-// Serving gives the entries that requests may be sent to.
+// Serving returns the entries that requests may be sent to.
 func (v View) Serving() []Entry {
 	var s []Entry
 	for _, e := range v.Entries {
--- a/pkg/member/round.go
+++ b/pkg/member/round.go
@@ -7,27 +7,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// groups are the other entries that can be asked, by nearness.
+// groups are the other entries that are not gone, grouped by distance.
 type groups struct {
-	up      []*record
+	up      []*record // all of them
 	place   []*record // own place
 	region  []*record // other places of the own region
 	far     []*record // other regions
-	near    []*record // among which each is watched by the one before it
-	watched []*record // asked in every round
+	near    []*record // hash ring, in which each entry is watched by its predecessor
+	watched []*record // contacted in every round
 }
 
-// smallRegion is the number of entries below which a region's entries are
-// watched from other regions too.
+// smallRegionEntries is the number of entries below which a region's entries are also
+// watched from other regions.
 const smallRegion = 3
 
-// largePlace is the number of other entries from which on those of a place watch
-// each other, since bytes between places cost. Where such a place is lost as a
-// whole, the random exchanges of the others find it: each of 94 lost among 472 is
-// asked twice a round.
+// largePlacePeers is the number of other entries in a place from which they watch only
+// each other, since traffic between places costs money. If such a place fails as a
+// whole, the random exchanges of the others detect it: each of 94 failed among 472
+// entries is contacted twice a round.
 const largePlace = 16
 
-// Shares of the random exchanges by nearness, of eight.
+// Shares of the random exchanges by distance, in eighths. Other regions have the rest.
 const (
 	shares      = 8
 	placeShare  = 4
@@ -66,11 +66,11 @@
 	return g
 }
 
-// watch gives the entries after this one in an order by hash: each entry is
-// asked by one certain other in every round, so a death is noticed within a
-// period. The hash scatters the entries of a place, so that a lost place leaves
-// few gaps of more than one. An entry in a small region is watched by the one
-// before it over all regions.
+// watchedPeers returns this entry's successor on the hash ring: each entry is
+// contacted by its predecessor in every round, so that a death is detected within one
+// period. The hash scatters the entries of a place, so that a failed place leaves few
+// gaps of more than one entry. An entry in a small region is also watched by its
+// predecessor among all regions.
 func (t *Table) watch(g *groups, regions map[string]int) []*record {
 	g.near = g.place
 	if len(g.near) < largePlace {
@@ -85,8 +85,8 @@
 	return watched
 }
 
-// after gives at most so many that follow this entry in the order by hash.
-// Suspects are passed over: the ones behind them must not go unwatched meanwhile.
+// successors returns up to most entries of rs that follow this entry on the hash ring.
+// It skips suspects, so that their successors stay watched meanwhile.
 func (t *Table) after(rs []*record, most int) (next []*record) {
 	own := xxhash.Sum64String(t.self.ID.Name)
 	distance := func(r *record) uint64 { return r.hash - own }
@@ -94,14 +94,14 @@
 		if r.State == Suspect {
 			continue
 		}
-		at := len(next)
-		for at > 0 && distance(r) < distance(next[at-1]) {
-			at--
+		i := len(next)
+		for i > 0 && distance(r) < distance(next[i-1]) {
+			i--
 		}
-		if at == most {
+		if i == most {
 			continue
 		}
-		next = slices.Insert(next, at, r)[:min(len(next)+1, most)]
+		next = slices.Insert(next, i, r)[:min(len(next)+1, most)]
 	}
 	return next
 }
@@ -119,23 +119,23 @@
 	t.recheck(now)
 }
 
-// jitter spreads a period by a tenth to either side, so that entries which
-// started together do not stay in step.
+// jitter varies a period by up to 10 % either way, so that entries that started
+// together don't stay synchronized.
 func (t *Table) jitter(d time.Duration) time.Duration {
 	return d + time.Duration((t.rand.Float64()-0.5)/5*float64(d))
 }
 
 func (t *Table) exchangeRound(now time.Time) {
-	asked := slices.Clone(t.peers().watched)
-	if r := t.pick(asked); r != nil {
-		asked = append(asked, r)
+	peers := slices.Clone(t.peers().watched)
+	if r := t.pick(peers); r != nil {
+		peers = append(peers, r)
 	}
-	for _, r := range asked {
+	for _, r := range peers {
 		t.gossip(now, r)
 	}
 }
 
-// pick draws an entry, mostly a near one, that is not among those excluded.
+// pickPeer returns a random entry that is not excluded, more often a near one.
 func (t *Table) pick(excluded []*record) *record {
 	g := t.peers()
 	var from []*record
@@ -154,20 +154,21 @@
 }
 
 func (t *Table) draw(from, excluded []*record) *record {
-	var left []*record
+	var candidates []*record
 	for _, r := range from {
 		if !slices.Contains(excluded, r) {
-			left = append(left, r)
+			candidates = append(candidates, r)
 		}
 	}
-	if len(left) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return left[t.rand.IntN(len(left))]
+	return candidates[t.rand.IntN(len(candidates))]
 }
 
-// contact tries the seeds: each round until one has answered, later now and
-// then those that no known entry listens at, so that groups which never met do.
+// contactSeeds sends a join to a random seed in every round until one has responded.
+// After that it contacts a seed that is no known entry's address every retryRounds
+// rounds, so that groups of entries that never met find each other.
 func (t *Table) contact(now time.Time) {
 	if t.joined && t.rounds%retryRounds != 0 {
 		return
@@ -195,8 +196,9 @@
 	return unknown
 }
 
-// recheck verifies an old accusation, or tries a dead entry: now and then, and
-// in every round while they come back.
+// recheckDead verifies an old suspicion, if there is one. Otherwise it contacts a
+// random dead entry, on average every retryRounds rounds, or in every round while dead
+// entries respond.
 func (t *Table) recheck(now time.Time) {
 	if t.verify(now) {
 		return
@@ -217,6 +219,8 @@
 	t.gossip(now, dead[t.rand.IntN(len(dead))])
 }
 
+// verifySuspicion sends the oldest unverified suspicion to the suspect and reports
+// whether there was one.
 func (t *Table) verify(now time.Time) bool {
 	for len(t.doubts) > 0 {
 		d := t.doubts[0]
@@ -233,12 +237,13 @@
 	return false
 }
 
-// Pushes: news go out at once and not with the next round, but no more often
-// than a budget allows.
+// pushBurst is the number of pushes that may follow each other directly. A push sends
+// changes at once instead of in the next round.
 const (
 	pushBurst = 3
 )
 
+// tokenBucket limits pushes to one per period, with a burst of pushBurst.
 type budget struct {
 	tokens float64
 	at     time.Time
@@ -262,10 +267,10 @@
 		return
 	}
 	t.news = false
-	var asked []*record
+	var peers []*record
 	for range t.cfg.FanOut {
-		if r := t.pick(asked); r != nil {
-			asked = append(asked, r)
+		if r := t.pick(peers); r != nil {
+			peers = append(peers, r)
 			t.gossip(now, r)
 		}
 	}
--- a/pkg/member/rumour.go
+++ b/pkg/member/rumour.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Rumours are kept for rumourAge, at most rumourLimit of a kind.
+// Rumours are kept for rumourLifetime, at most rumourLimit of each kind.
 const (
 	rumourAge   = 10 * time.Minute
 	rumourLimit = 256
@@ -17,8 +17,8 @@
 	sends int
 }
 
-// rumours spreads short-lived notices: each is carried by a bounded number of
-// messages and forgotten after a while.
+// rumours holds the rumours of one kind. Each is sent in a bounded number of messages
+// and removed after rumourLifetime.
 type rumours[K comparable, V any] struct {
 	key   func(V) K
 	at    func(V) time.Time
@@ -54,7 +54,7 @@
 	}
 }
 
-// learn tells whether v is news.
+// add adds a rumour and reports whether it is new.
 func (rs *rumours[K, V]) learn(now time.Time, v V, sends int) bool {
 	if now.Sub(rs.at(v)) > rumourAge {
 		return false
@@ -73,18 +73,19 @@
 	return true
 }
 
-// take gives at most so many rumours, those that had the fewest messages so far.
+// takeUnsent returns up to most rumours that still have to be sent, those sent least
+// often first.
 func (rs *rumours[K, V]) take(now time.Time, most int) []V {
 	rs.items = slices.DeleteFunc(rs.items, func(r *rumour[V]) bool { return now.Sub(rs.at(r.value)) > rumourAge })
-	var hot []*rumour[V]
+	var unsent []*rumour[V]
 	for _, r := range rs.items {
 		if r.sends > 0 {
-			hot = append(hot, r)
+			unsent = append(unsent, r)
 		}
 	}
-	slices.SortStableFunc(hot, func(a, b *rumour[V]) int { return cmp.Compare(b.sends, a.sends) })
+	slices.SortStableFunc(unsent, func(a, b *rumour[V]) int { return cmp.Compare(b.sends, a.sends) })
 	var values []V
-	for _, r := range hot[:min(len(hot), most)] {
+	for _, r := range unsent[:min(len(unsent), most)] {
 		r.sends--
 		values = append(values, r.value)
 	}
@@ -99,33 +100,34 @@
 	return Rumours{Stopping: t.stopping.take(now, most), Crashers: t.crashers.take(now, most)}
 }
 
-// tell starts rumours here.
+// startRumours spreads rumours that begin at this entry.
 func (t *Table) tell(now time.Time, r Rumours) { t.spreadRumours(now, r) }
 
-// hear takes rumours of a peer and passes on what is new.
+// receiveRumours relays a peer's rumours that are new to this entry.
 func (t *Table) hear(now time.Time, r Rumours) {
-	news := t.spreadRumours(now, r)
-	if !news.empty() {
-		t.act(Learned{Rumours: news})
+	added := t.spreadRumours(now, r)
+	if !added.empty() {
+		t.act(Learned{Rumours: added})
 	}
 }
 
-func (t *Table) spreadRumours(now time.Time, r Rumours) (news Rumours) {
+// addRumours queues the new ones of the rumours for sending and returns them.
+func (t *Table) spreadRumours(now time.Time, r Rumours) (added Rumours) {
 	sends := rumourSpread * t.spread()
 	for _, s := range r.Stopping {
 		if t.stopping.learn(now, s, sends) {
-			news.Stopping = append(news.Stopping, s)
+			added.Stopping = append(added.Stopping, s)
 		}
 	}
 	for _, c := range r.Crashers {
 		if t.crashers.learn(now, c, sends) {
-			news.Crashers = append(news.Crashers, c)
+			added.Crashers = append(added.Crashers, c)
 		}
 	}
-	t.news = t.news || !news.empty()
-	return news
+	t.news = t.news || !added.empty()
+	return added
 }
 
-// rumourSpread makes rumours last longer than changes of the view: no digest
-// finds those that missed one.
+// rumourSendFactor multiplies the sends of a rumour compared with a change of the view,
+// since no digest finds the entries that a rumour didn't reach.
 const rumourSpread = 2
--- a/pkg/member/table.go
+++ b/pkg/member/table.go
@@ -6,27 +6,26 @@
 	"time"
 )
 
-// Table is what one entry knows of all entries. It is not safe for use by
-// several goroutines.
+// Table is one entry's view of all entries. It is not safe for concurrent use.
 type Table struct {
 	cfg      Config
 	rand     *rand.Rand
 	self     *record
 	records  map[string]*record
 	sorted   []*record // by name; nil after a change of the names
-	hot      []*record // whose spread goes on
-	groups   *groups   // nil after a change of who can be asked
+	hot      []*record // changes that still have to be sent
+	groups   *groups   // nil after any change of a record
 	sums     sums
-	suspects int // entries in that state
+	suspects int // number of suspects
 	bySum    map[uint32]*record
 	seeds    []string
 	marks    Marks
 
 	exchanges map[uint64]exchange
-	exchange  uint64 // last number given out
+	exchange  uint64 // last exchange ID assigned
 	checks    map[ID]*check
-	doubts    []Entry // accusations to verify, oldest first
-	wants     []string
+	doubts    []Entry  // suspicions to verify, oldest first
+	wants     []string // names to request from the sender of the current message
 
 	stopping *rumours[stoppingKey, Stopping]
 	crashers *rumours[crasherKey, Crasher]
@@ -36,38 +35,39 @@
 	rounds     int
 	joined     bool
 	followed   bool // a follow-up was sent in this round
-	returning  bool // the last dead entry that was retried answered
+	returning  bool // the last dead entry that was retried has responded
 	superseded bool
 	push       budget
-	news       bool // something to push
-	changed    bool
-	marked     bool
+	news       bool      // changes or rumours wait to be pushed
+	changed    bool      // by the current event
+	marked     bool      // by the current event
 	heard      time.Time // time of the last message
 	actions    []Action
 }
 
-// record is an entry with the state of its spread.
+// record is an entry with the state of sending it to others.
 type record struct {
 	Entry
-	sum      uint64 // its part in the digests
+	sum      uint64 // of the entry; XORed into the table's digests
 	hash     uint64 // of the name
 	bucket   int
-	sends    int       // messages that will still carry it
-	was      uint32    // digest of the statement by which it was accused
-	accuses  int       // messages that will still carry that
-	hot      bool      // it is among those whose spread goes on
-	full     bool      // messages carry its addresses too
+	sends    int       // messages that will still include the entry
+	was      uint32    // digest of the entry before it was suspected
+	accuses  int       // messages that will still include suspectDigest
+	hot      bool      // the record is in the send queue
+	full     bool      // messages include the addresses
 	deadline time.Time // of a suspicion
 }
 
-// Rounds between tries of a dead entry or of an unknown seed.
+// retryRounds is the number of rounds between attempts to contact a dead entry or an
+// unknown seed.
 const retryRounds = 10
 
-// A gap between events that is this many periods long means that the process
-// itself was paused.
+// pausePeriods is the gap between events, in periods, above which this process itself
+// must have been paused.
 const stalledPeriods = 3
 
-// New gives a table that knows the entry itself.
+// New returns a table that holds only the entry itself.
 func New(cfg Config) *Table {
 	cfg = cfg.withDefaults()
 	t := &Table{
@@ -87,7 +87,7 @@
 	return t
 }
 
-// Next gives the time of the next Tick.
+// Next returns the time of the next Tick.
 func (t *Table) Next() time.Time {
 	next := t.round
 	for _, r := range t.records {
@@ -98,7 +98,7 @@
 	return next
 }
 
-// Handle takes an event and gives the actions that follow from it.
+// Handle processes an event and returns the resulting actions.
 func (t *Table) Handle(now time.Time, ev Event) []Action {
 	t.actions = nil
 	t.changed, t.marked = false, false
@@ -114,10 +114,10 @@
 	return t.actions
 }
 
-// Self gives this entry's incarnation.
+// Self returns this entry's incarnation.
 func (t *Table) Self() ID { return t.self.ID }
 
-// Entries gives what is known of each entry, by name, this one among them.
+// Entries returns all entries ordered by name, including this one.
 func (t *Table) Entries() iter.Seq[Entry] {
 	return func(yield func(Entry) bool) {
 		for _, r := range t.byName() {
@@ -128,7 +128,7 @@
 	}
 }
 
-// Heard is when the last message came from any other entry.
+// LastReceived returns the time of the last message from another entry.
 func (t *Table) Heard() time.Time { return t.heard }
 
 func (t *Table) dispatch(now time.Time, ev Event) {
@@ -169,9 +169,9 @@
 	}
 }
 
-// resume notices that this process was paused. Its timers and the missing
-// answers of that time say nothing about the others: blaming them would declare
-// half of the system dead at each pause.
+// detectPause detects that this process was paused. Timeouts of that time don't show
+// that other entries failed: counting them would declare half of the entries dead after
+// each pause. It therefore ends all exchanges and restarts the suspicion timeouts.
 func (t *Table) resume(now time.Time) {
 	gap := now.Sub(t.handled)
 	paused := !t.handled.IsZero() && gap > stalledPeriods*t.cfg.Period
@@ -188,7 +188,7 @@
 	}
 }
 
-// revise changes what this entry says of itself.
+// updateSelf changes this entry's own state and pushes it.
 func (t *Table) revise(now time.Time, change func(*Entry)) {
 	e := t.self.Entry
 	change(&e)
--- a/pkg/member/table_test.go
+++ b/pkg/member/table_test.go
@@ -45,19 +45,19 @@
 	c.Assert(got, qt.DeepEquals, member.Message{From: a.View().Self.ID, Digest: a.View().Digest})
 }
 
-// Each row gives the table of entry a one statement after another, and what it
-// then believes of entry b.
+// Each row sends updates about entry b to the table of entry a, one after the other,
+// and gives the resulting view of b.
 func TestPrecedence(t *testing.T) {
 	old := func(e member.Entry) member.Entry {
 		e.Since = epoch.Add(-time.Hour)
 		return e
 	}
 	tests := []struct {
-		name string
-		told []member.Entry
-		want member.Entry
+		name    string
+		updates []member.Entry
+		want    member.Entry
 	}{
-		{"first word", []member.Entry{entry("b", 1, 0, member.Alive)}, entry("b", 1, 0, member.Alive)},
+		{"first update", []member.Entry{entry("b", 1, 0, member.Alive)}, entry("b", 1, 0, member.Alive)},
 		{"higher sequence", []member.Entry{entry("b", 1, 3, member.Alive), entry("b", 1, 2, member.Left)}, entry("b", 1, 3, member.Alive)},
 		{"later boot", []member.Entry{entry("b", 1, 9, member.Left), entry("b", 2, 0, member.Alive)}, entry("b", 2, 0, member.Alive)},
 		{"earlier boot", []member.Entry{entry("b", 2, 0, member.Alive), entry("b", 1, 9, member.Dead)}, entry("b", 2, 0, member.Alive)},
@@ -75,7 +75,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
 			a := table("a")
-			for _, e := range tt.told {
+			for _, e := range tt.updates {
 				reply(a, member.Message{From: member.ID{Name: "c", Boot: 1}, Entries: []member.Entry{e}})
 			}
 			got, _ := a.View().Find("b")
@@ -84,16 +84,16 @@
 	}
 }
 
-// Entries learn that they lack an address, and that they are wrongly held for
-// dead, from the answer itself: nothing waits for another round.
+// The reply itself requests missing addresses and tells a sender that it is suspected,
+// without waiting for another round.
 func TestReplies(t *testing.T) {
 	b := member.ID{Name: "b", Boot: 1}
 	brief := member.Entry{ID: member.ID{Name: "z", Boot: 1}}
 	tests := []struct {
-		name  string
-		told  []member.Entry
-		from  member.ID
-		check func(c *qt.C, a *member.Table, got member.Message)
+		name    string
+		updates []member.Entry
+		from    member.ID
+		check   func(c *qt.C, a *member.Table, got member.Message)
 	}{
 		{"unknown sender", nil, b, func(c *qt.C, _ *member.Table, got member.Message) {
 			c.Assert(got.Want, qt.DeepEquals, []string{"b"})
@@ -118,13 +118,13 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
 			a := table("a")
-			tt.check(c, a, reply(a, member.Message{From: tt.from, Entries: tt.told}))
+			tt.check(c, a, reply(a, member.Message{From: tt.from, Entries: tt.updates}))
 		})
 	}
 }
 
-// A VM's replacement is up under the same name while the old process was only
-// paused. The old one must hear that it is not wanted any more, once.
+// A replacement of a VM starts under the same name while the old process was only
+// paused. The old process must receive Superseded, once.
 func TestSuperseded(t *testing.T) {
 	c := qt.New(t)
 	a := table("a")
@@ -140,10 +140,10 @@
 	c.Assert(by, qt.DeepEquals, []member.ID{{Name: "a", Boot: 6}})
 }
 
-// What entries say of themselves gives the same view in every order.
+// The updates that entries send about themselves result in the same view in any order.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		said := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) member.Entry {
+		updates := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) member.Entry {
 			states := []member.State{member.Alive, member.Leaving}
 			return entry(
 				rapid.SampledFrom([]string{"b", "c", "d"}).Draw(rt, "name"), rapid.Uint64Range(1, 3).Draw(rt, "boot"),
@@ -151,10 +151,10 @@
 			)
 		}), 1, 12).Draw(rt, "said")
 		one, two := table("a"), table("a")
-		for _, e := range said {
+		for _, e := range updates {
 			reply(one, member.Message{From: e.ID, Entries: []member.Entry{e}})
 		}
-		for _, e := range rapid.Permutation(said).Draw(rt, "order") {
+		for _, e := range rapid.Permutation(updates).Draw(rt, "order") {
 			reply(two, member.Message{From: e.ID, Entries: []member.Entry{e}})
 		}
 		if diff := cmp.Diff(one.View(), two.View()); diff != "" {
@@ -163,9 +163,9 @@
 	})
 }
 
-// Faults of any kind come in any order, together and twice. While they last no
-// entry may go back in what it knows of another, and when they are over all
-// entries that are up must agree.
+// Faults of any kind are injected in any order, together and repeatedly. No entry may
+// ever replace its view of another entry with an older one. When the faults are over,
+// all entries that are up must agree.
 func TestAnyFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := fleet.New(fleet.Config{Entries: 6, Places: 3, Regions: 2, Seed: rapid.Uint64().Draw(rt, "seed")})
--- a/pkg/member/watch.go
+++ b/pkg/member/watch.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// relays is how many others are asked to ping an entry that did not answer.
+// maxRelays is the number of entries that are asked to ping an entry that did not
+// respond.
 const relays = 2
 
-func (t *Table) noAnswer(now time.Time, number uint64) {
-	ex, ok := t.exchanges[number]
+func (t *Table) noAnswer(now time.Time, id uint64) {
+	ex, ok := t.exchanges[id]
 	if !ok {
 		return
 	}
-	delete(t.exchanges, number)
+	delete(t.exchanges, id)
 	if ex.check != (ID{}) {
 		t.unreached(now, ex.check)
 		return
@@ -18,7 +19,7 @@
 	t.failed(now, ex.to.ID)
 }
 
-// failed starts the indirect check of an incarnation that did not answer.
+// startIndirectCheck checks an incarnation that did not respond, through relays.
 func (t *Table) failed(now time.Time, id ID) {
 	r, ok := t.records[id.Name]
 	if !ok || r.ID != id || r == t.self {
@@ -41,28 +42,30 @@
 	}
 }
 
-// Losses of many at once. Watchers are lost with those that they watched and half
-// of the relays don't answer, so that each would be found after the one before it,
-// 0.45 s each: 260 lost among 472 were noticed by all after 3.4 s.
+// Mass failures. Watchers fail together with the entries that they watch, and half of
+// the relays don't respond. Failures would then be detected one after the other, 0.45 s
+// each: 260 failures among 472 entries took 3.4 s to reach every entry.
 const (
-	// manyShare is one in how many entries have to be suspects, and manyLeast how
-	// many at the least. Links that lose a tenth of their packets make fewer.
+	// Suspects make up a mass failure if they are one in massFailureDivisor entries, and
+	// at least massFailureMinSuspects. Links that lose a tenth of their packets cause
+	// fewer suspects.
 	manyShare = 16
 	manyLeast = 3
-	// manyNext is how many behind a suspect are asked then.
+	// massFailureSuccessors is the number of successors that are contacted when an
+	// entry becomes a suspect in a mass failure.
 	manyNext = 4
 )
 
-// many tells whether so many are suspected that what leaves a question without an
-// answer is suspected at once.
+// massFailure reports whether there are so many suspects that an entry that doesn't
+// respond is suspected at once, without an indirect check.
 func (t *Table) many() bool {
 	return t.suspects >= max(len(t.records)/manyShare, manyLeast)
 }
 
-func (t *Table) reach(via, target *record) {
+func (t *Table) reach(via, peer *record) {
 	t.exchange++
-	t.exchanges[t.exchange] = exchange{to: via.ref(), check: target.ID}
-	t.act(Reach{Exchange: t.exchange, Via: via.ref(), Target: target.ref(), Timeout: t.cfg.Relay})
+	t.exchanges[t.exchange] = exchange{to: via.ref(), check: peer.ID}
+	t.act(Reach{Exchange: t.exchange, Via: via.ref(), Target: peer.ref(), Timeout: t.cfg.Relay})
 }
 
 func (t *Table) reached(now time.Time, ev Reached) {
@@ -78,8 +81,8 @@
 	t.unreached(now, ex.check)
 }
 
-// unreached counts a relay without success. The last one makes a suspicion,
-// unless the incarnation has spoken for itself meanwhile.
+// relayFailed counts a relay that could not reach an incarnation. After the last one
+// the incarnation becomes a suspect, unless its sequence number has changed meanwhile.
 func (t *Table) unreached(now time.Time, id ID) {
 	c, ok := t.checks[id]
 	if !ok {
@@ -96,22 +99,22 @@
 	}
 }
 
-// relaysFor picks entries in places other than the target's where there are
-// any, since a place is often lost as a whole.
-func (t *Table) relaysFor(target *record) []*record {
-	var far, near []*record
+// pickRelays returns random relays for a peer, preferably from other places than the
+// peer's, since a place often fails as a whole.
+func (t *Table) relaysFor(peer *record) []*record {
+	var otherPlaces, samePlace []*record
 	for _, r := range t.peers().up {
 		switch {
-		case r == target || r.State != Alive:
-		case r.Place != target.Place:
-			far = append(far, r)
+		case r == peer || r.State != Alive:
+		case r.Place != peer.Place:
+			otherPlaces = append(otherPlaces, r)
 		default:
-			near = append(near, r)
+			samePlace = append(samePlace, r)
 		}
 	}
-	t.shuffle(far)
-	t.shuffle(near)
-	all := append(far, near...)
+	t.shuffle(otherPlaces)
+	t.shuffle(samePlace)
+	all := append(otherPlaces, samePlace...)
 	return all[:min(len(all), relays)]
 }
 
