--- a/pkg/roster/keepers_test.go
+++ b/pkg/roster/keepers_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// past is the history of a store: all changes, the current objects, and when each
-// object that is gone was removed.
+// storeHistory is the history of a store: all changes, the current objects, and the
+// revision at which each deleted object was removed.
 type past struct {
 	changes []Change[string]
 	now     map[string]Item[string]
@@ -33,7 +33,7 @@
 	p.now[c.Name] = c.Item
 }
 
-// step lets a target come, write a heartbeat, say that it leaves, or go.
+// step adds a target, or lets one write a heartbeat, announce its stop or be removed.
 func (p *past) step(rnd *rand.Rand) {
 	names := slices.Sorted(maps.Keys(p.now))
 	if len(names) < 3 || rnd.IntN(6) == 0 {
@@ -52,50 +52,52 @@
 	}
 }
 
-// fleet are keepers that read the store and each other, with answers on their way.
+// cluster is a set of rosters that read the store and pull from each other, with the
+// responses that are in transit.
 type fleet struct {
 	*past
 	keepers []*Roster[string]
 	coming  []func()
 }
 
+// newTestRoster returns a roster that ignores all but the first byte of values.
 func keeper() *Roster[string] {
 	return New(func(a, b string) bool { return a[0] == b[0] })
 }
 
-// restart lets a keeper begin with nothing. Answers to its earlier run get lost.
+// restart replaces a roster with an empty one. Responses to the earlier one are lost.
 func (f *fleet) restart(i int) { f.keepers[i] = keeper() }
 
 func (f *fleet) list(i int) {
-	k, at, items := f.keepers[i], f.at(), slices.Collect(maps.Values(f.now))
-	f.coming = append(f.coming, func() { k.Replace(items, at) })
+	r, at, items := f.keepers[i], f.at(), slices.Collect(maps.Values(f.now))
+	f.coming = append(f.coming, func() { r.Replace(items, at) })
 }
 
 func (f *fleet) watch(i int) {
-	k := f.keepers[i]
-	if k.At() == 0 || k.At().Epoch() != f.epoch {
+	r := f.keepers[i]
+	if r.At() == 0 || r.At().Epoch() != f.epoch {
 		f.list(i)
 		return
 	}
-	at, changes := f.at(), slices.Clone(f.changes[k.At().Position():])
-	f.coming = append(f.coming, func() { k.Told(changes, at) })
+	at, changes := f.at(), slices.Clone(f.changes[r.At().Position():])
+	f.coming = append(f.coming, func() { r.Told(changes, at) })
 }
 
 func (f *fleet) pull(i, j int) {
-	k, from := f.keepers[i], f.keepers[j]
-	if from.Moved() <= k.Moved() {
+	r, from := f.keepers[i], f.keepers[j]
+	if from.Moved() <= r.Moved() {
 		return
 	}
-	at, moved := from.At(), from.Moved()
-	changes, ok := from.Since(k.Moved())
+	at, lastChange := from.At(), from.Moved()
+	changes, ok := from.Since(r.Moved())
 	items := slices.Collect(maps.Values(from.Items()))
 	f.coming = append(f.coming, func() {
 		if ok {
-			k.Told(changes, at)
+			r.Told(changes, at)
 		} else {
-			k.Replace(items, at)
+			r.Replace(items, at)
 		}
-		k.Reached(moved)
+		r.Reached(lastChange)
 	})
 }
 
@@ -108,32 +110,30 @@
 	f.coming = slices.Delete(f.coming, n, n+1)
 }
 
-// stale names a target that a keeper holds though it was removed within the part of
-// the history that the keeper knows.
+// removedItem describes a target that a roster holds although it was removed within the
+// history that the roster knows.
 func (f *fleet) stale() string {
-	for i, k := range f.keepers {
-		for name := range k.Items() {
-			if end, ok := f.ended[name]; ok && end <= k.At() {
-				return fmt.Sprintf("keeper %d knows up to %d and has %s, removed at %d", i, k.At(), name, end)
+	for i, r := range f.keepers {
+		for name := range r.Items() {
+			if end, ok := f.ended[name]; ok && end <= r.At() {
+				return fmt.Sprintf("roster %d knows up to %d and has %s, removed at %d", i, r.At(), name, end)
 			}
 		}
 	}
 	return ""
 }
 
-// Requests went to targets for seconds after their records had been removed. A
-// gateway that had just started listed the store; then came the answer to a pull
-// that it had sent before, from one that had not heard of the removals. It took the
-// older list's targets for new ones, since it had never heard of them, and told all
-// others its list as the newest. They held it for as new as a right one.
+// Guards against requests to targets for seconds after their removal. A gateway lists
+// the store at its start, and then receives the response to an earlier pull from a
+// gateway that lacks the removals. If it takes the removed targets in that older list for
+// new ones, it advertises them to all others under the newest revision. In a run of 113
+// gateways with restarts there were two lists under one revision, of 224 and 245 targets:
+// the longer one began at a gateway 0.15 s after its start, spread to those that pulled
+// from it, and held 21 targets that other gateways had seen removed.
 //
-// Proved by the logs of 113 gateways under restarts: two lists under one revision, of
-// 224 and 245 targets, the longer one first at a gateway 0.15 s after its start, then at
-// those that pulled from it; 21 targets that others had seen removed.
-//
-// Keepers list, watch, pull and start again here in any order, with answers that
-// overtake each other. None may hold what it should know to be gone, and in the end
-// all hold what the store does.
+// Rosters list, watch, pull and restart in any order, with reordered responses. None may
+// hold an object that was removed within its known history, and in the end all hold what
+// the store holds.
 func TestKeepersHoldNothingThatIsGone(t *testing.T) {
 	const seeds, steps = 400, 300
 	for seed := range uint64(seeds) {
@@ -161,13 +161,14 @@
 			qt.Assert(t, f.stale(), qt.Equals, "", qt.Commentf("seed %d, step %d", seed, step))
 		}
 		f.settle(rnd)
-		for i, k := range f.keepers {
-			qt.Assert(t, values(k), qt.DeepEquals, f.values(), qt.Commentf("seed %d, keeper %d", seed, i))
+		for i, r := range f.keepers {
+			qt.Assert(t, values(r), qt.DeepEquals, f.values(), qt.Commentf("seed %d, roster %d", seed, i))
 		}
 	}
 }
 
-// settle delivers all that is on its way, lets one keeper read and the others hear.
+// settle delivers all responses in transit, then lets one roster read the store and the
+// others pull from each other.
 func (f *fleet) settle(rnd *rand.Rand) {
 	for len(f.coming) > 0 {
 		f.deliver(rnd)
--- a/pkg/roster/lapse.go
+++ b/pkg/roster/lapse.go
@@ -4,69 +4,68 @@
 
 // Times of an outage of the store.
 const (
-	// OutageAge is how old what is known gets in an outage that matters. Records
-	// lapse after three heartbeats of 1.5 s, so 3 s into an outage at the soonest,
-	// and what is known is at most 0.8 s old when one begins.
+	// OutageAge is the age of store data from which an outage counts. Records expire
+	// after three heartbeats of 1.5 s, hence 3 s into an outage at the earliest, and
+	// store data is at most 0.8 s old when an outage begins.
 	OutageAge = 2 * time.Second
-	// ReturnTime is how long after the store's return the records that lapsed
-	// meanwhile are awaited: their owners write them again within about 2 s.
+	// RetentionTime is how long after the store's return expired records are retained.
+	// Their owners write them again within about 2 s.
 	ReturnTime = 2200 * time.Millisecond
 )
 
-// Lapses keeps objects that vanished around an outage of the store or its restore from a
-// copy. Records
-// that aren't renewed lapse, and during an outage none can be: on its return
-// the list may lack objects that are well. Taken at its word, it would leave
-// nothing to send requests to.
+// Retained holds objects that vanished around an outage of the store, or in its restore
+// from a copy. Records that aren't renewed expire, and none can be renewed during an
+// outage. The store's list may therefore lack healthy objects when it returns. Without
+// the retained ones there might be no target left to send requests to.
 type Lapses[T any] struct {
 	items    map[string]Item[T]
-	until    map[string]time.Time // by name, how long each is awaited
-	returned time.Time
+	until    map[string]time.Time // by name, the end of retention
+	returned time.Time            // of the store, after the last outage
 }
 
-// NewLapses returns an empty keeper.
+// NewRetained returns an empty set of retained objects.
 func NewLapses[T any]() *Lapses[T] {
 	return &Lapses[T]{items: make(map[string]Item[T]), until: make(map[string]time.Time)}
 }
 
-// Heard takes that the store answered after what was known had become so old,
-// and tells whether it counts as having been away.
-func (l *Lapses[T]) Heard(now time.Time, age time.Duration) (away bool) {
+// StoreAnswered records that the store answered when its data had reached an age, and
+// reports whether that counts as the end of an outage.
+func (r *Lapses[T]) Heard(now time.Time, age time.Duration) (outage bool) {
 	if age < OutageAge {
 		return false
 	}
-	l.returned = now
+	r.returned = now
 	return true
 }
 
-// Removed takes an object that vanished, and tells whether it is kept.
-func (l *Lapses[T]) Removed(now time.Time, it Item[T]) (kept bool) {
-	if l.returned.IsZero() || now.Sub(l.returned) >= ReturnTime {
+// Removed takes an object that vanished and reports whether it is retained.
+func (r *Lapses[T]) Removed(now time.Time, it Item[T]) (retained bool) {
+	if r.returned.IsZero() || now.Sub(r.returned) >= ReturnTime {
 		return false
 	}
-	l.keep(it, l.returned.Add(ReturnTime))
+	r.keep(it, r.returned.Add(ReturnTime))
 	return true
 }
 
-// Lost takes an object that is missing from a copy that the store was restored from. Its
-// owner writes it again.
-func (l *Lapses[T]) Lost(now time.Time, it Item[T]) { l.keep(it, now.Add(ReturnTime)) }
+// MissingFromCopy retains an object that is missing from the copy that the store was
+// restored from. Its owner writes it again.
+func (r *Lapses[T]) Lost(now time.Time, it Item[T]) { r.keep(it, now.Add(ReturnTime)) }
 
-func (l *Lapses[T]) keep(it Item[T], until time.Time) {
-	l.items[it.Name] = it
-	l.until[it.Name] = until
+func (r *Lapses[T]) keep(it Item[T], until time.Time) {
+	r.items[it.Name] = it
+	r.until[it.Name] = until
 }
 
-// Awaiting reports whether objects that vanished are still awaited.
-func (l *Lapses[T]) Awaiting(now time.Time) bool { return len(l.Kept(now)) > 0 }
+// Awaiting reports whether any objects are still retained.
+func (r *Lapses[T]) Awaiting(now time.Time) bool { return len(r.Kept(now)) > 0 }
 
-// Kept returns the vanished objects that are still awaited.
-func (l *Lapses[T]) Kept(now time.Time) map[string]Item[T] {
-	for name, until := range l.until {
+// Items returns the objects that are still retained.
+func (r *Lapses[T]) Kept(now time.Time) map[string]Item[T] {
+	for name, until := range r.until {
 		if !now.Before(until) {
-			delete(l.items, name)
-			delete(l.until, name)
+			delete(r.items, name)
+			delete(r.until, name)
 		}
 	}
-	return l.items
+	return r.items
 }
--- a/pkg/roster/restore_test.go
+++ b/pkg/roster/restore_test.go
@@ -11,7 +11,8 @@
 
 func rev(epoch, position uint64) Revision { return NewRevision(epoch, position) }
 
-// An object that had ended is back through a copy, and counts as one that is there.
+// A restore from a copy brings a deleted object back. It counts as revived until it is
+// written again.
 func TestRevivedByARestore(t *testing.T) {
 	c := qt.New(t)
 	r := New(func(a, b int) bool { return a == b })
@@ -26,8 +27,9 @@
 	c.Assert(r.Revived("a"), qt.IsFalse)
 }
 
-// A keeper that nothing differs for keeps its epoch to itself, and the others go on by an
-// older one until something changes.
+// A list of a new epoch counts as a change even if no object differs. Otherwise the
+// roster would not propagate the epoch, and the others would stay in the older one until
+// something changes.
 func TestNewEpochIsNews(t *testing.T) {
 	c := qt.New(t)
 	r := New(func(a, b int) bool { return a == b })
@@ -38,8 +40,8 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// restore puts the store back by some changes. Whoever reads it from then on takes all that
-// it holds for parts of the new epoch.
+// restore restores the store from a copy that lacks the last changes. Everything that
+// is read from it after that belongs to a new epoch.
 func (p *past) restore(back int) {
 	kept := len(p.changes) - min(back, len(p.changes))
 	p.epoch++
@@ -57,20 +59,20 @@
 	}
 }
 
-// behind names a keeper whose epoch has gone back.
+// epochRegression describes a roster whose epoch has decreased.
 func (f *fleet) behind(epochs []uint64) string {
-	for i, k := range f.keepers {
-		if e := k.At().Epoch(); e < epochs[i] && k.At() > 0 {
-			return fmt.Sprintf("keeper %d went from epoch %d to %d", i, epochs[i], e)
+	for i, r := range f.keepers {
+		if e := r.At().Epoch(); e < epochs[i] && r.At() > 0 {
+			return fmt.Sprintf("roster %d went from epoch %d to %d", i, epochs[i], e)
 		}
-		epochs[i] = k.At().Epoch()
+		epochs[i] = r.At().Epoch()
 	}
 	return ""
 }
 
-// The store is restored from older copies while keepers list, watch, pull and start again,
-// with answers of several epochs on their way. One that takes an older history for the
-// newer one, or mixes them, holds what the store doesn't.
+// The store is restored from older copies while rosters list, watch, pull and restart,
+// with responses of several epochs in transit. A roster that takes an older epoch for the
+// newer one, or mixes them, holds objects that the store doesn't.
 func TestKeepersThroughRestores(t *testing.T) {
 	const seeds, steps = 400, 300
 	for seed := range uint64(seeds) {
@@ -101,13 +103,14 @@
 			qt.Assert(t, f.behind(epochs), qt.Equals, "", qt.Commentf("seed %d, step %d", seed, step))
 		}
 		f.settle(rnd)
-		for i, k := range f.keepers {
-			qt.Assert(t, values(k), qt.DeepEquals, f.values(), qt.Commentf("seed %d, keeper %d, epoch %d", seed, i, f.epoch))
+		for i, r := range f.keepers {
+			qt.Assert(t, values(r), qt.DeepEquals, f.values(), qt.Commentf("seed %d, roster %d, epoch %d", seed, i, f.epoch))
 		}
 	}
 }
 
-// Revisions of a newer epoch follow all of the older ones, whatever their positions.
+// Revisions of a newer epoch are greater than all revisions of older epochs, at any
+// position.
 func TestRevisionOrder(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(rev(2, 1) > rev(1, MostPosition), qt.IsTrue)
@@ -117,7 +120,7 @@
 	c.Assert(rev(MostEpoch+1, MostPosition+1), qt.Equals, rev(MostEpoch, MostPosition))
 }
 
-// A keeper takes a list as the store's copy has it at 720 targets.
+// Measures a merge without changes into a roster of 720 targets.
 func BenchmarkUnchanged(b *testing.B) {
 	r := New(func(a, b int) bool { return a == b })
 	var list []Item[int]
--- a/pkg/roster/revision.go
+++ b/pkg/roster/revision.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Revision is a position in the history of the store that all objects share. A store that
-// is restored from a copy begins another history, an epoch, in which positions are given
-// out again: any revision of a newer epoch is greater than all of the older ones.
+// Revision is a position in the history of the store, which all objects share. When the
+// store is restored from a copy, a new history begins, called an epoch, in which positions
+// are assigned again. Any revision of a newer epoch is greater than all of older epochs.
 type Revision uint64
 
 const positionBits = 48
 
-// The greatest epoch and position that a Revision holds.
+// The greatest epoch and position that fit into a Revision.
 const (
 	MostEpoch    = 1<<(64-positionBits) - 1
 	MostPosition = 1<<positionBits - 1
@@ -20,10 +20,10 @@
 	return Revision(min(epoch, MostEpoch)<<positionBits | min(position, MostPosition))
 }
 
-// Epoch is the history that the revision belongs to; 0 where the store names none.
+// Epoch returns the epoch of the revision, or 0 if the store reports none.
 func (r Revision) Epoch() uint64 { return uint64(r) >> positionBits }
 
-// Position is the store's own number within the epoch.
+// Position returns the store's own revision number within the epoch.
 func (r Revision) Position() uint64 { return uint64(r) & MostPosition }
 
 // String returns the epoch and the position.
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster keeps lists of objects by the revision at which each was last
-// changed, so that word of them may come by several ways, twice and in any
-// order. It does no I/O.
+// Package roster keeps lists of objects with the revision at which each was last
+// changed. Updates may therefore arrive over several paths, repeatedly and in any
+// order. The package does no I/O.
 package roster
 
 import (
@@ -15,32 +15,37 @@
 	Value    T
 }
 
-// Change is one event of the history: a new value, or the end of an object.
+// Change is one event of the history: a new value, or the deletion of an object.
 type Change[T any] struct {
 	Item[T]
 	Deleted bool
 }
 
-// Roster is what is known of the objects of one kind. It has one owner.
+// Roster holds the objects of one kind, as received from the store and from other
+// entries. It is not safe for concurrent use.
+//
+// A significant change is a deletion, a new object, or a new value for which same
+// returns false. Other changes, such as heartbeats, only raise an object's revision.
 type Roster[T any] struct {
 	same  func(a, b T) bool
 	items map[string]Item[T]
-	told  map[string]Revision // of the last change of each item that matters
-	gone  map[string]Revision // deletions, so that late word revives nothing
+	told  map[string]Revision // of the last significant change of each item
+	gone  map[string]Revision // deletions, so that late updates don't bring objects back
 	at    Revision
-	moved Revision // of the last change that matters
-	// floor is the newest revision up to which deletions may have been forgotten,
-	// or never heard of. What came after it can be told as changes.
+	moved Revision // of the last significant change
+	// floor is the newest revision up to which deletions may be missing, because they
+	// were pruned or never received. ChangesSince covers only what came after it.
 	floor Revision
-	// base is the revision of the first list of the present epoch. What has an older one
-	// may come from the copy that the store was restored from.
+	// epochBase is the revision of the first list in the current epoch. Objects with an
+	// older revision may come from the copy that the store was restored from.
 	base Revision
-	// revived are objects that had ended in an older epoch and are back through the copy.
+	// revived are objects that were deleted in an older epoch and that a restore of the
+	// store from a copy brought back.
 	revived map[string]Revision
 }
 
-// New returns an empty roster. same tells which changes don't matter, such as
-// a heartbeat's counter.
+// New returns an empty roster. same reports whether two values differ only in
+// insignificant parts, such as a heartbeat's counter.
 func New[T any](same func(a, b T) bool) *Roster[T] {
 	return &Roster[T]{
 		same: same, items: make(map[string]Item[T]),
@@ -49,35 +54,36 @@
 	}
 }
 
-// At returns the revision up to which the history is known.
+// Revision returns the revision up to which the history is known.
 func (r *Roster[T]) At() Revision { return r.at }
 
-// Moved returns the revision of the last change that mattered.
+// LastChange returns the revision of the last significant change.
 func (r *Roster[T]) Moved() Revision { return r.moved }
 
-// Items returns the objects by name. The map is the caller's.
+// Items returns a copy of the objects by name.
 func (r *Roster[T]) Items() map[string]Item[T] { return maps.Clone(r.items) }
 
-// Reached notes that all changes that matter are known up to a revision. One
-// keeper may have seen a change of an object only by a later word than another
-// one; without this, each would hold the other for newer for ever.
-func (r *Roster[T]) Reached(moved Revision) { r.moved = max(r.moved, moved) }
+// AdvanceLastChange records that all significant changes up to a revision are known.
+// Two rosters may record the same change at different revisions, if one of them
+// received only a later update of the object. Without this call each would take the
+// other to be newer forever.
+func (r *Roster[T]) Reached(revision Revision) { r.moved = max(r.moved, revision) }
 
-// Revived reports whether an object that was known to have ended is back only since the
-// store was restored from a copy: it has not been written since.
+// Revived reports whether a deleted object was brought back by a restore of the store
+// from a copy and has not been written since.
 func (r *Roster[T]) Revived(name string) bool {
 	_, ok := r.revived[name]
 	return ok
 }
 
-// AnyRevived reports whether there is such an object.
+// AnyRevived reports whether Revived is true for any object.
 func (r *Roster[T]) AnyRevived() bool { return len(r.revived) > 0 }
 
 // Len returns the number of objects.
 func (r *Roster[T]) Len() int { return len(r.items) }
 
-// Since returns the changes that matter and came after revision since. ok is
-// false where that reaches back too far, and only the whole list tells.
+// ChangesSince returns the significant changes after revision since. ok is false if the
+// history doesn't reach back that far, so that the whole list is needed.
 func (r *Roster[T]) Since(since Revision) (changes []Change[T], ok bool) {
 	if since == 0 || since < r.floor {
 		return nil, false
@@ -95,46 +101,46 @@
 	return changes, true
 }
 
-// Get returns the object of that name.
+// Get returns the object with a name.
 func (r *Roster[T]) Get(name string) (it Item[T], ok bool) {
 	it, ok = r.items[name]
 	return it, ok
 }
 
-// Told takes the changes that lead up to revision at from somebody who knows all
-// that came before, and tells whether one of them mattered. Where this roster knows
-// the history further than that, an object that it doesn't have is gone.
-func (r *Roster[T]) Told(changes []Change[T], at Revision) (moved bool) {
+// Merge merges the changes up to revision at from a sender that knows the whole history
+// up to it, and reports whether any was significant. If this roster knows a later part
+// of the history, an unknown object in the changes was deleted since and is ignored.
+func (r *Roster[T]) Told(changes []Change[T], at Revision) (changed bool) {
 	if at >= r.at {
 		return r.Apply(changes, at)
 	}
 	return r.Apply(slices.DeleteFunc(slices.Clone(changes), r.ended), at)
 }
 
-// ended reports whether a change is of an object that came to its end since, within
-// the history that is known. The end itself may never have been heard of: whoever
-// takes a whole list misses what came and went before it. Taken for a new one, a
-// removed target got requests until the next whole list, 2.5 s and more after its
-// removal, at every entry that was told so.
+// endedSince reports whether a change is for an object that was deleted since, within
+// the known history. The deletion itself may be unknown, since a whole list doesn't
+// show the objects that were created and deleted before it. When a removed target was
+// merged as a new one, it got requests until the next whole list, 2.5 s or more after
+// its removal, at every entry that received the change.
 func (r *Roster[T]) ended(c Change[T]) bool {
 	_, known := r.items[c.Name]
 	return !known && !c.Deleted && c.Revision <= r.at
 }
 
-// Apply takes single changes in any order, with the history known up to revision
-// at, and tells whether one of them mattered. Older word than is known of an object
-// changes nothing.
-func (r *Roster[T]) Apply(changes []Change[T], at Revision) (moved bool) {
+// Apply applies changes in any order, after which the history is known up to revision
+// at. It reports whether any change was significant. A change that is older than the
+// known state of its object has no effect.
+func (r *Roster[T]) Apply(changes []Change[T], at Revision) (changed bool) {
 	for _, c := range changes {
 		if r.apply(c) {
-			moved = true
+			changed = true
 		}
 	}
 	r.at = max(r.at, at)
-	return moved
+	return changed
 }
 
-func (r *Roster[T]) apply(c Change[T]) (moved bool) {
+func (r *Roster[T]) apply(c Change[T]) (changed bool) {
 	old, known := r.items[c.Name]
 	if known && old.Revision >= c.Revision || r.gone[c.Name] >= c.Revision {
 		return false
@@ -145,16 +151,16 @@
 		delete(r.items, c.Name)
 		delete(r.told, c.Name)
 		r.gone[c.Name] = c.Revision
-		moved = known
+		changed = known
 	} else {
-		if ended := r.gone[c.Name]; ended > 0 && ended.Epoch() < c.Revision.Epoch() && c.Revision <= r.base {
+		if deleted := r.gone[c.Name]; deleted > 0 && deleted.Epoch() < c.Revision.Epoch() && c.Revision <= r.base {
 			r.revived[c.Name] = c.Revision
 		}
 		delete(r.gone, c.Name)
 		r.items[c.Name] = c.Item
-		moved = !known || revived || !r.same(old.Value, c.Value)
+		changed = !known || revived || !r.same(old.Value, c.Value)
 	}
-	if !moved {
+	if !changed {
 		return false
 	}
 	r.moved = max(r.moved, c.Revision)
@@ -164,12 +170,12 @@
 	return true
 }
 
-// Replace takes the whole list as of revision at, and tells whether anything
-// that matters differs. A list older than what is known is no ground to go back: of
-// it only the items count that are newer than known. Of what came and went
-// before a newer one this roster may not have heard, so that it can't tell the
-// changes from before it to others.
-func (r *Roster[T]) Replace(list []Item[T], at Revision) (moved bool) {
+// Replace merges the whole list as of revision at and reports whether there was a
+// significant change. Of a list that is older than the known history only the items
+// that are newer than the known ones are merged. A newer list doesn't show the objects
+// that were created and deleted before it, so ChangesSince then covers only what comes
+// after the list.
+func (r *Roster[T]) Replace(list []Item[T], at Revision) (changed bool) {
 	changes := make([]Change[T], 0, len(list))
 	listed := make(map[string]bool, len(list))
 	for _, it := range list {
@@ -191,21 +197,21 @@
 			}
 		}
 	}
-	moved = r.Told(changes, at)
+	changed = r.Told(changes, at)
 	if restored {
-		// All others have to hear of the new epoch, whatever differs in it.
+		// A new epoch must reach all other entries, even if no object differs.
 		r.moved = max(r.moved, at)
 	}
-	return moved || restored
+	return changed || restored
 }
 
-// keptGone is how many deletions are remembered: as many as a day of a site
-// with some hundred objects brings.
+// maxDeletions is the number of deletions that are remembered. It covers one day of a
+// site with some hundred objects.
 const keptGone = 1024
 
-// Forget drops the older half of the deletions once there are too many. Word of
-// an object that comes so late would revive it until the next list, which a
-// reader asks for whenever it is unsure.
+// PruneDeletions removes the older half of the deletions if there are more than
+// maxDeletions. An update that is older than a pruned deletion would bring its object
+// back until the next list, which a reader requests whenever it is unsure.
 func (r *Roster[T]) Forget() {
 	if len(r.gone) <= keptGone {
 		return
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -21,9 +21,9 @@
 	return Change[string]{Item: Item[string]{Name: name, Revision: rev}, Deleted: true}
 }
 
-// Word of a target comes from the store and from two other entries, late, twice
-// and in the wrong order. Whatever the order, what is known at the end must be
-// what the newest word says: a target that was removed must not come back.
+// Updates of a target arrive from the store and from two other entries, late, repeatedly
+// and out of order. In any order the roster must end with the newest state of each
+// target. A removed target must not come back.
 func TestAnyOrder(t *testing.T) {
 	history := []Change[string]{
 		set("a", 1, "ready"), set("b", 2, "ready"), set("a", 3, "draining"),
@@ -32,9 +32,9 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for range 500 {
 		r := New(same)
-		word := append(append([]Change[string]{}, history...), history[:3]...)
-		rnd.Shuffle(len(word), func(i, j int) { word[i], word[j] = word[j], word[i] })
-		for _, c := range word {
+		updates := append(append([]Change[string]{}, history...), history[:3]...)
+		rnd.Shuffle(len(updates), func(i, j int) { updates[i], updates[j] = updates[j], updates[i] })
+		for _, c := range updates {
 			r.Apply([]Change[string]{c}, c.Revision)
 		}
 		qt.Assert(t, r.Items(), qt.DeepEquals, map[string]Item[string]{
@@ -45,22 +45,22 @@
 
 func TestReplace(t *testing.T) {
 	tests := []struct {
-		name  string
-		list  []Item[string]
-		at    Revision
-		want  []string
-		moved bool
+		name    string
+		list    []Item[string]
+		at      Revision
+		want    []string
+		changed bool
 	}{
 		{"newer list without one of them", []Item[string]{{"b", 2, "y"}}, 9, []string{"b"}, true},
 		{"newer list of the same", []Item[string]{{"a", 1, "x"}, {"b", 2, "y"}}, 9, []string{"a", "b"}, false},
-		{"stale list names nobody gone", nil, 1, []string{"a", "b"}, false},
-		{"stale list revives nobody", []Item[string]{{"gone", 3, "z"}}, 3, []string{"a", "b"}, false},
+		{"stale list removes nothing", nil, 1, []string{"a", "b"}, false},
+		{"stale list brings nothing back", []Item[string]{{"gone", 3, "z"}}, 3, []string{"a", "b"}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := New(same)
 			r.Apply([]Change[string]{set("a", 1, "x"), set("b", 2, "y"), set("gone", 3, "z"), del("gone", 4)}, 4)
-			qt.Assert(t, r.Replace(tt.list, tt.at), qt.Equals, tt.moved)
+			qt.Assert(t, r.Replace(tt.list, tt.at), qt.Equals, tt.changed)
 			var got []string
 			for _, n := range []string{"a", "b", "gone"} {
 				if _, ok := r.Get(n); ok {
@@ -72,8 +72,8 @@
 	}
 }
 
-// A heartbeat writes a new revision and changes nothing that matters. It must
-// not be told to the other entries.
+// A heartbeat writes a new revision without a significant change. It must not be sent
+// to the other entries.
 func TestHeartbeatMovesNothing(t *testing.T) {
 	r := New(func(a, b string) bool { return a[0] == b[0] })
 	r.Apply([]Change[string]{set("a", 1, "r1")}, 1)
@@ -82,29 +82,28 @@
 	qt.Assert(t, r.At(), qt.Equals, Revision(2))
 }
 
-// An entry that lacks changes is told just these. Whatever its state was, it
-// then knows what the teller knows; heartbeats are not among them, and what
-// reaches back before forgotten deletions is told as a whole list.
+// An entry that lacks changes receives only these, and then holds what the sender
+// holds. Heartbeats are not sent. An entry that has nothing receives the whole list.
 func TestSince(t *testing.T) {
 	same := func(a, b string) bool { return a[0] == b[0] }
 	rnd := rand.New(rand.NewPCG(2, 2))
 	for range 200 {
-		teller, hearer := New(same), New(same)
+		sender, receiver := New(same), New(same)
 		for rev := Revision(1); rev < 60; rev++ {
 			c := set(string(rune('a'+rnd.IntN(8))), rev, string(rune('x'+rnd.IntN(2)))+"beat")
 			c.Deleted = rnd.IntN(4) == 0
-			teller.Apply([]Change[string]{c}, rev)
+			sender.Apply([]Change[string]{c}, rev)
 			if rnd.IntN(10) > 0 {
 				continue
 			}
-			changes, ok := teller.Since(hearer.Moved())
-			qt.Assert(t, ok, qt.Equals, hearer.Moved() > 0)
+			changes, ok := sender.Since(receiver.Moved())
+			qt.Assert(t, ok, qt.Equals, receiver.Moved() > 0)
 			if !ok {
-				hearer.Replace(slices.Collect(maps.Values(teller.Items())), teller.At())
+				receiver.Replace(slices.Collect(maps.Values(sender.Items())), sender.At())
 				continue
 			}
-			hearer.Apply(changes, teller.At())
-			qt.Assert(t, values(hearer), qt.DeepEquals, values(teller))
+			receiver.Apply(changes, sender.At())
+			qt.Assert(t, values(receiver), qt.DeepEquals, values(sender))
 		}
 	}
 }
@@ -125,8 +124,8 @@
 	qt.Assert(t, changes, qt.DeepEquals, []Change[string]{set("b", 2, "r1")})
 }
 
-// Targets come and go for as long as an entry runs. Its memory of those that
-// went stays bounded, and it doesn't pretend to know what it has forgotten.
+// Targets are added and removed as long as an entry runs. The number of remembered
+// deletions stays bounded, and ChangesSince fails for a revision before pruned ones.
 func TestForget(t *testing.T) {
 	r := New(same)
 	for rev := Revision(1); rev <= 10*keptGone; rev += 2 {
@@ -141,16 +140,16 @@
 	qt.Assert(t, ok, qt.IsTrue)
 }
 
-// The store is away and records lapse meanwhile. On its return they are awaited
-// for as long as their owners may take to write them again, and are gone after
-// that. A record that vanishes at any other time is gone at once.
+// Records expire during an outage of the store. After its return they are retained as
+// long as their owners may take to write them again, and are removed after that. A
+// record that vanishes at any other time is removed at once.
 func TestLapses(t *testing.T) {
 	start := time.Unix(100, 0)
 	tests := []struct {
 		name    string
-		age     time.Duration // of what was known, when the store answered
-		removed time.Duration // after that
-		asked   time.Duration // after that
+		age     time.Duration // of the store data when the store answered
+		removed time.Duration // after the store answered
+		checked time.Duration // after the store answered
 		want    int
 	}{
 		{"no outage", time.Second, 0, 0, 0},
@@ -163,20 +162,20 @@
 		l := NewLapses[string]()
 		l.Heard(start, tt.age)
 		l.Removed(start.Add(tt.removed), Item[string]{Name: "a"})
-		qt.Assert(t, l.Kept(start.Add(tt.asked)), qt.HasLen, tt.want, qt.Commentf("%s", tt.name))
+		qt.Assert(t, l.Kept(start.Add(tt.checked)), qt.HasLen, tt.want, qt.Commentf("%s", tt.name))
 	}
 }
 
-// A target is removed, and an entry that starts after that lists what is left.
-// Another one, which still has the target, asks it for the changes since its own
-// revision. The one that has just listed has never heard of the removal: told
-// that nothing else has changed, the other would send to the target for seconds.
-// It is the same after a gap in what an entry has followed.
+// A target is removed, and an entry that starts after that lists the store. Another
+// entry, which still has the target, asks it for the changes since its own revision.
+// The list doesn't show the removal. If the new entry replied without the removal, the
+// other would send requests to the target for seconds. The same holds for an entry that
+// lists the store after a gap in the changes that it received.
 func TestChangesAcrossAList(t *testing.T) {
 	tests := []struct {
-		name  string
-		knows []Item[string] // before the list
-		at    Revision
+		name   string
+		before []Item[string] // items before the list
+		at     Revision
 	}{
 		{"first list", nil, 0},
 		{"list after a gap", []Item[string]{{"a", 1, "ready"}}, 2},
@@ -186,7 +185,7 @@
 			c := qt.New(t)
 			lister, other := New(same), New(same)
 			if tt.at > 0 {
-				lister.Replace(tt.knows, tt.at)
+				lister.Replace(tt.before, tt.at)
 			}
 			other.Apply([]Change[string]{set("a", 1, "ready"), set("gone", 3, "ready")}, 4)
 			// gone is removed at 5, b comes at 6.
@@ -209,14 +208,14 @@
 	}
 }
 
-// A target comes and is removed within a second. One entry has heard of its coming
-// only; another one has missed both and lists what is left after that. When the
-// first tells it what it knows, as changes or as a list, the target must not come
-// back: it would stay until the next list, since its removal is in the past.
+// A target is added and removed within a second. One entry has received only the
+// addition. Another has received neither and lists the store after the removal. When
+// the first sends its state to the second, as changes or as a list, the target must not
+// come back. It would stay until the next list, since its removal isn't sent again.
 func TestRemovedInAGapStaysRemoved(t *testing.T) {
 	tests := []struct {
-		name  string
-		knows []Item[string] // the second entry, before its list
+		name   string
+		before []Item[string] // items of the second entry before its list
 	}{
 		{"first list", nil},
 		{"list after a gap", []Item[string]{{"a", 1, "ready"}}},
@@ -228,8 +227,8 @@
 			// brief is removed at 5, and b comes at 6.
 			for _, whole := range []bool{false, true} {
 				second := New(same)
-				if tt.knows != nil {
-					second.Replace(tt.knows, 2)
+				if tt.before != nil {
+					second.Replace(tt.before, 2)
 				}
 				second.Replace([]Item[string]{{"a", 1, "ready"}, {"b", 6, "ready"}}, 7)
 				if changes, ok := first.Since(1); ok && !whole {
@@ -246,8 +245,8 @@
 	}
 }
 
-// Another entry's word counts where it is newer than what is known: a target that
-// comes, one that changes, and one that is removed.
+// Changes from another entry are merged if they are newer than the known state: a
+// target that is added, one that changes, and one that is removed.
 func TestTold(t *testing.T) {
 	r := New(same)
 	r.Apply([]Change[string]{set("a", 1, "ready"), set("b", 2, "ready")}, 4)
@@ -255,6 +254,6 @@
 	qt.Assert(t, r.Items(), qt.DeepEquals, map[string]Item[string]{"a": {"a", 5, "draining"}, "c": {"c", 7, "ready"}})
 	qt.Assert(t, r.At(), qt.Equals, Revision(8))
 	qt.Assert(t, r.Told([]Change[string]{del("a", 3)}, 4), qt.IsFalse)
-	// Its removal is older than what is known up to, yet was not heard of.
+	// The removal is within the known history, but was not received before.
 	qt.Assert(t, r.Told([]Change[string]{del("c", 8)}, 8), qt.IsTrue)
 }
--- a/pkg/route/config.go
+++ b/pkg/route/config.go
@@ -4,10 +4,10 @@
 
 import "time"
 
-// Version numbers a configuration. A higher one is newer; zero is none.
+// Version is the number of a configuration. A higher one is newer; zero means none.
 type Version uint64
 
-// Config is one whole version of the configuration.
+// Config is one complete version of the configuration.
 type Config struct {
 	Version  Version
 	Routes   []Route
@@ -15,21 +15,21 @@
 	Limits   Limits
 }
 
-// Route tells how the requests of one host and path prefix are served.
+// Route defines how the requests for one host and path prefix are served.
 type Route struct {
 	Name       string
 	Host       string        // compared without case and port
 	Prefix     string        // begins and ends with a slash
-	Idempotent bool          // a second run does no harm
-	Timeout    time.Duration // longest time to a final answer
-	Objective  time.Duration // an answer within it is worth its full credit
+	Idempotent bool          // a request may be run twice without harm
+	Timeout    time.Duration // longest time to a final response
+	Objective  time.Duration // a response within it is worth its full credit
 	Priority   int           // rank among the routes of a service, 0 first
-	Attempts   int           // targets that may be sent one request
-	Homes      []string      // regions whose targets may run it; empty for all
-	Parts      []Part        // none where it isn't known which service may run it
+	Attempts   int           // targets that one request may be sent to
+	Homes      []string      // regions whose targets may serve it; empty for all
+	Parts      []Part        // empty if it isn't known which service may serve it
 }
 
-// Part is a service's share of a route.
+// WeightedService is a service with its weight in a route.
 type Part struct {
 	Service string
 	Weight  int
@@ -39,15 +39,15 @@
 type Service struct {
 	Name   string
 	Health string // path of the health endpoint
-	// Warmup is for how long a target is cold after its start, and WarmRate how many
-	// requests a second it bears then; 0 says nothing.
+	// WarmupTime is how long a target is cold after its start, and WarmupRate the
+	// requests per second that it can serve while it is cold; 0 means unspecified.
 	Warmup   time.Duration
 	WarmRate float64
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound the size of a caller's requests and the time that a connection may idle.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	IdleTime    time.Duration // callers reuse connections up to four fifths of it
+	IdleTime    time.Duration // callers reuse connections for up to four fifths of it
 }
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -19,7 +19,7 @@
 		name, host, path, want string
 	}{
 		{"longest prefix", "veil.example", "/a/b/c", "long"},
-		{"shorter where the longer ends", "veil.example", "/a/bc", "short"},
+		{"shorter prefix if the longer doesn't match", "veil.example", "/a/bc", "short"},
 		{"prefix ends with its slash", "veil.example", "/a", ""},
 		{"port and case don't count", "VEIL.example:8080", "/a/x", "short"},
 		{"root of another host", "gown.example", "/a/x", "other"},
@@ -36,9 +36,9 @@
 	}
 }
 
-// The operator splits a route 9 to 1. After any number of requests each part
-// must be within one request of its share, also on a small sample and across
-// versions that leave the split as it is.
+// The operator splits a route 9 to 1. After any number of requests each service must
+// be within one request of its share, also in a small sample and across versions of the
+// configuration that keep the split.
 func TestSplit(t *testing.T) {
 	c := qt.New(t)
 	parts := []Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
--- a/pkg/route/split.go
+++ b/pkg/route/split.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// Split deals requests out to the parts of a route in proportion to their
-// weights. It is a smooth weighted round robin: after any number of requests
-// each part is within one request of its share, where a coin would be off by
-// the square root of their number and miss its share on a small sample.
+// Split distributes the requests of a route to its services in proportion to their
+// weights, by smooth weighted round robin. After any number of requests each service is
+// within one request of its share. With a random choice the error would be about the
+// square root of the number of requests, which is too much in a small sample.
 type Split struct {
 	mu     sync.Mutex
 	parts  []Part
@@ -16,21 +16,21 @@
 	total  int
 }
 
-// NewSplit returns a split of the parts.
-func NewSplit(parts []Part) *Split {
-	s := &Split{parts: parts, credit: make([]int, len(parts))}
-	for _, p := range parts {
-		s.total += p.Weight
+// NewSplit returns a split among services.
+func NewSplit(services []Part) *Split {
+	s := &Split{parts: services, credit: make([]int, len(services))}
+	for _, ws := range services {
+		s.total += ws.Weight
 	}
 	return s
 }
 
-func (s *Split) same(parts []Part) bool {
-	return slices.Equal(s.parts, parts)
+func (s *Split) same(services []Part) bool {
+	return slices.Equal(s.parts, services)
 }
 
-// Next returns the service of the next request; it is empty where there are no
-// parts.
+// Next returns the name of the service for the next request, or an empty string if
+// there is none.
 func (s *Split) Next() string {
 	switch len(s.parts) {
 	case 0:
@@ -41,8 +41,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	best := 0
-	for i, p := range s.parts {
-		s.credit[i] += p.Weight
+	for i, ws := range s.parts {
+		s.credit[i] += ws.Weight
 		if s.credit[i] > s.credit[best] {
 			best = i
 		}
--- a/pkg/route/table.go
+++ b/pkg/route/table.go
@@ -10,33 +10,33 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// Table finds routes. It never changes, so any goroutine may read it.
+// Table finds the route of a request. It is immutable and safe for concurrent use.
 type Table struct {
 	Config Config
 	hosts  map[string][]*Entry // longest prefix first
 }
 
-// Entry is a route with the state that its split keeps.
+// ActiveRoute is a route with the state that is kept across configurations.
 type Entry struct {
-	Route    // its host without case and port
+	Route    // its host in lower case and without port
 	Split    *Split
 	Patience *call.Patience
 }
 
-// New builds the table of a configuration. Routes that old has go on with what
-// it learnt, and with its splits where the parts are the same: a split that
-// began anew at each version would send the first request after each one to the
-// same part.
+// New builds the table of a configuration. A route that is in old keeps what was
+// measured for it, and keeps its split if its services and weights are the same. A
+// split that restarted with each version would send the first request after each to
+// the same service.
 func New(cfg Config, old *Table) *Table {
 	t := &Table{Config: cfg, hosts: make(map[string][]*Entry)}
-	kept := old.routes()
+	active := old.routes()
 	for _, r := range cfg.Routes {
 		r.Host = canonical(r.Host)
 		e := &Entry{Route: r, Split: NewSplit(r.Parts), Patience: new(call.Patience)}
-		if before := kept[r.Name]; before != nil {
-			e.Patience = before.Patience
-			if before.Split.same(r.Parts) {
-				e.Split = before.Split
+		if previous := active[r.Name]; previous != nil {
+			e.Patience = previous.Patience
+			if previous.Split.same(r.Parts) {
+				e.Split = previous.Split
 			}
 		}
 		t.hosts[r.Host] = append(t.hosts[r.Host], e)
@@ -48,19 +48,19 @@
 }
 
 func (t *Table) routes() map[string]*Entry {
-	kept := make(map[string]*Entry)
+	routes := make(map[string]*Entry)
 	if t == nil {
-		return kept
+		return routes
 	}
 	for _, list := range t.hosts {
 		for _, e := range list {
-			kept[e.Name] = e
+			routes[e.Name] = e
 		}
 	}
-	return kept
+	return routes
 }
 
-// Find returns the route with the longest prefix of path, or nil.
+// Find returns the route of a host with the longest prefix that matches path, or nil.
 func (t *Table) Find(host, path string) *Entry {
 	for _, e := range t.hosts[canonical(host)] {
 		if strings.HasPrefix(path, e.Prefix) {
@@ -70,9 +70,10 @@
 	return nil
 }
 
-// Homes returns the regions in which all routes of a host that have homes may be served,
-// none where no route has any. Where no region is home to all, those of any route count:
-// callers ask for a host, not for a route.
+// Regions returns the regions in which all routes of a host may be served. Routes
+// without a restriction to regions are ignored; the result is empty if all are. If no
+// region serves all the routes, Regions returns the regions of any of them, since
+// callers look up a host and not a route.
 func (t *Table) Homes(host string) []string {
 	var common, all []string
 	first := true
@@ -93,12 +94,13 @@
 	return all
 }
 
-// Hosts returns the names of all hosts, without case and port.
+// Hosts returns the names of all hosts, in lower case and without port.
 func (t *Table) Hosts() []string {
 	return slices.Collect(maps.Keys(t.hosts))
 }
 
-// Host returns the name by which a host is known, and whether it has routes.
+// LookupHost returns the canonical name of a host, in lower case and without port, and
+// whether it has routes.
 func (t *Table) Host(host string) (name string, known bool) {
 	name = canonical(host)
 	_, known = t.hosts[name]
