--- a/pkg/member/faults_test.go
+++ b/pkg/member/faults_test.go
@@ -10,7 +10,7 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// size is a size of the fleet that a fault is injected into.
+// fleetSize is a size of the fleet that a fault is injected into.
 type size struct {
 	name    string
 	cfg     fleet.Config
@@ -56,12 +56,12 @@
 	c.Assert(ok(), qt.IsTrue, qt.Commentf("%s: not after %v", what, took))
 }
 
-// watched runs the fleet for d and fails as soon as any entry sees one of the innocent
+// assertNeverGone runs the fleet for d and fails as soon as any entry sees one of the healthy
 // nodes as gone.
-func watched(c *qt.C, f *fleet.Fleet, d time.Duration, innocent ...*fleet.Node) {
+func watched(c *qt.C, f *fleet.Fleet, d time.Duration, healthy ...*fleet.Node) {
 	const step = 100 * time.Millisecond
 	for end := f.Now().Add(d); f.Now().Before(end); f.Run(step) {
-		for _, n := range innocent {
+		for _, n := range healthy {
 			ok := f.All(func(_ *fleet.Node, v member.View) bool {
 				e, _ := v.Find(n.Entry.ID.Name)
 				return !e.State.Gone()
--- a/pkg/owner/deal.go
+++ b/pkg/owner/deal.go
@@ -11,12 +11,14 @@
 // depend only on the list are computed once.
 //
 // A host has no more owners than its load needs, since an entry that receives all
-// requests of a service knows how many each target has in flight. The assignment
-// depends on host names only. If it depended on routes, which change with each version
-// of a configuration, callers would be moved to entries that have no data on the
-// targets yet. The first owners of all hosts are assigned, spread over different
-// entries, before any host gets further owners. They are therefore independent of the
-// owner counts.
+// requests of a service knows how many each target has in flight.
+//
+// Of a host the assignment uses only the name. Routes change with each version of a
+// configuration. An assignment that followed them would move callers back and forth, to
+// entries that have no data on the targets yet.
+//
+// The first owners of all hosts are assigned, spread over different entries, before any
+// host gets further owners. They are therefore independent of the owner counts.
 type Deal struct {
 	live   []Candidate
 	place  []int // index of each entry's place
@@ -28,62 +30,62 @@
 
 // New assigns the first owners of hosts.
 func New(live []Candidate, hosts []string) *Deal {
-	d := &Deal{
+	a := &Deal{
 		live: live, place: make([]int, len(live)), owned: make([]int, len(live)),
 		first: make(map[string][]int, len(hosts)), scores: make(map[string][]uint64, len(hosts)),
 	}
-	numbers := make(map[string]int)
+	indexes := make(map[string]int)
 	for i, c := range live {
-		n, known := numbers[c.Place]
+		n, known := indexes[c.Place]
 		if !known {
-			n = len(numbers)
-			numbers[c.Place] = n
+			n = len(indexes)
+			indexes[c.Place] = n
 		}
-		d.place[i] = n
+		a.place[i] = n
 	}
-	d.places = len(numbers)
+	a.places = len(indexes)
 	for _, host := range slices.Sorted(slices.Values(hosts)) {
 		scores := make([]uint64, len(live))
 		for i := range live {
 			scores[i] = score(live[i].Name, host)
 		}
-		d.scores[host] = scores
-		d.first[host] = d.deal(host, nil, Least, d.owned)
+		a.scores[host] = scores
+		a.first[host] = a.deal(host, nil, Least, a.owned)
 	}
-	return d
+	return a
 }
 
 // FirstOwners returns the owners of a host that are independent of its owner count. The
 // first of them decides the count.
-func (d *Deal) FirstOwners(host string) []Entry { return d.entries(d.first[host]) }
+func (a *Deal) FirstOwners(host string) []Entry { return a.entries(a.first[host]) }
 
 // Owners returns the entries that each host's callers are sent to. counts holds the
 // owner count of each host; MinOwners applies if it is lower or missing.
-func (d *Deal) Owners(counts map[string]int) map[string][]Entry {
-	owned := slices.Clone(d.owned)
-	owners := make(map[string][]Entry, len(d.first))
-	for _, host := range slices.Sorted(maps.Keys(d.first)) {
-		owners[host] = d.entries(d.deal(host, d.first[host], counts[host], owned))
+func (a *Deal) Owners(counts map[string]int) map[string][]Entry {
+	owned := slices.Clone(a.owned)
+	owners := make(map[string][]Entry, len(a.first))
+	for _, host := range slices.Sorted(maps.Keys(a.first)) {
+		owners[host] = a.entries(a.deal(host, a.first[host], counts[host], owned))
 	}
 	return owners
 }
 
 // CapacityShares yields the capacity that each entry has for a host, in the order in
 // which entries become its owners. Of the other hosts only the first owners count.
-func (d *Deal) Fit(host string) iter.Seq[float64] {
+func (a *Deal) Fit(host string) iter.Seq[float64] {
 	return func(yield func(float64) bool) {
-		owned := slices.Clone(d.owned)
-		first := d.first[host]
+		owned := slices.Clone(a.owned)
+		first := a.first[host]
 		for _, i := range first {
 			owned[i]--
 		}
 		for _, i := range first {
-			if !yield(d.spare(i, owned)) {
+			if !yield(a.spare(i, owned)) {
 				return
 			}
 		}
-		for i := range d.rest(host, first, owned) {
-			if !yield(d.spare(i, owned)) {
+		for i := range a.rest(host, first, owned) {
+			if !yield(a.spare(i, owned)) {
 				return
 			}
 		}
@@ -91,42 +93,42 @@
 }
 
 // assign extends a host's owners to count entries and adds the new ones to owned.
-func (d *Deal) deal(host string, has []int, count int, owned []int) []int {
-	if len(has) >= count {
-		return has
+func (a *Deal) deal(host string, owners []int, count int, owned []int) []int {
+	if len(owners) >= count {
+		return owners
 	}
-	has = slices.Clone(has)
-	for i := range d.rest(host, has, owned) {
-		has = append(has, i)
-		if len(has) == count {
+	owners = slices.Clone(owners)
+	for i := range a.rest(host, owners, owned) {
+		owners = append(owners, i)
+		if len(owners) == count {
 			break
 		}
 	}
-	return has
+	return owners
 }
 
-// remaining yields the entries that become owners of a host after those that it has,
+// remaining yields the entries that become owners of a host after its present owners,
 // in order. It adds each to owned after yielding it.
-func (d *Deal) rest(host string, has, owned []int) iter.Seq[int] {
+func (a *Deal) rest(host string, owners, owned []int) iter.Seq[int] {
 	return func(yield func(int) bool) {
-		taken := make([]bool, len(d.live))
-		places := make([]int, d.places)
-		for _, i := range has {
+		taken := make([]bool, len(a.live))
+		places := make([]int, a.places)
+		for _, i := range owners {
 			taken[i] = true
-			places[d.place[i]]++
+			places[a.place[i]]++
 		}
-		scores := d.scores[host]
-		for range len(d.live) - len(has) {
+		scores := a.scores[host]
+		for range len(a.live) - len(owners) {
 			best := -1
-			for i := range d.live {
-				if !taken[i] && (best < 0 || d.compare(i, best, owned, places, scores) < 0) {
+			for i := range a.live {
+				if !taken[i] && (best < 0 || a.compare(i, best, owned, places, scores) < 0) {
 					best = i
 				}
 			}
 			next := yield(best)
 			taken[best] = true
 			owned[best]++
-			places[d.place[best]]++
+			places[a.place[best]]++
 			if !next {
 				return
 			}
@@ -137,34 +139,34 @@
 // compare orders two entries for a host, the better one first. It prefers failure
 // domains with fewer owners of the host: owners prefer nearby targets, so owners in
 // different failure domains prefer different targets.
-func (d *Deal) compare(a, b int, owned, places []int, scores []uint64) int {
-	x, y := &d.live[a], &d.live[b]
+func (a *Deal) compare(i, j int, owned, places []int, scores []uint64) int {
+	x, y := &a.live[i], &a.live[j]
 	if x.Strained != y.Strained {
 		return cmp.Compare(truth(x.Strained), truth(y.Strained))
 	}
-	if s, t := d.spare(a, owned), d.spare(b, owned); s != t {
+	if s, t := a.spare(i, owned), a.spare(j, owned); s != t {
 		return cmp.Compare(t, s)
 	}
-	if owned[a] != owned[b] {
-		return cmp.Compare(owned[a], owned[b])
+	if owned[i] != owned[j] {
+		return cmp.Compare(owned[i], owned[j])
 	}
-	if p, q := places[d.place[a]], places[d.place[b]]; p != q {
+	if p, q := places[a.place[i]], places[a.place[j]]; p != q {
 		return cmp.Compare(p, q)
 	}
-	if scores[a] != scores[b] {
-		return cmp.Compare(scores[b], scores[a])
+	if scores[i] != scores[j] {
+		return cmp.Compare(scores[j], scores[i])
 	}
 	return cmp.Compare(x.Name, y.Name)
 }
 
 // capacityShare returns the capacity that an entry would have for one more host.
-func (d *Deal) spare(i int, owned []int) float64 {
-	return d.live[i].Capacity / float64(owned[i]+1)
+func (a *Deal) spare(i int, owned []int) float64 {
+	return a.live[i].Capacity / float64(owned[i]+1)
 }
 
-func (d *Deal) entries(list []int) (entries []Entry) {
+func (a *Deal) entries(list []int) (entries []Entry) {
 	for _, i := range list {
-		entries = append(entries, d.live[i].Entry)
+		entries = append(entries, a.live[i].Entry)
 	}
 	return entries
 }
--- a/pkg/roster/keepers_test.go
+++ b/pkg/roster/keepers_test.go
@@ -20,35 +20,35 @@
 	epoch   uint64
 }
 
-func (p *past) at() Revision { return NewRevision(p.epoch, uint64(len(p.changes))) }
+func (h *past) at() Revision { return NewRevision(h.epoch, uint64(len(h.changes))) }
 
-func (p *past) add(c Change[string]) {
-	c.Revision = p.at() + 1
-	p.changes = append(p.changes, c)
+func (h *past) add(c Change[string]) {
+	c.Revision = h.at() + 1
+	h.changes = append(h.changes, c)
 	if c.Deleted {
-		delete(p.now, c.Name)
-		p.ended[c.Name] = c.Revision
+		delete(h.now, c.Name)
+		h.ended[c.Name] = c.Revision
 		return
 	}
-	p.now[c.Name] = c.Item
+	h.now[c.Name] = c.Item
 }
 
 // step adds a target, or lets one write a heartbeat, announce its stop or be removed.
-func (p *past) step(rnd *rand.Rand) {
-	names := slices.Sorted(maps.Keys(p.now))
+func (h *past) step(rnd *rand.Rand) {
+	names := slices.Sorted(maps.Keys(h.now))
 	if len(names) < 3 || rnd.IntN(6) == 0 {
-		p.names++
-		p.add(set(fmt.Sprint("t", p.names), 0, "r0"))
+		h.names++
+		h.add(set(fmt.Sprint("t", h.names), 0, "r0"))
 		return
 	}
-	it := p.now[names[rnd.IntN(len(names))]]
+	it := h.now[names[rnd.IntN(len(names))]]
 	switch n := rnd.IntN(8); {
 	case n == 0:
-		p.add(del(it.Name, 0))
+		h.add(del(it.Name, 0))
 	case n == 1:
-		p.add(set(it.Name, 0, "d"+it.Value[1:]))
+		h.add(set(it.Name, 0, "d"+it.Value[1:]))
 	default:
-		p.add(set(it.Name, 0, it.Value[:1]+fmt.Sprint(p.at())))
+		h.add(set(it.Name, 0, it.Value[:1]+fmt.Sprint(h.at())))
 	}
 }
 
@@ -66,32 +66,32 @@
 }
 
 // restart replaces a roster with an empty one. Responses to the earlier one are lost.
-func (f *fleet) restart(i int) { f.keepers[i] = keeper() }
+func (c *fleet) restart(i int) { c.keepers[i] = keeper() }
 
-func (f *fleet) list(i int) {
-	r, at, items := f.keepers[i], f.at(), slices.Collect(maps.Values(f.now))
-	f.coming = append(f.coming, func() { r.Replace(items, at) })
+func (c *fleet) list(i int) {
+	r, at, items := c.keepers[i], c.at(), slices.Collect(maps.Values(c.now))
+	c.coming = append(c.coming, func() { r.Replace(items, at) })
 }
 
-func (f *fleet) watch(i int) {
-	r := f.keepers[i]
-	if r.At() == 0 || r.At().Epoch() != f.epoch {
-		f.list(i)
+func (c *fleet) watch(i int) {
+	r := c.keepers[i]
+	if r.At() == 0 || r.At().Epoch() != c.epoch {
+		c.list(i)
 		return
 	}
-	at, changes := f.at(), slices.Clone(f.changes[r.At().Position():])
-	f.coming = append(f.coming, func() { r.Told(changes, at) })
+	at, changes := c.at(), slices.Clone(c.changes[r.At().Position():])
+	c.coming = append(c.coming, func() { r.Told(changes, at) })
 }
 
-func (f *fleet) pull(i, j int) {
-	r, from := f.keepers[i], f.keepers[j]
+func (c *fleet) pull(i, j int) {
+	r, from := c.keepers[i], c.keepers[j]
 	if from.Moved() <= r.Moved() {
 		return
 	}
 	at, lastChange := from.At(), from.Moved()
 	changes, ok := from.Since(r.Moved())
 	items := slices.Collect(maps.Values(from.Items()))
-	f.coming = append(f.coming, func() {
+	c.coming = append(c.coming, func() {
 		if ok {
 			r.Told(changes, at)
 		} else {
@@ -101,22 +101,22 @@
 	})
 }
 
-func (f *fleet) deliver(rnd *rand.Rand) {
-	if len(f.coming) == 0 {
+func (c *fleet) deliver(rnd *rand.Rand) {
+	if len(c.coming) == 0 {
 		return
 	}
-	n := rnd.IntN(len(f.coming))
-	f.coming[n]()
-	f.coming = slices.Delete(f.coming, n, n+1)
+	n := rnd.IntN(len(c.coming))
+	c.coming[n]()
+	c.coming = slices.Delete(c.coming, n, n+1)
 }
 
 // removedItem describes a target that a roster holds although it was removed within the
 // history that the roster knows.
-func (f *fleet) stale() string {
-	for i, r := range f.keepers {
+func (c *fleet) stale() string {
+	for i, r := range c.keepers {
 		for name := range r.Items() {
-			if end, ok := f.ended[name]; ok && end <= r.At() {
-				return fmt.Sprintf("roster %d knows up to %d and has %s, removed at %d", i, r.At(), name, end)
+			if end, ok := c.ended[name]; ok && end <= r.At() {
+				return fmt.Sprintf("roster %d has the history up to %d and holds %s, removed at %d", i, r.At(), name, end)
 			}
 		}
 	}
@@ -138,56 +138,56 @@
 	const seeds, steps = 400, 300
 	for seed := range uint64(seeds) {
 		rnd := rand.New(rand.NewPCG(seed, 9))
-		f := &fleet{past: &past{now: make(map[string]Item[string]), ended: make(map[string]Revision)}}
+		c := &fleet{past: &past{now: make(map[string]Item[string]), ended: make(map[string]Revision)}}
 		for range 4 {
-			f.keepers = append(f.keepers, keeper())
+			c.keepers = append(c.keepers, keeper())
 		}
 		for step := range steps {
-			i, j := rnd.IntN(len(f.keepers)), rnd.IntN(len(f.keepers))
+			i, j := rnd.IntN(len(c.keepers)), rnd.IntN(len(c.keepers))
 			switch n := rnd.IntN(20); {
 			case n < 7:
-				f.step(rnd)
+				c.step(rnd)
 			case n < 9:
-				f.watch(i)
+				c.watch(i)
 			case n < 10:
-				f.list(i)
+				c.list(i)
 			case n < 13:
-				f.pull(i, j)
+				c.pull(i, j)
 			case n < 14 && rnd.IntN(4) == 0:
-				f.restart(i)
+				c.restart(i)
 			default:
-				f.deliver(rnd)
+				c.deliver(rnd)
 			}
-			qt.Assert(t, f.stale(), qt.Equals, "", qt.Commentf("seed %d, step %d", seed, step))
+			qt.Assert(t, c.stale(), qt.Equals, "", qt.Commentf("seed %d, step %d", seed, step))
 		}
-		f.settle(rnd)
-		for i, r := range f.keepers {
-			qt.Assert(t, values(r), qt.DeepEquals, f.values(), qt.Commentf("seed %d, roster %d", seed, i))
+		c.settle(rnd)
+		for i, r := range c.keepers {
+			qt.Assert(t, values(r), qt.DeepEquals, c.values(), qt.Commentf("seed %d, roster %d", seed, i))
 		}
 	}
 }
 
 // settle delivers all responses in transit, then lets one roster read the store and the
 // others pull from each other.
-func (f *fleet) settle(rnd *rand.Rand) {
-	for len(f.coming) > 0 {
-		f.deliver(rnd)
+func (c *fleet) settle(rnd *rand.Rand) {
+	for len(c.coming) > 0 {
+		c.deliver(rnd)
 	}
-	f.watch(0)
-	f.deliver(rnd)
-	for range f.keepers {
-		for i := range f.keepers {
-			for j := range f.keepers {
-				f.pull(i, j)
-				f.deliver(rnd)
+	c.watch(0)
+	c.deliver(rnd)
+	for range c.keepers {
+		for i := range c.keepers {
+			for j := range c.keepers {
+				c.pull(i, j)
+				c.deliver(rnd)
 			}
 		}
 	}
 }
 
-func (p *past) values() map[string]byte {
+func (h *past) values() map[string]byte {
 	out := make(map[string]byte)
-	for name, it := range p.now {
+	for name, it := range h.now {
 		out[name] = it.Value[0]
 	}
 	return out
--- a/pkg/roster/restore_test.go
+++ b/pkg/roster/restore_test.go
@@ -42,26 +42,26 @@
 
 // restore restores the store from a copy that lacks the last changes. Everything that
 // is read from it after that belongs to a new epoch.
-func (p *past) restore(back int) {
-	kept := len(p.changes) - min(back, len(p.changes))
-	p.epoch++
-	p.changes = slices.Clone(p.changes[:kept])
-	p.now, p.ended = make(map[string]Item[string]), make(map[string]Revision)
-	for i := range p.changes {
-		c := &p.changes[i]
-		c.Revision = NewRevision(p.epoch, c.Revision.Position())
+func (h *past) restore(back int) {
+	kept := len(h.changes) - min(back, len(h.changes))
+	h.epoch++
+	h.changes = slices.Clone(h.changes[:kept])
+	h.now, h.ended = make(map[string]Item[string]), make(map[string]Revision)
+	for i := range h.changes {
+		c := &h.changes[i]
+		c.Revision = NewRevision(h.epoch, c.Revision.Position())
 		if c.Deleted {
-			delete(p.now, c.Name)
-			p.ended[c.Name] = c.Revision
+			delete(h.now, c.Name)
+			h.ended[c.Name] = c.Revision
 			continue
 		}
-		p.now[c.Name] = c.Item
+		h.now[c.Name] = c.Item
 	}
 }
 
 // epochRegression describes a roster whose epoch has decreased.
-func (f *fleet) behind(epochs []uint64) string {
-	for i, r := range f.keepers {
+func (c *fleet) behind(epochs []uint64) string {
+	for i, r := range c.keepers {
 		if e := r.At().Epoch(); e < epochs[i] && r.At() > 0 {
 			return fmt.Sprintf("roster %d went from epoch %d to %d", i, epochs[i], e)
 		}
@@ -77,34 +77,34 @@
 	const seeds, steps = 400, 300
 	for seed := range uint64(seeds) {
 		rnd := rand.New(rand.NewPCG(seed, 13))
-		f := &fleet{past: &past{now: make(map[string]Item[string]), ended: make(map[string]Revision), epoch: 1}}
+		c := &fleet{past: &past{now: make(map[string]Item[string]), ended: make(map[string]Revision), epoch: 1}}
 		for range 4 {
-			f.keepers = append(f.keepers, keeper())
+			c.keepers = append(c.keepers, keeper())
 		}
-		epochs := make([]uint64, len(f.keepers))
+		epochs := make([]uint64, len(c.keepers))
 		for step := range steps {
-			i, j := rnd.IntN(len(f.keepers)), rnd.IntN(len(f.keepers))
+			i, j := rnd.IntN(len(c.keepers)), rnd.IntN(len(c.keepers))
 			switch n := rnd.IntN(20); {
 			case n < 7:
-				f.step(rnd)
+				c.step(rnd)
 			case n < 9:
-				f.watch(i)
+				c.watch(i)
 			case n < 10:
-				f.list(i)
+				c.list(i)
 			case n < 13:
-				f.pull(i, j)
+				c.pull(i, j)
 			case n < 14 && rnd.IntN(4) == 0:
-				f.restart(i)
+				c.restart(i)
 			case n < 15 && rnd.IntN(8) == 0:
-				f.restore(rnd.IntN(30))
+				c.restore(rnd.IntN(30))
 			default:
-				f.deliver(rnd)
+				c.deliver(rnd)
 			}
-			qt.Assert(t, f.behind(epochs), qt.Equals, "", qt.Commentf("seed %d, step %d", seed, step))
+			qt.Assert(t, c.behind(epochs), qt.Equals, "", qt.Commentf("seed %d, step %d", seed, step))
 		}
-		f.settle(rnd)
-		for i, r := range f.keepers {
-			qt.Assert(t, values(r), qt.DeepEquals, f.values(), qt.Commentf("seed %d, roster %d, epoch %d", seed, i, f.epoch))
+		c.settle(rnd)
+		for i, r := range c.keepers {
+			qt.Assert(t, values(r), qt.DeepEquals, c.values(), qt.Commentf("seed %d, roster %d, epoch %d", seed, i, c.epoch))
 		}
 	}
 }
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -41,8 +41,8 @@
 // configuration that keep the split.
 func TestSplit(t *testing.T) {
 	c := qt.New(t)
-	parts := []Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
-	cfg := Config{Version: 1, Routes: []Route{{Name: "r", Host: "h", Prefix: "/", Parts: parts}}}
+	services := []Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
+	cfg := Config{Version: 1, Routes: []Route{{Name: "r", Host: "h", Prefix: "/", Parts: services}}}
 	table := New(cfg, nil)
 	count := map[string]int{}
 	for i := 1; i <= 500; i++ {
