--- a/pkg/member/faults_test.go
+++ b/pkg/member/faults_test.go
@@ -23,6 +23,7 @@
 	grown = size{"grown", fleet.Config{Entries: 30, Places: 15, Regions: 4}, 1, 13 * time.Second}
 )
 
+// settledFleet starts a fleet and waits until its entries agree.
 func settled(c *qt.C, s size, seed uint64) *fleet.Fleet {
 	cfg := s.cfg
 	cfg.Seed = seed
@@ -56,8 +57,8 @@
 	c.Assert(ok(), qt.IsTrue, qt.Commentf("%s: not after %v", what, took))
 }
 
-// assertNeverGone runs the fleet for d and fails as soon as any entry sees one of the healthy
-// nodes as gone.
+// assertNeverGone runs the fleet for d and fails as soon as any entry sees one of the
+// healthy nodes as gone.
 func watched(c *qt.C, f *fleet.Fleet, d time.Duration, healthy ...*fleet.Node) {
 	const step = 100 * time.Millisecond
 	for end := f.Now().Add(d); f.Now().Before(end); f.Run(step) {
--- a/pkg/roster/lapse.go
+++ b/pkg/roster/lapse.go
@@ -13,7 +13,7 @@
 	ReturnTime = 2200 * time.Millisecond
 )
 
-// Retained holds objects that vanished around an outage of the store, or in its restore
+// Vanished holds objects that vanished around an outage of the store, or in its restore
 // from a copy. Records that aren't renewed expire, and none can be renewed during an
 // outage. The store's list may therefore lack healthy objects when it returns. Without
 // the retained ones there might be no target left to send requests to.
@@ -23,49 +23,49 @@
 	returned time.Time            // of the store, after the last outage
 }
 
-// NewRetained returns an empty set of retained objects.
+// NewVanished returns an empty set of vanished objects.
 func NewLapses[T any]() *Lapses[T] {
 	return &Lapses[T]{items: make(map[string]Item[T]), until: make(map[string]time.Time)}
 }
 
 // StoreAnswered records that the store answered when its data had reached an age, and
 // reports whether that counts as the end of an outage.
-func (r *Lapses[T]) Heard(now time.Time, age time.Duration) (outage bool) {
+func (v *Lapses[T]) Heard(now time.Time, age time.Duration) (outage bool) {
 	if age < OutageAge {
 		return false
 	}
-	r.returned = now
+	v.returned = now
 	return true
 }
 
 // Removed takes an object that vanished and reports whether it is retained.
-func (r *Lapses[T]) Removed(now time.Time, it Item[T]) (retained bool) {
-	if r.returned.IsZero() || now.Sub(r.returned) >= ReturnTime {
+func (v *Lapses[T]) Removed(now time.Time, it Item[T]) (retained bool) {
+	if v.returned.IsZero() || now.Sub(v.returned) >= ReturnTime {
 		return false
 	}
-	r.keep(it, r.returned.Add(ReturnTime))
+	v.keep(it, v.returned.Add(ReturnTime))
 	return true
 }
 
 // MissingFromCopy retains an object that is missing from the copy that the store was
 // restored from. Its owner writes it again.
-func (r *Lapses[T]) Lost(now time.Time, it Item[T]) { r.keep(it, now.Add(ReturnTime)) }
+func (v *Lapses[T]) Lost(now time.Time, it Item[T]) { v.keep(it, now.Add(ReturnTime)) }
 
-func (r *Lapses[T]) keep(it Item[T], until time.Time) {
-	r.items[it.Name] = it
-	r.until[it.Name] = until
+func (v *Lapses[T]) keep(it Item[T], until time.Time) {
+	v.items[it.Name] = it
+	v.until[it.Name] = until
 }
 
 // Awaiting reports whether any objects are still retained.
-func (r *Lapses[T]) Awaiting(now time.Time) bool { return len(r.Kept(now)) > 0 }
+func (v *Lapses[T]) Awaiting(now time.Time) bool { return len(v.Kept(now)) > 0 }
 
 // Items returns the objects that are still retained.
-func (r *Lapses[T]) Kept(now time.Time) map[string]Item[T] {
-	for name, until := range r.until {
+func (v *Lapses[T]) Kept(now time.Time) map[string]Item[T] {
+	for name, until := range v.until {
 		if !now.Before(until) {
-			delete(r.items, name)
-			delete(r.until, name)
+			delete(v.items, name)
+			delete(v.until, name)
 		}
 	}
-	return r.items
+	return v.items
 }
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -159,10 +159,10 @@
 		{"vanishes later", 4 * time.Second, ReturnTime, ReturnTime, 0},
 	}
 	for _, tt := range tests {
-		l := NewLapses[string]()
-		l.Heard(start, tt.age)
-		l.Removed(start.Add(tt.removed), Item[string]{Name: "a"})
-		qt.Assert(t, l.Kept(start.Add(tt.checked)), qt.HasLen, tt.want, qt.Commentf("%s", tt.name))
+		v := NewLapses[string]()
+		v.Heard(start, tt.age)
+		v.Removed(start.Add(tt.removed), Item[string]{Name: "a"})
+		qt.Assert(t, v.Kept(start.Add(tt.checked)), qt.HasLen, tt.want, qt.Commentf("%s", tt.name))
 	}
 }
 
--- a/pkg/route/split.go
+++ b/pkg/route/split.go
@@ -25,6 +25,7 @@
 	return s
 }
 
+// same reports whether the split has the same services and weights.
 func (s *Split) same(services []Part) bool {
 	return slices.Equal(s.parts, services)
 }
