--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -12,34 +12,34 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// Answer is a target's answer. Whole is set, and Body nil, when all of it is
-// in memory and its end was seen; else Body streams it. Close it in any case.
+// Response is a target's response. If it was read to its end, Buffered contains
+// its body and Body is nil; otherwise Body streams it. Always call Close.
 type Answer struct {
 	Target  string
 	Status  int
-	Header  http.Header // without hop-by-hop and plumpitch's own headers
-	Length  int64       // bytes of the body; negative when not known
+	Header  http.Header // end-to-end headers; also without plumpitch's own unless Config.EchoHeader is set
+	Length  int64       // bytes of the body; negative if unknown
 	Whole   []byte
 	Body    io.ReadCloser
-	Trailer http.Header // announced ones; complete after the end of Body
+	Trailer http.Header // declared names; values are set at the end of Body
 	Load    Load
-	Connect time.Duration // until a connection was had
+	Connect time.Duration // time until a connection was obtained
 
 	d *dispatch
 }
 
-// Close drops what was not read. A connection with bytes left is closed, so
-// that they never reach another caller.
-func (a *Answer) Close() {
-	if a.Body == nil {
+// Close discards the rest of the body. A connection with unread bytes is closed,
+// so that they never reach another caller.
+func (r *Answer) Close() {
+	if r.Body == nil {
 		return
 	}
-	a.d.end(errClosed)
-	a.Body.Close()
+	r.d.end(errClosed)
+	r.Body.Close()
 }
 
-// answer checks a head and reads a short body whole.
-func (d *dispatch) answer(resp *http.Response, f *Forwarder) (a *Answer, err error) {
+// readResponse checks a response head and buffers a short body.
+func (d *dispatch) answer(resp *http.Response, f *Forwarder) (r *Answer, err error) {
 	if !d.echoed(resp.Header) {
 		d.watch.stale.Store(true)
 	}
@@ -53,7 +53,7 @@
 	if d.echo == "" && !bodyless && resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		return nil, errUnframed
 	}
-	a = &Answer{
+	r = &Answer{
 		Target:  d.try.Target,
 		Status:  resp.StatusCode,
 		Header:  make(http.Header, len(resp.Header)),
@@ -63,78 +63,79 @@
 		d:       d,
 	}
 	if d.echo != "" {
-		copyHeader(a.Header, resp.Header, nil)
+		copyHeader(r.Header, resp.Header, nil)
 	} else {
-		copyHeader(a.Header, resp.Header, own)
-		a.Load = f.load(resp.Header)
+		copyHeader(r.Header, resp.Header, own)
+		r.Load = f.load(resp.Header)
 	}
 	if bodyless {
 		d.end(errClosed)
-		return a, nil
+		return r, nil
 	}
-	if a.Length >= 0 && a.Length <= f.cfg.Whole {
-		return a, d.whole(a, resp)
+	if r.Length >= 0 && r.Length <= f.cfg.Whole {
+		return r, d.whole(r, resp)
 	}
-	a.Body = &stream{src: resp.Body, d: d, a: a, resp: resp}
+	r.Body = &stream{src: resp.Body, d: d, a: r, resp: resp}
 	if d.echo != "" {
-		return a, d.gather(a, f.cfg.Whole)
+		return r, d.gather(r, f.cfg.Whole)
 	}
 	if d.timer != nil && !d.timer.Stop() {
 		return nil, errTimeout
 	}
-	return a, nil
+	return r, nil
 }
 
-// gather reads a body of any framing up to most bytes. One that is longer is
-// passed on as it comes. A body that breaks off is then seen before its caller
-// was told anything, so that another target may be asked.
-func (d *dispatch) gather(a *Answer, most int64) error {
+// bufferBody reads a body of any framing up to limit bytes. A longer body is
+// streamed. If a buffered body breaks off, nothing was sent to the caller yet, so
+// the request may be sent to another target.
+func (d *dispatch) gather(r *Answer, limit int64) error {
 	var b bytes.Buffer
-	_, err := io.CopyN(&b, a.Body, most+1)
+	_, err := io.CopyN(&b, r.Body, limit+1)
 	switch {
 	case err == io.EOF:
-		a.Whole, a.Length = b.Bytes(), int64(b.Len())
-		a.Close()
-		a.Body = nil
+		r.Whole, r.Length = b.Bytes(), int64(b.Len())
+		r.Close()
+		r.Body = nil
 		return nil
 	case err != nil:
-		return errors.WithMessage(err, "reading the answer")
+		return errors.WithMessage(err, "reading the response")
 	}
-	a.Body = &rest{io.MultiReader(&b, a.Body), a.Body}
+	r.Body = &rest{io.MultiReader(&b, r.Body), r.Body}
 	return nil
 }
 
-// rest is a body of which the beginning was read.
+// prefixedBody is a body of which the first part was read already.
 type rest struct {
 	io.Reader
 	io.Closer
 }
 
-// echoed reports whether an answer doesn't name another request.
+// matchesRequest reports whether a response has the id of this request or none.
 func (d *dispatch) echoed(h http.Header) bool {
 	name := call.HeaderRequest
 	if d.echo != "" {
 		name = d.echo
 	}
-	named := h[name]
-	return len(named) == 0 || named[0] == d.id
+	ids := h[name]
+	return len(ids) == 0 || ids[0] == d.id
 }
 
-// whole reads a short body to its end, which also frees its connection.
-func (d *dispatch) whole(a *Answer, resp *http.Response) error {
-	a.Whole = make([]byte, a.Length)
-	if _, err := io.ReadFull(resp.Body, a.Whole); err != nil {
-		return errors.WithMessage(err, "reading the answer")
+// readBody reads a short body to its end, which also releases its connection.
+func (d *dispatch) whole(r *Answer, resp *http.Response) error {
+	r.Whole = make([]byte, r.Length)
+	if _, err := io.ReadFull(resp.Body, r.Whole); err != nil {
+		return errors.WithMessage(err, "reading the response")
 	}
 	if _, err := resp.Body.Read(make([]byte, 1)); err != io.EOF {
-		return errors.WithMessage(io.ErrUnexpectedEOF, "reading the end of the answer")
+		return errors.WithMessage(io.ErrUnexpectedEOF, "reading the end of the response")
 	}
 	resp.Body.Close()
 	d.end(errClosed)
 	return nil
 }
 
-// stream is an answer body that fails when its target is silent for too long.
+// streamedBody is a response body whose Read fails when the target sends nothing
+// for too long.
 type stream struct {
 	src   io.ReadCloser
 	d     *dispatch
@@ -161,6 +162,7 @@
 	return n, err
 }
 
+// cause returns the reason why the dispatch was cancelled, or else err.
 func (s *stream) cause(err error) error {
 	if cause := context.Cause(s.d.ctx); cause != nil {
 		return cause
--- a/internal/forward/ask.go
+++ b/internal/forward/ask.go
@@ -11,19 +11,19 @@
 	"github.com/pkg/errors"
 )
 
-// maxAsk bounds the body of an answer to a question.
+// maxProbeBody is the longest body of a probe response that is read, in bytes.
 const maxAsk = 4 << 10
 
-// Ask sends a GET to a target on a connection of those that requests use, so
-// that a question costs no connection of its own.
+// Probe sends a GET to a target on one of the connections that requests use, so
+// that a probe needs no connection of its own.
 func (f *Forwarder) Ask(ctx context.Context, target, path string) (status int, h http.Header, err error) {
-	defer func() { err = errors.WithMessage(err, "asking "+target) }()
+	defer func() { err = errors.WithMessage(err, "probing "+target) }()
 	u := url.URL{Scheme: "http", Host: target, Path: path}
-	var on atomic.Pointer[conn]
+	var used atomic.Pointer[conn]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		if c, ok := info.Conn.(*conn); ok {
 			c.begin()
-			on.Store(c)
+			used.Store(c)
 		}
 	}})
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
@@ -37,10 +37,10 @@
 	}
 	defer w.Body.Close()
 	if f.cfg.Echo != "" && w.Header.Get(f.cfg.Echo) != "" {
-		// It answers a request that was sent on this connection before. The
-		// answer to the question is still to come and would be taken for that
+		// This is the response to an earlier request on the connection. The
+		// response to the probe would follow, and would be taken for the response
 		// to the next request.
-		if c := on.Load(); c != nil {
+		if c := used.Load(); c != nil {
 			c.Close()
 		}
 		return 0, nil, errStale
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -10,35 +10,36 @@
 	"github.com/pkg/errors"
 )
 
-// body is the body of an outgoing request that is read from its caller.
+// body is the body of an outgoing request. It is streamed from the caller.
 type body struct {
 	src io.Reader
-	in  http.Header // trailer of the caller, complete at the end of src
+	in  http.Header // caller's trailer; complete at the end of src
 	out http.Header // trailer of the outgoing request
 
-	left int64 // bytes still to come; counts below 0 when the length is unknown
-	once bool  // there is a src, which can be read only once
+	left int64 // bytes not yet read; negative if the length is unknown
+	once bool  // src is set; it can be read only once
 	read atomic.Bool
 
 	mu     sync.Mutex
 	failed error
 }
 
-// open returns the body for the transport. It is never nil or http.NoBody, not
-// even when it is empty: that keeps the transport from sending the request
-// again (see the package comment).
+// openBody returns the body for the transport. Even an empty body is neither nil
+// nor http.NoBody, which prevents the transport from resending the request (see
+// the package comment).
 func (d *dispatch) open(trailer http.Header) io.ReadCloser {
-	b, t := &d.body, d.try
-	b.in, b.out = t.Request.Trailer, trailer
-	if t.Stream == nil {
+	b, p := &d.body, d.try
+	b.in, b.out = p.Request.Trailer, trailer
+	if p.Stream == nil {
 		b.trail()
-		return io.NopCloser(bytes.NewReader(t.Body))
+		return io.NopCloser(bytes.NewReader(p.Body))
 	}
-	b.src, b.left, b.once = t.Stream, t.Length, true
+	b.src, b.left, b.once = p.Stream, p.Length, true
 	return b
 }
 
-// Read notes a failure of the source, so that it isn't blamed on the target.
+// Read records a read error of the caller's body, so that it isn't attributed to
+// the target.
 func (b *body) Read(p []byte) (n int, err error) {
 	b.read.Store(true)
 	n, err = b.src.Read(p)
@@ -58,22 +59,24 @@
 	return n, err
 }
 
+// copyTrailer copies the values of the declared trailers.
 func (b *body) trail() {
 	for k := range b.out {
 		b.out[k] = b.in[k]
 	}
 }
 
-// Close leaves the source to its owner.
+// Close does nothing: the server closes the caller's body.
 func (b *body) Close() error {
 	return nil
 }
 
-// used reports whether the body can't be sent again.
+// consumed reports whether a streamed body was read, which rules out sending it again.
 func (b *body) used() bool {
 	return b.once && b.read.Load()
 }
 
+// err returns the read error of the caller's body.
 func (b *body) err() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -11,30 +11,30 @@
 	"github.com/pkg/errors"
 )
 
-// conn counts the bytes of one connection, so that a failed dispatch can tell
-// whether any of its request left the process, and an answer whether it was
-// there before its request.
+// conn counts the bytes of one connection. The counts show whether any part of
+// a failed request left the process, and whether a response was received before
+// its request was written.
 //
-// Reads go through the raw connection, so that taking bytes from the kernel and
-// counting them is one step under mu. Between the two, bytes of an earlier
-// answer would be neither left in the kernel nor counted, and pass for the
-// answer to the next request.
+// Reads use the raw connection, so that reading bytes from the kernel and
+// counting them is one step under mu. Between two separate steps, bytes of an
+// earlier response would be neither in the kernel nor counted, and would be taken
+// for the response to the next request.
 type conn struct {
 	net.Conn
 	raw    syscall.RawConn
-	sent   atomic.Int64 // bytes that the kernel took or is being offered
+	sent   atomic.Int64 // bytes that the kernel accepted, and those of a write in progress
 	broken atomic.Bool  // the target ended the connection
-	got    atomic.Int64 // bytes read since the first write of the current request
-	idle   atomic.Bool  // the current request has written nothing yet
+	got    atomic.Int64 // bytes read since the start or the first write of the current request
+	idle   atomic.Bool  // nothing of the current request was written yet
 
 	mu     sync.Mutex // held for each read and for the peek before a write
 	peek   func(fd uintptr)
-	silent bool // result of peek
+	silent bool // result of peekFunc: open, with nothing to read
 	pull   func(fd uintptr) bool
 	pulled pulled
 }
 
-// pulled is the argument and the result of one read.
+// readOp is the argument and the result of one read.
 type pulled struct {
 	p   []byte
 	n   int
@@ -45,7 +45,7 @@
 	defer func() { err = errors.WithMessage(err, "connection to a target") }()
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return nil, errors.Errorf("found %T, expected a socket", c)
+		return nil, errors.Errorf("connection type %T has no file descriptor", c)
 	}
 	k = &conn{Conn: c}
 	k.peek = k.peekFD
@@ -54,13 +54,14 @@
 	return k, err
 }
 
+// peekFD sets empty if the connection is open and has no bytes to read.
 func (c *conn) peekFD(fd uintptr) {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	c.silent = err == syscall.EAGAIN
 }
 
-// pullFD reads without waiting, and reports false when there is nothing yet.
+// readFD reads without blocking, and returns false if there is nothing to read yet.
 func (c *conn) pullFD(fd uintptr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +78,7 @@
 	return true
 }
 
-// Read has one caller at a time, the transport's reader.
+// Read must not be called concurrently; only the transport's read loop calls it.
 func (c *conn) Read(p []byte) (n int, err error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -97,8 +98,8 @@
 	return n, err
 }
 
-// Write counts the bytes before the call as well, so that a write in progress
-// is never taken for none.
+// Write counts the bytes before the system call and corrects the count after it,
+// so that a write in progress is never taken for no write.
 func (c *conn) Write(p []byte) (n int, err error) {
 	if c.idle.Load() && !c.quiet() {
 		return 0, errStale
@@ -110,38 +111,42 @@
 	return n, err
 }
 
-// ReadFrom sends a request body. Without it the transport's io.Copy would take
-// a new buffer for each.
+// ReadFrom sends a request body. Without it, the transport's io.Copy would
+// allocate a buffer for each body.
 func (c *conn) ReadFrom(r io.Reader) (n int64, err error) {
 	buf := chunks.Get().(*[chunk]byte)
 	defer chunks.Put(buf)
 	return io.CopyBuffer(writer{c}, r, buf[:])
 }
 
-// writer hides ReadFrom, which io.CopyBuffer would call again.
+// writerOnly hides ReadFrom, which io.CopyBuffer would otherwise call recursively.
 type writer struct {
 	io.Writer
 }
 
+// recordError marks the connection as broken unless this process closed it.
 func (c *conn) note(err error) {
 	if err != nil && !errors.Is(err, net.ErrClosed) {
 		c.broken.Store(true)
 	}
 }
 
-// begin starts a request on the connection and returns the bytes sent before.
+// beginRequest starts a request on the connection and returns the number of bytes
+// written before.
 func (c *conn) begin() int64 {
 	c.got.Store(0)
 	c.idle.Store(true)
 	return c.sent.Load()
 }
 
-// quiet begins the writing of a request, and reports whether a reused connection is still open with nothing to read,
-// just before a request is written to it. The transport learns of an end or of
-// left bytes only when its reader gets to run. Until then a request would be
-// lost in a connection that the target has closed, and its caller told unknown
-// of what never ran; or it would be answered with an earlier request's bytes.
-// Nothing is written here, so what fails here surely did not run.
+// startWrite runs just before the first write of a request. It reports whether
+// the connection can be used: a reused one must be open with nothing to read.
+// The transport detects a close or unread bytes only when its read loop runs.
+// Until then, a request written to a closed connection would be lost, and its
+// caller would receive the outcome unknown although it never ran. A request
+// written to a connection with unread bytes would receive the response to an
+// earlier request. startWrite writes nothing, so a request that fails here did
+// not run.
 func (c *conn) quiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,8 +158,8 @@
 	return true
 }
 
-// stale reports whether an answer that begins now was read before the request
-// was written: it then belongs to an earlier request.
+// stale reports whether a response that begins now was read before the request
+// was written, and so belongs to an earlier request.
 func (c *conn) stale() bool {
 	return c.idle.Load() || c.got.Load() == 0
 }
--- a/internal/forward/conn_test.go
+++ b/internal/forward/conn_test.go
@@ -11,7 +11,8 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// The transport stops an answer whose first byte was there before the request.
+// The dispatch is cancelled if the first byte of the response was read before the
+// request was written.
 func TestAnswerBeforeTheRequestIsStale(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -53,9 +54,9 @@
 	}
 }
 
-// A reused connection has bytes left, or its target has ended it, and no reader
-// has run since. A request that is written there is answered by those bytes, or
-// by nobody; so it is not written.
+// A reused connection has unread bytes, or its target has closed it, and the
+// transport's read loop has not run since. A request written there would receive
+// those bytes as its response, or none at all, so it must not be written.
 func TestWriteNeedsQuietConnection(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -98,8 +99,8 @@
 	}
 }
 
-// Taking bytes from the kernel and counting them is one step: while the peek
-// before a write holds the lock, a reader that is woken must not take any.
+// Reading bytes from the kernel and counting them is one step. A reader that is
+// woken while the peek before a write holds the lock must not read any bytes.
 func TestReadWaitsForThePeek(t *testing.T) {
 	c := qt.New(t)
 	target := newRaw(t, func(p *peer) {
@@ -120,7 +121,7 @@
 	}()
 	_, err = tcp.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"))
 	c.Assert(err, qt.IsNil)
-	for held := 0; held < 20; held++ {
+	for i := 0; i < 20; i++ {
 		eventually(c, func() bool {
 			_ = k.raw.Control(k.peek)
 			return !k.silent
@@ -133,9 +134,9 @@
 	c.Assert(k.got.Load(), qt.Equals, int64(len(ok)))
 }
 
-// A target closes its idle connection. Nobody has read from it since, so the
-// next request would be written to it, and its caller told unknown. It must be
-// answered, or be told not-run.
+// A target closes an idle connection, and the transport has not read from it
+// since. If the next request were written to it, its caller would receive the
+// outcome unknown. The request must get a response or fail with DidNotRun.
 func TestClosedIdleConnection(t *testing.T) {
 	c := qt.New(t)
 	closed := make(chan struct{})
@@ -149,9 +150,9 @@
 	f := New(Config{})
 	defer f.Close()
 	for range 500 {
-		try := post("veil")
-		try.Target = target.addr()
-		_, fail := f.Dispatch(context.Background(), try)
+		params := post("veil")
+		params.Target = target.addr()
+		_, fail := f.Dispatch(context.Background(), params)
 		if fail == nil {
 			<-closed
 			continue
--- a/internal/forward/copy.go
+++ b/internal/forward/copy.go
@@ -14,30 +14,32 @@
 
 var chunks = sync.Pool{New: func() any { return new([chunk]byte) }}
 
-// Copy passes an answer on to its caller and closes it. ended is called once,
-// with nil when all of it was passed on. Then, when the answer was cut or the
-// caller is gone, Copy panics with http.ErrAbortHandler: a normal return would
-// close the chunked answer properly, and the caller would take a part for the
-// whole. The server closes the connection without the end mark.
-func Copy(w http.ResponseWriter, a *Answer, ended func(*Failure)) {
-	defer a.Close()
+// Copy forwards a response to its caller and closes it. done is called once, with
+// nil if the complete response was forwarded. If the response was cut or the
+// caller has left, Copy then panics with http.ErrAbortHandler, so that the server
+// closes the connection without the final chunk. After a normal return, the
+// server would end a chunked response properly, and the caller would take a part
+// of it for the complete response.
+func Copy(w http.ResponseWriter, r *Answer, done func(*Failure)) {
+	defer r.Close()
 	h := w.Header()
-	for k, v := range a.Header {
+	for k, v := range r.Header {
 		h[k] = v
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // keeps the server from guessing one
+		h["Content-Type"] = nil // stops the server from detecting one
 	}
-	announce(h, a.Trailer)
-	w.WriteHeader(a.Status)
-	fail := a.pass(w)
-	ended(fail)
+	announce(h, r.Trailer)
+	w.WriteHeader(r.Status)
+	fail := r.pass(w)
+	done(fail)
 	if fail != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// announce names the trailers; they need an answer in chunks.
+// declareTrailers lists the trailers in the Trailer header. Trailers need a chunked
+// response.
 func announce(h, trailer http.Header) {
 	for k := range trailer {
 		if !own(k) && !hopByHop[k] {
@@ -46,9 +48,9 @@
 	}
 }
 
-// trail sets the trailers, also those that the target had not announced.
-func (a *Answer) trail(h http.Header) {
-	for k, v := range a.Trailer {
+// setTrailers sets the trailers, including those that the target didn't declare.
+func (r *Answer) trail(h http.Header) {
+	for k, v := range r.Trailer {
 		switch {
 		case own(k) || hopByHop[k]:
 		case lists(h["Trailer"], k):
@@ -59,47 +61,48 @@
 	}
 }
 
-func (a *Answer) pass(w http.ResponseWriter) *Failure {
-	if a.Body == nil {
-		return a.passWhole(w)
+// writeBody writes the body and the trailers to the caller.
+func (r *Answer) pass(w http.ResponseWriter) *Failure {
+	if r.Body == nil {
+		return r.passWhole(w)
 	}
-	if f := a.stream(w); f != nil {
+	if f := r.stream(w); f != nil {
 		return f
 	}
-	a.trail(w.Header())
+	r.trail(w.Header())
 	return nil
 }
 
-func (a *Answer) passWhole(w io.Writer) *Failure {
-	if len(a.Whole) == 0 {
+func (r *Answer) passWhole(w io.Writer) *Failure {
+	if len(r.Whole) == 0 {
 		return nil
 	}
-	if _, err := w.Write(a.Whole); err != nil {
-		return a.failed(call.StageCancelled, errors.WithMessage(err, "writing to the caller"))
+	if _, err := w.Write(r.Whole); err != nil {
+		return r.failed(call.StageCancelled, errors.WithMessage(err, "writing to the caller"))
 	}
 	return nil
 }
 
-// stream copies the body. Answers of unknown length are flushed after each
-// read: their parts may be events that somebody waits for.
-func (a *Answer) stream(w http.ResponseWriter) *Failure {
+// streamBody copies the body. A response of unknown length is flushed after each
+// read, because its parts may be events that the caller is waiting for.
+func (r *Answer) stream(w http.ResponseWriter) *Failure {
 	buf := chunks.Get().(*[chunk]byte)
 	defer chunks.Put(buf)
 	ctl := http.NewResponseController(w)
-	if a.d.body.once {
-		// Else the server drops what is left of the request at the first write.
-		// One that can't do it (HTTP/2) has no such limit.
+	if r.d.body.once {
+		// Otherwise the server discards the rest of the request body at the first
+		// write. Servers that don't support the call (HTTP/2) don't do that.
 		_ = ctl.EnableFullDuplex()
 	}
-	if a.Length < 0 {
+	if r.Length < 0 {
 		if err := ctl.Flush(); err != nil {
-			return a.failed(call.StageCancelled, err)
+			return r.failed(call.StageCancelled, err)
 		}
 	}
 	for {
-		n, err := a.Body.Read(buf[:])
+		n, err := r.Body.Read(buf[:])
 		if n > 0 {
-			if f := a.send(w, ctl, buf[:n]); f != nil {
+			if f := r.send(w, ctl, buf[:n]); f != nil {
 				return f
 			}
 		}
@@ -107,25 +110,26 @@
 			return nil
 		}
 		if err != nil {
-			return a.failed(a.d.stage(a.Status, err), errors.WithMessage(err, "reading the answer"))
+			return r.failed(r.d.stage(r.Status, err), errors.WithMessage(err, "reading the response"))
 		}
 	}
 }
 
-func (a *Answer) send(w io.Writer, ctl *http.ResponseController, p []byte) *Failure {
+// writeChunk writes a part of the body to the caller.
+func (r *Answer) send(w io.Writer, ctl *http.ResponseController, p []byte) *Failure {
 	_, err := w.Write(p)
-	if err == nil && a.Length < 0 {
+	if err == nil && r.Length < 0 {
 		err = ctl.Flush()
 	}
 	if err != nil {
-		return a.failed(call.StageCancelled, errors.WithMessage(err, "writing to the caller"))
+		return r.failed(call.StageCancelled, errors.WithMessage(err, "writing to the caller"))
 	}
 	return nil
 }
 
-func (a *Answer) failed(s call.Stage, err error) *Failure {
-	f := &Failure{Target: a.Target, Stage: s, Status: a.Status, Cause: err}
-	if success(a.Status) {
+func (r *Answer) failed(s call.Stage, err error) *Failure {
+	f := &Failure{Target: r.Target, Stage: s, Status: r.Status, Cause: err}
+	if success(r.Status) {
 		f.Ran = call.DidRun
 	}
 	return f
--- a/internal/forward/copy_test.go
+++ b/internal/forward/copy_test.go
@@ -14,9 +14,9 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// The target's answer ends early, in each way in which it can. The caller must
-// see an error: either plumpitch's own, or a connection that breaks before the
-// end of the answer. Never does it read a part and an end.
+// The target's response ends early in each possible way. The caller must get an
+// error: either a response of plumpitch, or a connection that breaks before the
+// end of the response. It must never read a partial body that ends properly.
 func TestCutAnswerIsNeverWhole(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	chunks := head + "Transfer-Encoding: chunked\r\n\r\n"
@@ -25,7 +25,7 @@
 		name  string
 		say   string
 		end   func(p *peer)
-		whole string // of the caller's answer; empty if it is cut
+		whole string // complete body at the caller; empty if it is cut
 	}{
 		{"short, whole", answer("veil"), nil, "veil"},
 		{"long, whole", answer(long), nil, long},
@@ -74,8 +74,8 @@
 	}
 }
 
-// A caller leaves, before the head or within the body. Its target learns of it,
-// and could stop the work.
+// A caller disconnects before the response head or within the body. The
+// cancellation must reach the target, so that it can stop the work.
 func TestCancellationReachesTheTarget(t *testing.T) {
 	for _, within := range []bool{false, true} {
 		c := qt.New(t)
@@ -105,14 +105,14 @@
 		select {
 		case <-stopped:
 		case <-time.After(bound):
-			c.Fatal("the target goes on")
+			c.Fatal("cancellation did not reach the target")
 		}
 		target.Close()
 	}
 }
 
-// Each part that the caller sends comes back before it sends the next, and the
-// trailers of both follow at the end.
+// Each part of the request body is echoed before the caller sends the next, and
+// both trailers follow at the end.
 func TestStreamsBothWays(t *testing.T) {
 	c := qt.New(t)
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/forward/cross_test.go
+++ b/internal/forward/cross_test.go
@@ -12,49 +12,50 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
+// okResponse returns a complete response with the given body.
 func answer(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// A first request on the only connection ends badly, or its target says more
-// than one answer. The next caller's request follows at once. It must get its
-// own answer or an error; bytes that were left of the first would reach it as
-// its answer.
+// The first request on the only connection fails, or its target sends more than
+// one response. The next caller's request follows at once, and must get its own
+// response or an error. Bytes left over from the first request could reach it as
+// its response.
 func TestNoAnswerReachesAnotherCaller(t *testing.T) {
 	const rounds = 50
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"
 	tests := []struct {
 		name  string
-		first func(p *peer, gone func())
-		late  bool // time runs out once the target has come to gone
-		names bool // the target repeats the name of the request and doesn't come to gone
+		first func(p *peer, pause func())
+		late  bool // the request times out when the target calls pause
+		names bool // the target echoes the request id and doesn't call pause
 	}{
-		{"answer after the timeout", func(p *peer, gone func()) {
-			gone()
+		{"answer after the timeout", func(p *peer, pause func()) {
+			pause()
 			p.say(answer("/1"))
 		}, true, false},
-		{"half a body, the rest after the timeout", func(p *peer, gone func()) {
+		{"half a body, the rest after the timeout", func(p *peer, pause func()) {
 			p.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n/1")
-			gone()
+			pause()
 			p.say("/1\n" + answer("/1"))
 		}, true, false},
-		{"answer dropped in its body", func(p *peer, gone func()) {
+		{"answer dropped in its body", func(p *peer, pause func()) {
 			p.say(chunked)
-			gone()
+			pause()
 			p.say("2\r\n/1\r\n0\r\n\r\n")
 		}, false, false},
-		{"two answers at once", func(p *peer, gone func()) {
+		{"two answers at once", func(p *peer, pause func()) {
 			p.say(answer("/1") + answer("/1"))
-			gone()
+			pause()
 		}, false, false},
-		{"two answers, the first empty", func(p *peer, gone func()) {
+		{"two answers, the first empty", func(p *peer, pause func()) {
 			p.say(answer("") + answer("/1"))
-			gone()
+			pause()
 		}, false, false},
-		{"second answer before the next request", func(p *peer, gone func()) {
+		{"second answer before the next request", func(p *peer, pause func()) {
 			p.say(answer("/1"))
 			p.say(answer("/1"))
-			gone()
+			pause()
 		}, false, false},
 		{"second answer at any time", func(p *peer, _ func()) {
 			p.answer("/1")
@@ -65,7 +66,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
 			reached, released := make(chan struct{}), make(chan struct{})
-			gone := func() {
+			pause := func() {
 				reached <- struct{}{}
 				<-released
 			}
@@ -75,7 +76,7 @@
 						p.name = r.Header.Get(call.HeaderRequest)
 					}
 					if r.URL.Path == "/1" {
-						tt.first(p, gone)
+						tt.first(p, pause)
 					} else {
 						p.answer(r.URL.Path)
 					}
@@ -90,9 +91,9 @@
 			first := func() {
 				ctx, cancel := context.WithCancelCause(context.Background())
 				defer cancel(nil)
-				there := make(chan struct{})
+				done := make(chan struct{})
 				go func() {
-					defer close(there)
+					defer close(done)
 					if tt.names {
 						return
 					}
@@ -101,11 +102,11 @@
 						cancel(context.DeadlineExceeded)
 					}
 				}()
-				a, fail := send(ctx, "/1")
-				if a != nil {
-					a.Close()
+				resp, fail := send(ctx, "/1")
+				if resp != nil {
+					resp.Close()
 				}
-				<-there
+				<-done
 				if tt.late {
 					c.Assert(fail != nil && fail.Stage == call.StageTimeout, qt.IsTrue, qt.Commentf("%v", fail))
 				}
@@ -113,26 +114,27 @@
 					released <- struct{}{}
 				}
 			}
-			answered := 0
+			succeeded := 0
 			for range rounds {
 				first()
-				if a, _ := send(context.Background(), "/2"); a != nil {
-					c.Assert(string(a.Whole), qt.Equals, "/2")
-					answered++
+				if resp, _ := send(context.Background(), "/2"); resp != nil {
+					c.Assert(string(resp.Whole), qt.Equals, "/2")
+					succeeded++
 				}
-				a, fail := send(context.Background(), "/3")
-				for ; a == nil; a, fail = send(context.Background(), "/3") {
+				resp, fail := send(context.Background(), "/3")
+				for ; resp == nil; resp, fail = send(context.Background(), "/3") {
 					c.Assert(fail != nil, qt.IsTrue)
 				}
-				c.Assert(string(a.Whole), qt.Equals, "/3")
+				c.Assert(string(resp.Whole), qt.Equals, "/3")
 			}
-			t.Logf("%d of %d answered", answered, rounds)
+			t.Logf("%d of %d requests succeeded", succeeded, rounds)
 		})
 	}
 }
 
-// Each of many callers asks for something of its own, on few connections, of a
-// target that answers in any order, and every third caller leaves early.
+// Many callers send different requests over a few connections. The target
+// responds after different delays, and every third request has a timeout of 1 ms.
+// Each caller must get its own response.
 func TestEachCallerGetsItsOwn(t *testing.T) {
 	c := qt.New(t)
 	target := newRaw(t, func(p *peer) {
@@ -154,10 +156,10 @@
 					timeout = time.Millisecond
 				}
 				r := httptest.NewRequest("GET", path, nil)
-				a, fail := f.Dispatch(context.Background(), Try{Target: target.addr(), Request: r, Timeout: timeout})
+				resp, fail := f.Dispatch(context.Background(), Try{Target: target.addr(), Request: r, Timeout: timeout})
 				switch {
-				case fail == nil && string(a.Whole) != path:
-					results <- path + " got " + string(a.Whole)
+				case fail == nil && string(resp.Whole) != path:
+					results <- path + " got " + string(resp.Whole)
 				case fail != nil && timeout == bound:
 					results <- path + " " + fail.Error()
 				default:
@@ -171,8 +173,9 @@
 	}
 }
 
-// A hedge loses. Its answer is dropped, whether it comes before, with or after
-// the winner's, and what follows on either connection is answered rightly.
+// The slower dispatch of a hedged request is cancelled. Its response is discarded
+// whether it arrives before, with or after the other one, and later requests on
+// both connections get their own responses.
 func TestLosingHedgeIsDropped(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
@@ -190,15 +193,15 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		slow := make(chan *Failure)
 		go func() {
-			a, fail := f.Dispatch(ctx, Try{Target: target.addr(), Request: httptest.NewRequest("GET", "/slow", nil)})
-			if a != nil {
-				a.Close()
+			resp, fail := f.Dispatch(ctx, Try{Target: target.addr(), Request: httptest.NewRequest("GET", "/slow", nil)})
+			if resp != nil {
+				resp.Close()
 			}
 			slow <- fail
 		}()
-		a, fail := f.Dispatch(context.Background(), Try{Target: target.addr(), Request: httptest.NewRequest("GET", "/fast", nil), Timeout: bound})
+		resp, fail := f.Dispatch(context.Background(), Try{Target: target.addr(), Request: httptest.NewRequest("GET", "/fast", nil), Timeout: bound})
 		c.Assert(fail == nil, qt.IsTrue)
-		c.Assert(string(a.Whole), qt.Equals, "/fast")
+		c.Assert(string(resp.Whole), qt.Equals, "/fast")
 		cancel()
 		c.Assert(<-slow != nil, qt.IsTrue)
 		select {
--- a/internal/forward/dispatch.go
+++ b/internal/forward/dispatch.go
@@ -13,33 +13,33 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// Try is one dispatch of a request.
+// DispatchParams describes one dispatch of a request.
 type Try struct {
 	Target  string        // host:port
-	Request *http.Request // as received; it is only read
-	Path    string        // escaped path for the target; empty keeps the request's
-	Body    []byte        // whole body, when Stream is nil
+	Request *http.Request // as received; not modified
+	Path    string        // escaped path at the target; if empty, that of Request
+	Body    []byte        // complete body if Stream is nil
 	Stream  io.Reader     // body that can be read once
-	Length  int64         // bytes of Stream; negative when not known
-	Timeout time.Duration // until the answer head, and the whole of a short answer; 0 is none
+	Length  int64         // bytes of Stream; negative if unknown
+	Timeout time.Duration // until the response head, or the end of a buffered response; 0 means no timeout
 	Attempt int           // earlier dispatches that may have run
 	Depth   int           // level of the request in its call tree
-	Header  http.Header   // set for the target, over what the caller sent
-	// Timed are further such headers, by the time that is left of Timeout. They are made
-	// when a connection is had: what waits for one has less than at its dispatch.
+	Header  http.Header   // added to the request; replaces the caller's headers of the same name
+	// TimeoutHeader returns further such headers for the remaining part of Timeout. It is
+	// called once a connection is obtained, since waiting for one uses up part of Timeout.
 	Timed func(left time.Duration) http.Header
 }
 
-// Dispatch sends t to its target once. Exactly one of answer and failure is
-// not nil. Cancelling ctx cancels the request at the target, until the answer
-// is closed.
-func (f *Forwarder) Dispatch(ctx context.Context, t Try) (*Answer, *Failure) {
-	d := &dispatch{try: &t, parent: ctx, began: time.Now(), stall: f.cfg.Stall, echo: f.cfg.Echo}
+// Dispatch sends the request to its target once. Exactly one of the results is
+// not nil. Until the response is closed, cancelling ctx cancels the request at
+// the target.
+func (f *Forwarder) Dispatch(ctx context.Context, p Try) (*Answer, *Failure) {
+	d := &dispatch{try: &p, parent: ctx, began: time.Now(), stall: f.cfg.Stall, echo: f.cfg.Echo}
 	d.id = strconv.FormatUint(f.sent.Add(1), 36)
 	d.ctx, d.cancel = context.WithCancelCause(ctx)
 	d.watch.cancel = d.cancel
-	if t.Timeout > 0 {
-		d.timer = time.AfterFunc(t.Timeout, func() { d.cancel(errTimeout) })
+	if p.Timeout > 0 {
+		d.timer = time.AfterFunc(p.Timeout, func() { d.cancel(errTimeout) })
 	}
 	req, err := d.request(d.watch.attach(d.ctx))
 	if err != nil {
@@ -50,15 +50,15 @@
 	if err != nil {
 		return nil, d.fail(nil, err)
 	}
-	a, err := d.answer(resp, f)
+	r, err := d.answer(resp, f)
 	if err != nil {
 		resp.Body.Close()
 		return nil, d.fail(resp, err)
 	}
-	return a, nil
+	return r, nil
 }
 
-// dispatch is the state of one Dispatch until its answer is closed.
+// dispatch is the state of one Dispatch call until its response is closed.
 type dispatch struct {
 	try    *Try
 	parent context.Context
@@ -67,13 +67,13 @@
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 	stall  time.Duration
-	id     string // by which the answer is known
-	echo   string // Config.Echo
+	id     string // identifies the response
+	echo   string // Config.EchoHeader
 	body   body
 	watch  watch
 }
 
-// timed sets the headers that tell how much of the time is left.
+// setTimeoutHeaders sets the headers that contain the remaining time.
 func (d *dispatch) timed(h http.Header) {
 	if d.try.Timeout <= 0 {
 		return
@@ -90,6 +90,7 @@
 	}
 }
 
+// roundTrip sends req and converts the panic of the GetConn hook to an error.
 func (d *dispatch) roundTrip(t *http.Transport, req *http.Request) (resp *http.Response, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -102,7 +103,8 @@
 	return t.RoundTrip(req)
 }
 
-// fail ends the dispatch and says how far it came. resp is nil where no head came.
+// fail ends the dispatch and returns the stage at which it failed. resp is nil if no
+// response head was received.
 func (d *dispatch) fail(resp *http.Response, err error) *Failure {
 	if d.watch.stale.Load() {
 		resp, err = nil, errStale
@@ -123,8 +125,8 @@
 	return f
 }
 
-// stage tells whose doing a failure is: first that of the clock and the
-// caller, whose going breaks connections too, then that of the target.
+// stage classifies a failure. It checks for a timeout and for the caller first,
+// because both also break connections; only then is the target the cause.
 func (d *dispatch) stage(status int, err error) call.Stage {
 	cause := context.Cause(d.ctx)
 	switch {
@@ -154,13 +156,13 @@
 	return call.StageConnect
 }
 
-// success reports whether a head alone shows that the request ran; with any
-// other status the target may have refused to begin it.
+// isSuccess reports whether the status alone shows that the request ran. With
+// another status, the target may have refused to start it.
 func success(status int) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// end stops the timer and releases the context.
+// release stops the timer and cancels the context.
 func (d *dispatch) end(cause error) {
 	if d.timer != nil {
 		d.timer.Stop()
--- a/internal/forward/failure_test.go
+++ b/internal/forward/failure_test.go
@@ -16,20 +16,20 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
+// post returns the parameters of a POST dispatch, without a target.
 func post(body string) Try {
 	r := httptest.NewRequest("POST", "/deposit", strings.NewReader(body))
 	return Try{Request: r, Body: []byte(body), Timeout: bound}
 }
 
-// A dispatch fails at each point of its way. The caller is told not-run for
-// one that surely did not run, so such a failure must never come from a
-// request of which the target has seen a byte; the target's count is the
-// witness.
+// A dispatch fails at each stage. A failure with DidNotRun makes the caller
+// receive not-run, so it must never occur for a request of which the target has
+// received any byte. The target's byte count verifies this.
 func TestFailureTellsWhatMayHaveRun(t *testing.T) {
 	big := strings.Repeat("x", 8<<20)
 	refused := newRaw(t, func(*peer) {})
 	refused.Close()
-	answers := func(s string) func(*peer) {
+	respond := func(s string) func(*peer) {
 		return func(p *peer) {
 			p.request()
 			p.say(s)
@@ -44,7 +44,7 @@
 		serve  func(p *peer)
 		edit   func(*Try)
 		stages []call.Stage
-		ran    []call.Execution // as far as it is certain
+		ran    []call.Execution // allowed values; nil if any
 	}{
 		{"closed before the write", func(p *peer) { p.reset() }, nil, []call.Stage{call.StageConnect, call.StageUnsent, call.StageSent}, nil},
 		{"reset in the middle of the write", func(p *peer) {
@@ -56,14 +56,14 @@
 			p.reset()
 		}, nil, []call.Stage{call.StageSent}, []call.Execution{call.MayHaveRun}},
 		{"closed after the write", func(p *peer) { p.request() }, nil, []call.Stage{call.StageSent}, []call.Execution{call.MayHaveRun}},
-		{"closed within the head", answers("HTTP/1.1 200 OK\r\nContent-"), nil, []call.Stage{call.StageSent}, []call.Execution{call.MayHaveRun}},
-		{"closed within a short body", answers("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), nil, []call.Stage{call.StageCut}, []call.Execution{call.DidRun}},
-		{"closed within an error", answers("HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nhalf"), nil, []call.Stage{call.StageCut}, []call.Execution{call.MayHaveRun}},
-		{"body to the end of the connection", answers("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf or whole"), nil, []call.Stage{call.StageInvalid}, []call.Execution{call.DidRun}},
-		{"no HTTP", answers("220 mail.example ESMTP\r\n\r\n"), nil, []call.Stage{call.StageInvalid}, []call.Execution{call.MayHaveRun}},
-		{"protocols switched", answers("HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), nil, []call.Stage{call.StageInvalid}, []call.Execution{call.MayHaveRun}},
-		{"two lengths", answers("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok!"), nil, []call.Stage{call.StageInvalid}, []call.Execution{call.MayHaveRun}},
-		{"head too long", answers("HTTP/1.1 200 OK\r\nX: " + big[:1<<20]), nil, []call.Stage{call.StageInvalid, call.StageSent}, []call.Execution{call.MayHaveRun}},
+		{"closed within the head", respond("HTTP/1.1 200 OK\r\nContent-"), nil, []call.Stage{call.StageSent}, []call.Execution{call.MayHaveRun}},
+		{"closed within a short body", respond("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), nil, []call.Stage{call.StageCut}, []call.Execution{call.DidRun}},
+		{"closed within an error", respond("HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nhalf"), nil, []call.Stage{call.StageCut}, []call.Execution{call.MayHaveRun}},
+		{"body to the end of the connection", respond("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf or whole"), nil, []call.Stage{call.StageInvalid}, []call.Execution{call.DidRun}},
+		{"no HTTP", respond("220 mail.example ESMTP\r\n\r\n"), nil, []call.Stage{call.StageInvalid}, []call.Execution{call.MayHaveRun}},
+		{"protocols switched", respond("HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), nil, []call.Stage{call.StageInvalid}, []call.Execution{call.MayHaveRun}},
+		{"two lengths", respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok!"), nil, []call.Stage{call.StageInvalid}, []call.Execution{call.MayHaveRun}},
+		{"head too long", respond("HTTP/1.1 200 OK\r\nX: " + big[:1<<20]), nil, []call.Stage{call.StageInvalid, call.StageSent}, []call.Execution{call.MayHaveRun}},
 		{"silent", silent, func(t *Try) { t.Timeout = 20 * time.Millisecond }, []call.Stage{call.StageTimeout}, []call.Execution{call.MayHaveRun}},
 		{"silent within a short body", func(p *peer) {
 			p.request()
@@ -85,30 +85,30 @@
 			target := newRaw(t, tt.serve)
 			f := New(Config{})
 			defer f.Close()
-			try := post("veil")
-			try.Target = target.addr()
+			params := post("veil")
+			params.Target = target.addr()
 			if tt.edit != nil {
-				tt.edit(&try)
+				tt.edit(&params)
 			}
-			a, fail := f.Dispatch(context.Background(), try)
-			c.Assert(a == nil, qt.IsTrue)
+			resp, fail := f.Dispatch(context.Background(), params)
+			c.Assert(resp == nil, qt.IsTrue)
 			c.Assert(fail != nil, qt.IsTrue)
-			at := qt.Commentf("%v, ran %d", fail, fail.Ran)
-			c.Assert(fmt.Sprint(tt.stages), qt.Contains, fail.Stage.String(), at)
+			comment := qt.Commentf("%v, ran %d", fail, fail.Ran)
+			c.Assert(fmt.Sprint(tt.stages), qt.Contains, fail.Stage.String(), comment)
 			if tt.ran != nil {
-				c.Assert(fmt.Sprint(tt.ran), qt.Contains, fmt.Sprint(fail.Ran), at)
+				c.Assert(fmt.Sprint(tt.ran), qt.Contains, fmt.Sprint(fail.Ran), comment)
 			}
-			c.Assert(fail.Replay, qt.Equals, try.Stream == nil)
+			c.Assert(fail.Replay, qt.Equals, params.Stream == nil)
 			if fail.Ran == call.DidNotRun {
-				c.Assert(target.bytes.Load(), qt.Equals, int64(0), at)
+				c.Assert(target.bytes.Load(), qt.Equals, int64(0), comment)
 			}
 			c.Assert(target.requests.Load() <= 1, qt.IsTrue)
 		})
 	}
 }
 
-// The only connection to the target is taken. What waits for it and times out
-// or is cancelled was never sent, and the body of its caller is untouched.
+// The only connection to the target is in use. A request that waits for it and
+// times out or is cancelled was not sent, and its body was not read.
 func TestWaitForConnectionDoesNotRun(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
@@ -122,23 +122,23 @@
 	defer f.Close()
 	first := make(chan *Failure)
 	go func() {
-		try := post("veil")
-		try.Target = target.addr()
-		_, fail := f.Dispatch(context.Background(), try)
+		params := post("veil")
+		params.Target = target.addr()
+		_, fail := f.Dispatch(context.Background(), params)
 		first <- fail
 	}()
 	eventually(c, func() bool { return target.requests.Load() == 1 })
 
-	try := post("")
-	try.Target, try.Timeout, try.Stream, try.Length = target.addr(), 10*time.Millisecond, strings.NewReader("gown"), 4
-	_, fail := f.Dispatch(context.Background(), try)
+	params := post("")
+	params.Target, params.Timeout, params.Stream, params.Length = target.addr(), 10*time.Millisecond, strings.NewReader("gown"), 4
+	_, fail := f.Dispatch(context.Background(), params)
 	c.Assert(fail.Stage, qt.Equals, call.StageTimeout)
 	c.Assert(fail.Ran, qt.Equals, call.DidNotRun)
 	c.Assert(fail.Replay, qt.IsTrue)
 
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, fail = f.Dispatch(ctx, try)
+	_, fail = f.Dispatch(ctx, params)
 	c.Assert(fail.Stage, qt.Equals, call.StageCancelled)
 	c.Assert(fail.Ran, qt.Equals, call.DidNotRun)
 	close(release)
@@ -146,10 +146,10 @@
 	c.Assert(target.requests.Load(), qt.Equals, int64(1))
 }
 
-// The transport holds an idle connection. The target takes the next request
-// from it, runs it, and ends the connection without an answer, as it would
-// when it stops at that moment. net/http would send some of these requests
-// again by itself, on a new connection: two runs and one answer.
+// The target reads a request from a reused connection, runs it and closes the
+// connection without a complete response, as happens if it stops at that moment.
+// net/http alone would retry some of these requests on a new connection, so that
+// they would run twice.
 func TestTransportNeverResends(t *testing.T) {
 	header := func(name string) http.Header { return http.Header{name: {"k1"}} }
 	tests := []struct {
@@ -186,9 +186,9 @@
 				})
 				f := New(Config{})
 				defer f.Close()
-				warm := post("")
-				warm.Target = target.addr()
-				_, fail := f.Dispatch(context.Background(), warm)
+				first := post("")
+				first.Target = target.addr()
+				_, fail := f.Dispatch(context.Background(), first)
 				c.Assert(fail == nil, qt.IsTrue)
 
 				r := httptest.NewRequest(tt.method, "/deposit", strings.NewReader(tt.body))
@@ -196,7 +196,7 @@
 					r.Header[k] = v
 				}
 				_, fail = f.Dispatch(context.Background(), Try{Target: target.addr(), Request: r, Body: []byte(tt.body), Timeout: bound})
-				c.Assert(fail != nil, qt.IsTrue, qt.Commentf("answered, %d runs", target.requests.Load()))
+				c.Assert(fail != nil, qt.IsTrue, qt.Commentf("request succeeded, %d runs", target.requests.Load()))
 				c.Assert(fail.Ran, qt.Equals, call.MayHaveRun, qt.Commentf("%v", fail))
 				c.Assert(target.conns.Load(), qt.Equals, int64(1))
 				c.Assert(target.requests.Load(), qt.Equals, int64(2))
@@ -205,12 +205,12 @@
 	}
 }
 
-// eventually waits for a condition, with a bound.
-func eventually(c *qt.C, holds func() bool) {
+// eventually waits up to maxWait for a condition.
+func eventually(c *qt.C, condition func() bool) {
 	c.Helper()
-	for end := time.Now().Add(bound); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(bound); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			c.Fatal("condition not reached in time")
+			c.Fatal("condition not reached before the timeout")
 		}
 	}
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,35 +1,37 @@
-// Package forward dispatches one HTTP request to one target and passes the
-// answer on.
+// Package forward sends one HTTP request to one target and forwards the
+// response to the caller.
 //
-// # No resend by net/http
+// # No automatic retry by net/http
 //
-// http.Transport sends a request again by itself when a reused connection
-// fails (Transport.roundTrip, persistConn.shouldRetryRequest, Go 1.26): when
-// nothing was written and the request has no body or a GetBody, and, after
-// bytes were written, when Request.isReplayable holds: no body or a GetBody,
-// and a method of GET, HEAD, OPTIONS or TRACE, or an Idempotency-Key or
-// X-Idempotency-Key header. Both need a nil Body, http.NoBody or a GetBody.
-// So a request leaves here with a body that is neither, empty if need be, and
-// without GetBody. A second guard doesn't depend on that reading: the GetConn
-// trace hook, which runs before each connection is chosen, panics when it is
-// called again for the same dispatch. HTTP/2 is off.
+// http.Transport retries a request by itself when a reused connection fails
+// (Transport.roundTrip, persistConn.shouldRetryRequest, Go 1.26). It does so in
+// two cases. Before any byte was written, it retries a request that has no body
+// or a GetBody. After bytes were written, it retries if Request.isReplayable
+// holds: the request has no body or a GetBody, and its method is GET, HEAD,
+// OPTIONS or TRACE or it has an Idempotency-Key or X-Idempotency-Key header.
+// Both cases need a nil Body, http.NoBody or a GetBody. The requests of this
+// package therefore always have another body, which may be empty, and no
+// GetBody. A second guard doesn't rely on this reading of net/http: the GetConn
+// trace hook runs before each connection is chosen, and panics when it runs
+// twice for one dispatch. HTTP/2 is off.
 //
-// # What is surely not run
+// # Requests that did not run
 //
-// The connection counts the bytes that the kernel took. A dispatch that fails
-// with none of them taken did not run; any other may have.
+// Each connection counts the bytes that the kernel accepted. If a dispatch fails
+// before the kernel accepted any byte, the request did not run. Otherwise it may
+// have run.
 //
-// # Answers
+// # Matching responses to requests
 //
-// HTTP/1.1 ties an answer to its request by order alone. A connection whose
-// answer was not read to its end is closed; so is one that has bytes to read
-// before a request is written to it. What a target sends twice can still arrive
-// just after the next request was written. Only a name tells it apart then: a
-// target that repeats the Plumpitch-Request header of a request on its answer
-// is safe from that too.
+// HTTP/1.1 matches responses to requests by their order alone. A connection is
+// closed if its response was not read to the end, or if it has bytes to read
+// before a request is written. A duplicate response can still arrive just after
+// the next request was written. Only an identifier shows the difference: a
+// target that copies the Plumpitch-Request header of the request to its response
+// is protected from this case too.
 //
-// An answer without a length and without chunks is refused: its end can't be
-// told from a cut.
+// A response with neither a Content-Length nor chunked encoding is rejected,
+// because its end looks the same as a broken connection.
 package forward
 
 import (
@@ -47,20 +49,20 @@
 // Config of a Forwarder. Zero fields take the defaults.
 type Config struct {
 	MaxConns  int           // connections to one target; default 200
-	MaxHeader int64         // bytes of an answer head; default 64 KiB
-	Connect   time.Duration // longest wait for a TCP connection; default 1 s
-	Idle      time.Duration // idle connections are closed after it; default 4 s
-	Stall     time.Duration // longest silence within an answer body; default 30 s
-	Whole     int64         // answers up to this many bytes are read before they are passed on; default 32 KiB
-	// Silence is how long sent bytes may stay unacknowledged before the
-	// connection counts as lost; 0 leaves that to the system. A connection that
-	// went silent without a reset would hold each request sent on it until its
+	MaxHeader int64         // bytes of a response head; default 64 KiB
+	Connect   time.Duration // timeout for a TCP connection; default 1 s
+	Idle      time.Duration // idle connections are closed after this time; default 4 s
+	Stall     time.Duration // longest pause within a response body; default 30 s
+	Whole     int64         // responses up to this many bytes are buffered before they are forwarded; default 32 KiB
+	// UnackedTimeout is how long sent bytes may stay unacknowledged before the
+	// connection counts as lost; 0 uses the system's default. Without it, each
+	// request sent on a connection that died without a reset waits until its
 	// deadline.
 	Silence time.Duration
-	// Echo names the header in which targets repeat the id that callers send in
-	// it. Where it is set, headers are passed on as they are in both
-	// directions, and an answer may end with its connection. Empty means the
-	// product's own headers.
+	// EchoHeader names the header in which callers send an id that targets copy
+	// to their responses. If it is set, end-to-end headers are forwarded
+	// unchanged in both directions, and a response body may end with its
+	// connection. If it is empty, plumpitch's own headers are used.
 	Echo string
 }
 
@@ -133,20 +135,20 @@
 	f.transport.CloseIdleConnections()
 }
 
-// Malformed returns how many load reports could not be read.
+// MalformedLoads returns how many load reports could not be parsed.
 func (f *Forwarder) Malformed() uint64 {
 	return f.malformed.Load()
 }
 
-// Failure is a dispatch that brought no whole answer.
+// Failure describes a dispatch that didn't receive a complete response.
 type Failure struct {
 	Target  string
 	Stage   call.Stage
 	Ran     call.Execution
-	Status  int           // of the answer head, when one came
-	Header  http.Header   // the same
-	Replay  bool          // the body can be sent again
-	Connect time.Duration // until a connection was had; 0 where none was
+	Status  int           // of the response head, if one was received
+	Header  http.Header   // of the response head, if one was received
+	Replay  bool          // the request body can be sent again
+	Connect time.Duration // time until a connection was obtained; 0 if there was none
 	Cause   error
 }
 
@@ -160,13 +162,13 @@
 	return f.Cause
 }
 
-// Causes that a dispatch is cancelled with.
+// Causes with which the context of a dispatch is cancelled.
 var (
-	errTimeout  = errors.New("no answer in time")
-	errStalled  = errors.New("answer body stalled")
-	errStale    = errors.New("answer bytes came before the request was written")
-	errResent   = errors.New("transport tried to send the request again")
-	errUnframed = errors.New("answer has neither length nor chunks")
-	errUpgrade  = errors.New("answer switches protocols, which was not asked for")
-	errClosed   = errors.New("answer was dropped")
+	errTimeout  = errors.New("timeout waiting for the response")
+	errStalled  = errors.New("response body stalled")
+	errStale    = errors.New("connection unusable or response received before the request was written")
+	errResent   = errors.New("transport tried to resend the request")
+	errUnframed = errors.New("response has neither Content-Length nor chunked encoding")
+	errUpgrade  = errors.New("response switches protocols without a request to do so")
+	errClosed   = errors.New("response was closed")
 )
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -14,28 +14,28 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// bound is the longest that a test waits for a condition.
+// maxWait is how long a test waits for a condition at most.
 const bound = 10 * time.Second
 
-// host returns the address of a test server.
+// serverAddr returns the host:port of a test server.
 func host(s *httptest.Server) string {
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// front serves requests through one Forwarder to one target, as an entry does.
+// newEntry starts a server that forwards all requests to one target, as an entry does.
 func front(t testing.TB, f *Forwarder, target string, edit func(*Try)) *httptest.Server {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		try := Try{Target: target, Request: r, Stream: r.Body, Length: r.ContentLength}
+		params := Try{Target: target, Request: r, Stream: r.Body, Length: r.ContentLength}
 		if edit != nil {
-			edit(&try)
+			edit(&params)
 		}
-		a, fail := f.Dispatch(r.Context(), try)
+		resp, fail := f.Dispatch(r.Context(), params)
 		if fail != nil {
 			Refuse(w, call.Final{Reason: fail.Stage.Reason(), Detail: fail.Error()})
 			return
 		}
-		Copy(w, a, func(*Failure) {})
+		Copy(w, resp, func(*Failure) {})
 	}))
 	t.Cleanup(s.Close)
 	return s
@@ -53,9 +53,9 @@
 	f := New(Config{})
 	defer f.Close()
 	r := httptest.NewRequest("POST", "/a%2Fb?x=1", strings.NewReader("veil"))
-	a, fail := f.Dispatch(context.Background(), Try{Target: host(target), Request: r, Body: []byte("veil"), Timeout: bound})
+	resp, fail := f.Dispatch(context.Background(), Try{Target: host(target), Request: r, Body: []byte("veil"), Timeout: bound})
 	c.Assert(fail == nil, qt.IsTrue, qt.Commentf("%v", fail))
-	c.Assert(a.Status, qt.Equals, http.StatusCreated)
-	c.Assert(string(a.Whole), qt.Equals, "POST veil")
-	c.Assert(a.Header.Get("X-Path"), qt.Equals, "/a%2Fb?x=1")
+	c.Assert(resp.Status, qt.Equals, http.StatusCreated)
+	c.Assert(string(resp.Whole), qt.Equals, "POST veil")
+	c.Assert(resp.Header.Get("X-Path"), qt.Equals, "/a%2Fb?x=1")
 }
--- a/internal/forward/header_test.go
+++ b/internal/forward/header_test.go
@@ -14,8 +14,8 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// The target sees the caller's own headers, who called, and of plumpitch's
-// headers only those that plumpitch set.
+// The target receives the caller's end-to-end headers, the caller's address, and
+// only those of plumpitch's headers that plumpitch set itself.
 func TestHeadersForTheTarget(t *testing.T) {
 	c := qt.New(t)
 	in := http.Header{
@@ -27,8 +27,8 @@
 	}
 	r := httptest.NewRequest("GET", "/gowns", nil)
 	r.Header, r.Host, r.RemoteAddr = in, `hall.example:80"`, "[::1]:5000"
-	try := Try{Request: r, Timeout: 250 * time.Millisecond, Attempt: 1, Depth: 2, Header: http.Header{"Traceparent": {"00-1"}}}
-	c.Assert(try.header(), qt.DeepEquals, http.Header{
+	params := Try{Request: r, Timeout: 250 * time.Millisecond, Attempt: 1, Depth: 2, Header: http.Header{"Traceparent": {"00-1"}}}
+	c.Assert(params.header(), qt.DeepEquals, http.Header{
 		"Accept": {"a", "b"}, "Te": {"trailers"}, "Plumpitchy": {"1"}, "Idempotency-Key": {"k1"}, "User-Agent": nil,
 		"X-Forwarded-For": {"10.0.0.1, ::1"}, "X-Forwarded-Proto": {"http"}, "X-Forwarded-Host": {`hall.example:80"`},
 		"Forwarded":        {`for=10.0.0.1, for="[::1]";host="hall.example:80\"";proto=http`},
@@ -39,13 +39,13 @@
 	})
 }
 
-// An empty body is sent without chunks, and with a length where the method
-// usually has a body.
+// An empty body is sent without chunked encoding, and with "content-length: 0" if
+// the method usually has a body.
 func TestFrameOfTheRequest(t *testing.T) {
 	tests := []struct {
 		method, body string
 		stream       bool
-		want         string // lines of the head that say where the body ends
+		want         string // framing headers
 	}{
 		{"GET", "", false, ""},
 		{"DELETE", "", true, ""},
@@ -72,19 +72,20 @@
 			p.say(ok)
 		})
 		f := New(Config{})
-		try := Try{Target: target.addr(), Request: httptest.NewRequest(tt.method, "/", nil), Body: []byte(tt.body), Timeout: bound}
+		params := Try{Target: target.addr(), Request: httptest.NewRequest(tt.method, "/", nil), Body: []byte(tt.body), Timeout: bound}
 		if tt.stream {
-			try.Stream, try.Length = strings.NewReader(tt.body), int64(len(tt.body))
+			params.Stream, params.Length = strings.NewReader(tt.body), int64(len(tt.body))
 		}
-		_, fail := f.Dispatch(context.Background(), try)
+		_, fail := f.Dispatch(context.Background(), params)
 		c.Assert(fail == nil, qt.IsTrue, qt.Commentf("%v", fail))
 		c.Assert(<-heads, qt.Equals, tt.want, qt.Commentf("%+v", tt))
 		f.Close()
 	}
 }
 
-// The answer's own headers pass; those of the connection and plumpitch's don't,
-// so that a target can't tell a caller not-run of another request.
+// End-to-end headers of the response are forwarded; hop-by-hop headers and
+// plumpitch's own are not. Otherwise a target could send a caller the outcome
+// not-run of another request.
 func TestHeadersForTheCaller(t *testing.T) {
 	c := qt.New(t)
 	target := newRaw(t, func(p *peer) {
@@ -94,10 +95,10 @@
 	})
 	f := New(Config{})
 	defer f.Close()
-	a, fail := f.Dispatch(context.Background(), Try{Target: target.addr(), Request: httptest.NewRequest("GET", "/", nil), Timeout: bound})
+	resp, fail := f.Dispatch(context.Background(), Try{Target: target.addr(), Request: httptest.NewRequest("GET", "/", nil), Timeout: bound})
 	c.Assert(fail == nil, qt.IsTrue)
-	c.Assert(a.Header, qt.DeepEquals, http.Header{"Content-Length": {"2"}, "X-A": {"1", "2"}})
-	c.Assert(a.Load, qt.Equals, Load{Known: true, Inflight: 3, Leaving: true})
+	c.Assert(resp.Header, qt.DeepEquals, http.Header{"Content-Length": {"2"}, "X-A": {"1", "2"}})
+	c.Assert(resp.Load, qt.Equals, Load{Known: true, Inflight: 3, Leaving: true})
 }
 
 var loads = []struct {
--- a/internal/forward/load.go
+++ b/internal/forward/load.go
@@ -8,19 +8,20 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// Load is a target's word about itself on an answer.
+// Load is the load report of a target, received with a response.
 type Load struct {
-	Known    bool // the target said something
-	Inflight int  // requests that it runs; negative when it didn't say
-	Leaving  bool // it wants no new work
-	Shed     bool // it did not begin this request
+	Known    bool // the response had a valid report
+	Inflight int  // requests that the target is running; negative if not reported
+	Leaving  bool // the target is leaving and must get no new requests
+	Shed     bool // the target did not start this request
 }
 
 const (
-	maxLoad     = 128     // bytes of a report
-	maxInflight = 1 << 20 // requests in flight
+	maxLoad     = 128     // bytes
+	maxInflight = 1 << 20 // largest plausible number
 )
 
+// readLoad returns the load report of a response and counts a malformed one.
 func (f *Forwarder) load(h http.Header) Load {
 	values := h[call.HeaderLoad]
 	if len(values) == 0 {
@@ -34,8 +35,9 @@
 	return l
 }
 
-// ParseLoad reads a report: "inflight=3", "leaving" and "shed", parted by
-// spaces, each at most once. A report with anything else is no report.
+// ParseLoad parses a load report: the fields "inflight=3", "leaving" and "shed",
+// separated by spaces, each at most once. A report with any other field is
+// malformed.
 func ParseLoad(s string) (l Load, ok bool) {
 	none := Load{Inflight: -1}
 	l = none
@@ -51,6 +53,7 @@
 	return l, l.Known
 }
 
+// parseField parses one field, and reports whether it is valid and not a repetition.
 func (l *Load) take(field string) bool {
 	switch field {
 	case "leaving":
--- a/internal/forward/raw_test.go
+++ b/internal/forward/raw_test.go
@@ -14,8 +14,8 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// raw is a target that a test drives byte by byte. It counts what it was sent,
-// and so is the witness for what may have run.
+// rawTarget is a target for which a test writes each byte of the responses. It
+// counts what it receives, to verify which requests may have run.
 type raw struct {
 	net.Listener
 	conns    atomic.Int64
@@ -23,12 +23,12 @@
 	requests atomic.Int64
 }
 
-// peer is one connection of a raw target.
+// targetConn is one connection of a rawTarget.
 type peer struct {
 	net.Conn
 	br     *bufio.Reader
 	target *raw
-	name   string // of the request, to repeat on its answer
+	name   string // request id to echo in responses; empty to omit it
 }
 
 func newRaw(t testing.TB, serve func(p *peer)) *raw {
@@ -65,7 +65,8 @@
 	return n, err
 }
 
-// request reads one whole request and logs it; nil at the end of the connection.
+// request reads and counts one complete request. It returns nil if the connection
+// ends first.
 func (p *peer) request() *http.Request {
 	r, err := http.ReadRequest(p.br)
 	if err != nil {
@@ -78,11 +79,12 @@
 	return r
 }
 
+// write sends s and ignores errors: the connection may be closed already.
 func (p *peer) say(s string) {
 	_, _ = io.WriteString(p.Conn, s)
 }
 
-// answer answers a request, by its name if it has one.
+// respond writes a response, with the request id if one is set.
 func (p *peer) answer(body string) {
 	s := answer(body)
 	if p.name != "" {
@@ -91,10 +93,11 @@
 	p.say(s)
 }
 
-// reset ends the connection by RST.
+// reset closes the connection with a TCP RST.
 func (p *peer) reset() {
 	_ = p.Conn.(*net.TCPConn).SetLinger(0)
 	p.Close()
 }
 
+// ok is a complete response.
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/internal/forward/refuse.go
+++ b/internal/forward/refuse.go
@@ -9,7 +9,7 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// refusal is the JSON body of an answer that plumpitch makes itself.
+// refusal is the JSON body of a response that plumpitch generates itself.
 type refusal struct {
 	Outcome string `json:"outcome"`
 	Reason  string `json:"reason"`
@@ -17,7 +17,7 @@
 	Retry   int64  `json:"retry"` // milliseconds
 }
 
-// Refuse writes an answer that plumpitch makes itself.
+// Refuse writes a response that plumpitch generates itself.
 func Refuse(w http.ResponseWriter, f call.Final) {
 	h := w.Header()
 	h.Set(call.HeaderOutcome, f.Outcome.String())
@@ -35,11 +35,11 @@
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(f.Code())
-	// A caller that is gone by now needs no answer.
+	// A write error means that the caller has left; there is nobody to report it to.
 	_, _ = w.Write(body)
 }
 
-// millis rounds up, so that nobody is told to come back at once by rounding.
+// ceilMillis rounds up, so that a short delay never becomes 0, an immediate retry.
 func millis(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -13,19 +13,19 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// hopByHop are the headers of one connection (RFC 9110, 7.6.1), besides those
-// that Connection lists. Expect is answered by the entry itself.
+// hopByHop are the headers that apply to one connection only (RFC 9110, 7.6.1),
+// besides those listed in the Connection header. The entry handles Expect itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Expect": true,
 }
 
-// request builds the request for the target.
+// newRequest builds the request for the target.
 func (d *dispatch) request(ctx context.Context) (req *http.Request, err error) {
-	defer func() { err = errors.WithMessage(err, "request for the target") }()
-	t, in := d.try, d.try.Request
-	u, err := target(t)
+	defer func() { err = errors.WithMessage(err, "building the request for the target") }()
+	p, in := d.try, d.try.Request
+	u, err := target(p)
 	if err != nil {
 		return nil, err
 	}
@@ -37,28 +37,28 @@
 		Trailer: trailer(in.Trailer),
 	}
 	out.Body = d.open(out.Trailer)
-	frame(out, t)
+	frame(out, p)
 	return out.WithContext(ctx), nil
 }
 
-// target returns the URL of the request at the target.
-func target(t *Try) (u *url.URL, err error) {
-	in := t.Request.URL
-	u = &url.URL{Scheme: "http", Host: t.Target, Path: in.Path, RawPath: in.RawPath, RawQuery: in.RawQuery, ForceQuery: in.ForceQuery}
-	if t.Path == "" {
+// targetURL returns the URL of the request at the target.
+func target(p *Try) (u *url.URL, err error) {
+	in := p.Request.URL
+	u = &url.URL{Scheme: "http", Host: p.Target, Path: in.Path, RawPath: in.RawPath, RawQuery: in.RawQuery, ForceQuery: in.ForceQuery}
+	if p.Path == "" {
 		return u, nil
 	}
-	u.RawPath = t.Path
-	u.Path, err = url.PathUnescape(t.Path)
+	u.RawPath = p.Path
+	u.Path, err = url.PathUnescape(p.Path)
 	return u, err
 }
 
-// frame sets how the body's end is marked. "identity" keeps the transport from
-// probing an empty body or sending it in chunks.
-func frame(out *http.Request, t *Try) {
-	length := int64(len(t.Body))
-	if t.Stream != nil {
-		length = t.Length
+// setFraming sets how the end of the body is marked. "identity" stops the
+// transport from reading ahead in an empty body or sending it in chunks.
+func frame(out *http.Request, p *Try) {
+	length := int64(len(p.Body))
+	if p.Stream != nil {
+		length = p.Length
 	}
 	switch {
 	case length < 0 || len(out.Trailer) > 0:
@@ -73,9 +73,9 @@
 	}
 }
 
-// emptyLength says that the body is empty for the methods that usually have
-// one. The transport drops a canonical Content-Length header and knows no
-// length here, so the header is set under a name that it doesn't look for.
+// setEmptyLength adds "content-length: 0" for the methods that usually have a
+// body. The transport drops a Content-Length header with the canonical name, and
+// it isn't given a length here, so the name is written in lower case.
 func emptyLength(out *http.Request) {
 	switch out.Method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
@@ -83,8 +83,8 @@
 	}
 }
 
-// trailer returns the names that the target is told of; the values follow at
-// the end of the body.
+// declaredTrailer returns the trailer names to declare to the target. The values
+// follow at the end of the body.
 func trailer(in http.Header) http.Header {
 	if len(in) == 0 {
 		return nil
@@ -98,15 +98,15 @@
 	return out
 }
 
-// own reports whether a header is plumpitch's. Some servers take an underscore
-// for a hyphen, so that spelling counts as well.
+// isOwnHeader reports whether a header is one of plumpitch's. Some servers treat
+// an underscore as a hyphen, so that spelling counts as well.
 func own(name string) bool {
 	n := len(call.HeaderPrefix) - 1
 	return len(name) > n && (name[n] == '-' || name[n] == '_') && strings.EqualFold(name[:n], call.HeaderPrefix[:n])
 }
 
-// header returns the headers for the target, and takes the id by which its
-// answer is known.
+// requestHeader returns the headers for the target. With an echo header, it also
+// sets the id that identifies the response.
 func (d *dispatch) header() http.Header {
 	if d.echo == "" {
 		h := d.try.header()
@@ -125,9 +125,10 @@
 	return h
 }
 
-// header returns the caller's headers as the target may see them.
-func (t *Try) header() http.Header {
-	in := t.Request.Header
+// targetHeader returns the caller's headers that the target may see, and the
+// headers that plumpitch adds.
+func (p *Try) header() http.Header {
+	in := p.Request.Header
 	out := make(http.Header, len(in)+8)
 	copyHeader(out, in, own)
 	if lists(in["Te"], "trailers") {
@@ -136,31 +137,32 @@
 	if _, ok := out["User-Agent"]; !ok {
 		out["User-Agent"] = nil
 	}
-	t.forwarded(out)
-	if t.Timeout > 0 {
-		out.Set(call.HeaderTimeout, t.Timeout.String())
+	p.forwarded(out)
+	if p.Timeout > 0 {
+		out.Set(call.HeaderTimeout, p.Timeout.String())
 	}
-	out.Set(call.HeaderAttempt, strconv.Itoa(t.Attempt))
-	out.Set(call.HeaderDepth, strconv.Itoa(t.Depth+1))
-	for k, v := range t.Header {
+	out.Set(call.HeaderAttempt, strconv.Itoa(p.Attempt))
+	out.Set(call.HeaderDepth, strconv.Itoa(p.Depth+1))
+	for k, v := range p.Header {
 		out[k] = v
 	}
 	return out
 }
 
-// copyHeader copies what belongs to the message and not to the connection. left
-// names headers that are left out; nil leaves out none.
-func copyHeader(out, in http.Header, left func(name string) bool) {
-	listed := in["Connection"]
+// copyHeader copies the end-to-end headers. skip reports which of them to leave
+// out; nil leaves out none.
+func copyHeader(out, in http.Header, skip func(name string) bool) {
+	connection := in["Connection"]
 	for k, v := range in {
-		if hopByHop[k] || left != nil && left(k) || len(listed) > 0 && lists(listed, k) {
+		if hopByHop[k] || skip != nil && skip(k) || len(connection) > 0 && lists(connection, k) {
 			continue
 		}
 		out[k] = v
 	}
 }
 
-// lists reports whether one of comma-separated values is name.
+// containsToken reports whether the comma-separated values contain name. Case and
+// parameters are ignored.
 func lists(values []string, name string) bool {
 	for _, v := range values {
 		for part := range strings.SplitSeq(v, ",") {
@@ -173,22 +175,23 @@
 	return false
 }
 
-// forwarded adds the caller to the X-Forwarded and Forwarded headers.
-func (t *Try) forwarded(out http.Header) {
-	host, _, err := net.SplitHostPort(t.Request.RemoteAddr)
+// addForwarded adds the caller to the X-Forwarded-* and Forwarded headers.
+func (p *Try) forwarded(out http.Header) {
+	host, _, err := net.SplitHostPort(p.Request.RemoteAddr)
 	if err != nil {
 		host = "unknown"
 	}
 	proto := "http"
-	if t.Request.TLS != nil {
+	if p.Request.TLS != nil {
 		proto = "https"
 	}
 	out["X-Forwarded-For"] = []string{appended(out["X-Forwarded-For"], host)}
 	out["X-Forwarded-Proto"] = []string{proto}
-	out["X-Forwarded-Host"] = []string{t.Request.Host}
-	out["Forwarded"] = []string{appended(out["Forwarded"], element(host, t.Request.Host, proto))}
+	out["X-Forwarded-Host"] = []string{p.Request.Host}
+	out["Forwarded"] = []string{appended(out["Forwarded"], element(host, p.Request.Host, proto))}
 }
 
+// joinValues appends v to a comma-separated list.
 func appended(old []string, v string) string {
 	if len(old) == 0 {
 		return v
@@ -198,7 +201,7 @@
 
 var quoted = strings.NewReplacer(`\`, `\\`, `"`, `\"`)
 
-// element is one hop of a Forwarded header (RFC 7239).
+// forwardedElement returns one element of a Forwarded header (RFC 7239).
 func element(ip, host, proto string) string {
 	if strings.Contains(ip, ":") {
 		ip = `"[` + ip + `]"`
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -7,17 +7,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// silence bounds how long bytes that were sent may stay unacknowledged.
-func silence(bound time.Duration) func(network, address string, c syscall.RawConn) error {
-	if bound <= 0 {
+// unackedTimeout returns a net.Dialer Control function that limits how long sent
+// bytes may stay unacknowledged; nil if there is no limit.
+func silence(limit time.Duration) func(network, address string, c syscall.RawConn) error {
+	if limit <= 0 {
 		return nil
 	}
 	return func(_, _ string, c syscall.RawConn) (err error) {
-		failed := c.Control(func(fd uintptr) {
-			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(bound.Milliseconds()))
+		controlErr := c.Control(func(fd uintptr) {
+			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
 		})
-		if failed != nil {
-			return failed
+		if controlErr != nil {
+			return controlErr
 		}
 		return err
 	}
--- a/internal/forward/timeout_test.go
+++ b/internal/forward/timeout_test.go
@@ -14,7 +14,8 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// A request that waits for a connection gives its target the time that is left then.
+// A request that waits for a connection sends its target the timeout that remains
+// when it obtains one.
 func TestTimeThatIsLeftAtTheConnection(t *testing.T) {
 	const (
 		timeout = 2 * time.Second
@@ -24,7 +25,7 @@
 	tests := []struct {
 		name string
 		echo string
-		told func(h http.Header) (time.Duration, error)
+		read func(h http.Header) (time.Duration, error)
 	}{
 		{"own interface", "", func(h http.Header) (time.Duration, error) { return time.ParseDuration(h.Get(call.HeaderTimeout)) }},
 		{"header of a platform", "Request-Name", func(h http.Header) (time.Duration, error) { return time.ParseDuration(h.Get("Time-Left")) }},
@@ -32,13 +33,13 @@
 	for _, tt := range tests {
 		c := qt.New(t)
 		var mu sync.Mutex
-		var told []time.Duration
+		var timeouts []time.Duration
 		target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			left, err := tt.told(r.Header)
+			left, err := tt.read(r.Header)
 			c.Check(err, qt.IsNil)
 			mu.Lock()
-			told = append(told, left)
-			first := len(told) == 1
+			timeouts = append(timeouts, left)
+			first := len(timeouts) == 1
 			mu.Unlock()
 			if first {
 				time.Sleep(wait)
@@ -51,20 +52,20 @@
 			all.Go(func() {
 				in := httptest.NewRequest(http.MethodGet, "/x", nil)
 				in.Header.Set("Request-Name", "n")
-				a, fail := f.Dispatch(context.Background(), Try{
+				resp, fail := f.Dispatch(context.Background(), Try{
 					Target: strings.TrimPrefix(target.URL, "http://"), Request: in, Timeout: timeout,
 					Timed: func(left time.Duration) http.Header { return http.Header{"Time-Left": {left.String()}} },
 				})
 				c.Check(fail == nil, qt.IsTrue)
-				if a != nil {
-					a.Close()
+				if resp != nil {
+					resp.Close()
 				}
 			})
 		}
 		all.Wait()
 		target.Close()
-		c.Assert(told, qt.HasLen, 2)
-		c.Assert(told[0] > timeout-slack, qt.IsTrue, qt.Commentf("%s: %v", tt.name, told))
-		c.Assert(told[1] < timeout-wait+slack, qt.IsTrue, qt.Commentf("%s: %v", tt.name, told))
+		c.Assert(timeouts, qt.HasLen, 2)
+		c.Assert(timeouts[0] > timeout-slack, qt.IsTrue, qt.Commentf("%s: %v", tt.name, timeouts))
+		c.Assert(timeouts[1] < timeout-wait+slack, qt.IsTrue, qt.Commentf("%s: %v", tt.name, timeouts))
 	}
 }
--- a/internal/forward/watch.go
+++ b/internal/forward/watch.go
@@ -9,20 +9,21 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// watch follows one dispatch through the transport.
+// transportTrace records the progress of one dispatch in the transport.
 type watch struct {
 	trace   httptrace.ClientTrace
 	cancel  context.CancelCauseFunc
-	asked   atomic.Int32
+	asked   atomic.Int32 // calls of getConn
 	conn    atomic.Pointer[conn]
-	start   int64
-	stale   atomic.Bool
-	askedAt time.Time    // for a connection
-	took    atomic.Int64 // how long that took, in ns
-	// connected is called when a connection is had, before anything is written to it.
+	start   int64        // bytes written to conn before this request
+	stale   atomic.Bool  // the response belongs to an earlier request
+	askedAt time.Time    // when a connection was requested
+	took    atomic.Int64 // time until it was obtained, in ns
+	// onConnected is called when a connection is obtained, before anything is written to it.
 	connected func()
 }
 
+// attach returns a context with the trace hooks.
 func (w *watch) attach(ctx context.Context) context.Context {
 	w.trace.GetConn = w.getConn
 	w.trace.GotConn = w.gotConn
@@ -31,8 +32,9 @@
 }
 
 // getConn runs before the transport chooses a connection. A second call means
-// that the transport sends the request again: a caller would see its deposit
-// taken twice. The panic stops it before a connection is chosen.
+// that the transport is resending the request, which could run it twice, for
+// example a caller's deposit. The panic stops the transport before it chooses a
+// connection.
 func (w *watch) getConn(string) {
 	if w.asked.Add(1) > 1 {
 		panic(errResent)
@@ -51,9 +53,10 @@
 	w.conn.Store(c)
 }
 
-// firstByte runs when an answer begins. Bytes that were read before this
-// request was written answer an earlier one: its caller's answer would reach
-// another caller. The transport takes them for the answer, so it is stopped.
+// firstByte runs when a response begins. Bytes that were read before this
+// request was written belong to the response to an earlier request, which may be
+// another caller's. The transport would take them for the response to this
+// request, so the dispatch is cancelled.
 func (w *watch) firstByte() {
 	c := w.conn.Load()
 	if c != nil && c.stale() {
@@ -62,7 +65,7 @@
 	}
 }
 
-// ran tells after a failure whether the request may have run.
+// execution returns, after a failure, whether the request may have run.
 func (w *watch) ran() call.Execution {
 	c := w.conn.Load()
 	if c == nil {
@@ -74,7 +77,7 @@
 	return call.MayHaveRun
 }
 
-// connect is how long a connection took; 0 where none was had.
+// connectTime returns the time until a connection was obtained; 0 if there was none.
 func (w *watch) connect() time.Duration { return time.Duration(w.took.Load()) }
 
 // broken reports whether the target ended the connection.
@@ -83,8 +86,8 @@
 	return c != nil && c.broken.Load()
 }
 
-// drop closes the connection, so that nothing left on it is read as an answer
-// to a later request.
+// closeConn closes the connection, so that bytes left on it are never taken for the
+// response to a later request.
 func (w *watch) drop() {
 	if c := w.conn.Load(); c != nil {
 		c.Close()
