--- a/internal/forward/cross_test.go
+++ b/internal/forward/cross_test.go
@@ -30,7 +30,7 @@
 		late  bool // the request times out when the target calls pause
 		names bool // the target echoes the request id and doesn't call pause
 	}{
-		{"answer after the timeout", func(p *peer, pause func()) {
+		{"response after the timeout", func(p *peer, pause func()) {
 			pause()
 			p.say(answer("/1"))
 		}, true, false},
@@ -39,25 +39,25 @@
 			pause()
 			p.say("/1\n" + answer("/1"))
 		}, true, false},
-		{"answer dropped in its body", func(p *peer, pause func()) {
+		{"response closed within its body", func(p *peer, pause func()) {
 			p.say(chunked)
 			pause()
 			p.say("2\r\n/1\r\n0\r\n\r\n")
 		}, false, false},
-		{"two answers at once", func(p *peer, pause func()) {
+		{"two responses at once", func(p *peer, pause func()) {
 			p.say(answer("/1") + answer("/1"))
 			pause()
 		}, false, false},
-		{"two answers, the first empty", func(p *peer, pause func()) {
+		{"two responses, the first empty", func(p *peer, pause func()) {
 			p.say(answer("") + answer("/1"))
 			pause()
 		}, false, false},
-		{"second answer before the next request", func(p *peer, pause func()) {
+		{"second response before the next request", func(p *peer, pause func()) {
 			p.say(answer("/1"))
 			p.say(answer("/1"))
 			pause()
 		}, false, false},
-		{"second answer at any time", func(p *peer, _ func()) {
+		{"second response at any time", func(p *peer, _ func()) {
 			p.answer("/1")
 			p.answer("/1")
 		}, false, true},
--- a/internal/forward/watch.go
+++ b/internal/forward/watch.go
@@ -24,72 +24,72 @@
 }
 
 // attach returns a context with the trace hooks.
-func (w *watch) attach(ctx context.Context) context.Context {
-	w.trace.GetConn = w.getConn
-	w.trace.GotConn = w.gotConn
-	w.trace.GotFirstResponseByte = w.firstByte
-	return httptrace.WithClientTrace(ctx, &w.trace)
+func (t *watch) attach(ctx context.Context) context.Context {
+	t.trace.GetConn = t.getConn
+	t.trace.GotConn = t.gotConn
+	t.trace.GotFirstResponseByte = t.firstByte
+	return httptrace.WithClientTrace(ctx, &t.trace)
 }
 
 // getConn runs before the transport chooses a connection. A second call means
 // that the transport is resending the request, which could run it twice, for
 // example a caller's deposit. The panic stops the transport before it chooses a
 // connection.
-func (w *watch) getConn(string) {
-	if w.asked.Add(1) > 1 {
+func (t *watch) getConn(string) {
+	if t.asked.Add(1) > 1 {
 		panic(errResent)
 	}
-	w.askedAt = time.Now()
+	t.askedAt = time.Now()
 }
 
-func (w *watch) gotConn(info httptrace.GotConnInfo) {
+func (t *watch) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*conn)
 	if !ok {
 		return
 	}
-	w.took.Store(int64(time.Since(w.askedAt)))
-	w.start = c.begin()
-	w.connected()
-	w.conn.Store(c)
+	t.took.Store(int64(time.Since(t.askedAt)))
+	t.start = c.begin()
+	t.connected()
+	t.conn.Store(c)
 }
 
 // firstByte runs when a response begins. Bytes that were read before this
 // request was written belong to the response to an earlier request, which may be
 // another caller's. The transport would take them for the response to this
 // request, so the dispatch is cancelled.
-func (w *watch) firstByte() {
-	c := w.conn.Load()
+func (t *watch) firstByte() {
+	c := t.conn.Load()
 	if c != nil && c.stale() {
-		w.stale.Store(true)
-		w.cancel(errStale)
+		t.stale.Store(true)
+		t.cancel(errStale)
 	}
 }
 
 // execution returns, after a failure, whether the request may have run.
-func (w *watch) ran() call.Execution {
-	c := w.conn.Load()
+func (t *watch) ran() call.Execution {
+	c := t.conn.Load()
 	if c == nil {
 		return call.DidNotRun
 	}
-	if c.sent.Load() == w.start {
+	if c.sent.Load() == t.start {
 		return call.DidNotRun
 	}
 	return call.MayHaveRun
 }
 
 // connectTime returns the time until a connection was obtained; 0 if there was none.
-func (w *watch) connect() time.Duration { return time.Duration(w.took.Load()) }
+func (t *watch) connect() time.Duration { return time.Duration(t.took.Load()) }
 
 // broken reports whether the target ended the connection.
-func (w *watch) broken() bool {
-	c := w.conn.Load()
+func (t *watch) broken() bool {
+	c := t.conn.Load()
 	return c != nil && c.broken.Load()
 }
 
 // closeConn closes the connection, so that bytes left on it are never taken for the
 // response to a later request.
-func (w *watch) drop() {
-	if c := w.conn.Load(); c != nil {
+func (t *watch) drop() {
+	if c := t.conn.Load(); c != nil {
 		c.Close()
 	}
 }
