--- a/internal/forward/ask.go
+++ b/internal/forward/ask.go
@@ -26,17 +26,17 @@
 			used.Store(c)
 		}
 	}})
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
 		return 0, nil, err
 	}
-	r.Header["User-Agent"] = nil
-	w, err := f.transport.RoundTrip(r)
+	req.Header["User-Agent"] = nil
+	resp, err := f.transport.RoundTrip(req)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer w.Body.Close()
-	if f.cfg.Echo != "" && w.Header.Get(f.cfg.Echo) != "" {
+	defer resp.Body.Close()
+	if f.cfg.Echo != "" && resp.Header.Get(f.cfg.Echo) != "" {
 		// This is the response to an earlier request on the connection. The
 		// response to the probe would follow, and would be taken for the response
 		// to the next request.
@@ -45,8 +45,8 @@
 		}
 		return 0, nil, errStale
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(w.Body, maxAsk)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAsk)); err != nil {
 		return 0, nil, err
 	}
-	return w.StatusCode, w.Header, nil
+	return resp.StatusCode, resp.Header, nil
 }
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -45,7 +45,7 @@
 	defer func() { err = errors.WithMessage(err, "connection to a target") }()
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return nil, errors.Errorf("connection type %T has no file descriptor", c)
+		return nil, errors.Errorf("found %T, expected a connection with a file descriptor", c)
 	}
 	k = &conn{Conn: c}
 	k.peek = k.peekFD
--- a/internal/forward/load.go
+++ b/internal/forward/load.go
@@ -17,8 +17,8 @@
 }
 
 const (
-	maxLoad     = 128     // bytes
-	maxInflight = 1 << 20 // largest plausible number
+	maxLoad     = 128     // bytes of a report
+	maxInflight = 1 << 20 // largest valid number of requests
 )
 
 // readLoad returns the load report of a response and counts a malformed one.
