--- a/internal/forward/watch.go
+++ b/internal/forward/watch.go
@@ -9,84 +9,87 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// watch follows one dispatch through the transport.
+// transportTrace records the progress of one dispatch in the transport.
 type watch struct {
 	trace   httptrace.ClientTrace
 	cancel  context.CancelCauseFunc
-	asked   atomic.Int32
+	asked   atomic.Int32 // calls of getConn
 	conn    atomic.Pointer[conn]
-	start   int64
-	stale   atomic.Bool
-	askedAt time.Time    // for a connection
-	took    atomic.Int64 // how long that took, in ns
-	// connected is called when a connection is had, before anything is written to it.
+	start   int64        // bytes written to conn before this request
+	stale   atomic.Bool  // the response belongs to an earlier request
+	askedAt time.Time    // when a connection was requested
+	took    atomic.Int64 // time until it was obtained, in ns
+	// onConnected is called when a connection is obtained, before anything is written to it.
 	connected func()
 }
 
-func (w *watch) attach(ctx context.Context) context.Context {
-	w.trace.GetConn = w.getConn
-	w.trace.GotConn = w.gotConn
-	w.trace.GotFirstResponseByte = w.firstByte
-	return httptrace.WithClientTrace(ctx, &w.trace)
+// attach returns a context with the trace hooks.
+func (t *watch) attach(ctx context.Context) context.Context {
+	t.trace.GetConn = t.getConn
+	t.trace.GotConn = t.gotConn
+	t.trace.GotFirstResponseByte = t.firstByte
+	return httptrace.WithClientTrace(ctx, &t.trace)
 }
 
 // getConn runs before the transport chooses a connection. A second call means
-// that the transport sends the request again: a caller would see its deposit
-// taken twice. The panic stops it before a connection is chosen.
-func (w *watch) getConn(string) {
-	if w.asked.Add(1) > 1 {
+// that the transport is resending the request, which could run it twice, for
+// example a caller's deposit. The panic stops the transport before it chooses a
+// connection.
+func (t *watch) getConn(string) {
+	if t.asked.Add(1) > 1 {
 		panic(errResent)
 	}
-	w.askedAt = time.Now()
+	t.askedAt = time.Now()
 }
 
-func (w *watch) gotConn(info httptrace.GotConnInfo) {
+func (t *watch) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*conn)
 	if !ok {
 		return
 	}
-	w.took.Store(int64(time.Since(w.askedAt)))
-	w.start = c.begin()
-	w.connected()
-	w.conn.Store(c)
+	t.took.Store(int64(time.Since(t.askedAt)))
+	t.start = c.begin()
+	t.connected()
+	t.conn.Store(c)
 }
 
-// firstByte runs when an answer begins. Bytes that were read before this
-// request was written answer an earlier one: its caller's answer would reach
-// another caller. The transport takes them for the answer, so it is stopped.
-func (w *watch) firstByte() {
-	c := w.conn.Load()
+// firstByte runs when a response begins. Bytes that were read before this
+// request was written belong to the response to an earlier request, which may be
+// another caller's. The transport would take them for the response to this
+// request, so the dispatch is cancelled.
+func (t *watch) firstByte() {
+	c := t.conn.Load()
 	if c != nil && c.stale() {
-		w.stale.Store(true)
-		w.cancel(errStale)
+		t.stale.Store(true)
+		t.cancel(errStale)
 	}
 }
 
-// ran tells after a failure whether the request may have run.
-func (w *watch) ran() call.Execution {
-	c := w.conn.Load()
+// execution returns, after a failure, whether the request may have run.
+func (t *watch) ran() call.Execution {
+	c := t.conn.Load()
 	if c == nil {
 		return call.DidNotRun
 	}
-	if c.sent.Load() == w.start {
+	if c.sent.Load() == t.start {
 		return call.DidNotRun
 	}
 	return call.MayHaveRun
 }
 
-// connect is how long a connection took; 0 where none was had.
-func (w *watch) connect() time.Duration { return time.Duration(w.took.Load()) }
+// connectTime returns the time until a connection was obtained; 0 if there was none.
+func (t *watch) connect() time.Duration { return time.Duration(t.took.Load()) }
 
 // broken reports whether the target ended the connection.
-func (w *watch) broken() bool {
-	c := w.conn.Load()
+func (t *watch) broken() bool {
+	c := t.conn.Load()
 	return c != nil && c.broken.Load()
 }
 
-// drop closes the connection, so that nothing left on it is read as an answer
-// to a later request.
-func (w *watch) drop() {
-	if c := w.conn.Load(); c != nil {
+// closeConn closes the connection, so that bytes left on it are never taken for the
+// response to a later request.
+func (t *watch) drop() {
+	if c := t.conn.Load(); c != nil {
 		c.Close()
 	}
 }
