--- a/pkg/slot/book.go
+++ b/pkg/slot/book.go
@@ -9,41 +9,41 @@
 	"plumpitch.example/plumpitch/pkg/quota"
 )
 
-// Book holds the targets of one service and the requests that want one.
+// Balancer holds the targets of one service and the requests that are waiting for one.
 type Book struct {
 	cfg     Config
 	rnd     *rand.Rand
 	members map[string]*member
-	order   []*member // by id
+	order   []*member // by ID
 	absent  absences
 	flights map[uint64]*flight
 	seeking map[uint64]*seeker
-	queue   []*seeker // waiting, in the order in which they are served
+	queue   []*seeker // requests that no target can serve yet, in the order of compareQueued
 	usual   usuals
-	mean    float64 // pace over all targets
-	words   int     // that the mean is taken over
-	knee    float64 // how much longer work takes at a crowded target
-	view    survey  // of the targets, when they were last looked at
+	mean    float64 // over the last load reports of all targets
+	words   int     // load reports that count in meanPace
+	knee    float64 // measured increase of the service time at a crowded target
+	view    survey  // of the targets, from the last scan
 	warmup  Warmup
 	senders quota.Senders
-	share   quota.Share // of each holder of a cold target
-	limited int         // targets that name a limit
+	share   quota.Share // share of a cold target's bound for each holder
+	limited int         // targets that report a limit
 	scratch []candidate
 }
 
-// seeker is a request without a target.
+// pendingRequest is a request that has no target yet.
 type seeker struct {
 	Request
-	usual   time.Duration // time of its work at a target that is idle and not slow
+	usual   time.Duration // baseline of its class: at a target that is idle and not slow
 	asked   int
-	near    [choices]*member // the most promising targets when it asked
-	pending int              // answers still to come
-	until   time.Time        // end of the wait for them
-	again   time.Time        // earliest next question while it waits
+	near    [choices]*member // the most promising targets when it sent its probes
+	pending int              // probes that haven't been answered
+	until   time.Time        // end of the wait for their answers
+	again   time.Time        // earliest time of its next probes while it is queued
 	waiting bool
 }
 
-// New returns a book without targets.
+// New returns a balancer without targets.
 func New(cfg Config, rnd *rand.Rand) *Book {
 	cfg = cfg.withDefaults()
 	return &Book{
@@ -56,17 +56,17 @@
 	}
 }
 
-// Targets takes the whole list of targets. One that is missing gets no new
-// work; its requests in flight go on. One that has started again under its old
-// id is a new one: what was known of it (requests in flight, load, failures,
-// that another target had its address) is not the new one's. Kept, requests that
-// ended with the old one would fill its slots, and a crash would keep it out.
+// SetTargets replaces the list of targets. A target that is missing from the list gets no
+// new requests; its requests in flight continue. A target that has restarted under the same
+// ID begins with a clean state: requests in flight, load, failures and a reused address
+// belong to the old incarnation. Otherwise, requests that ended with the old incarnation
+// would fill the slots of the new one, and a crash would keep it ejected.
 func (b *Book) Targets(now time.Time, list []Target, out []Action) []Action {
-	old := b.members
+	previous := b.members
 	b.members = make(map[string]*member, len(list))
 	b.order = b.order[:0]
 	for _, t := range list {
-		m := old[t.ID]
+		m := previous[t.ID]
 		if m == nil || m.Born != t.Born {
 			m = b.enter(now, t)
 		}
@@ -77,7 +77,7 @@
 		b.members[t.ID] = m
 		b.order = append(b.order, m)
 	}
-	for id, m := range old {
+	for id, m := range previous {
 		if b.members[id] != m {
 			b.absent.add(now, m)
 		}
@@ -88,7 +88,7 @@
 	return b.serve(now, out)
 }
 
-// enter returns the member of a target that is new in the list, or back.
+// memberFor returns the member for a target that is new in the list or has come back to it.
 func (b *Book) enter(now time.Time, t Target) *member {
 	m := b.absent.take(t)
 	if m == nil {
@@ -101,7 +101,7 @@
 	return m
 }
 
-// Arrive takes a request.
+// Submit accepts a request and dispatches, queues or refuses it, or probes targets for it.
 func (b *Book) Arrive(now time.Time, r Request, out []Action) []Action {
 	s := &seeker{Request: r, usual: b.usual.of(r.Class)}
 	b.seeking[r.ID] = s
@@ -109,8 +109,8 @@
 		return b.refuse(s, NoTarget, b.cfg.PauseMin, out)
 	}
 	out = b.checkLimits(now, out)
-	if why, retry, ok := b.hopeless(now, s); ok {
-		return b.refuse(s, why, retry, out)
+	if reason, retryAfter, ok := b.hopeless(now, s); ok {
+		return b.refuse(s, reason, retryAfter, out)
 	}
 	if r.Hedge {
 		return b.ask(now, s, out)
@@ -124,7 +124,7 @@
 	return b.ask(now, s, out)
 }
 
-// Replied takes the end of a question.
+// ProbeDone handles the end of a probe.
 func (b *Book) Replied(now time.Time, r Reply, out []Action) []Action {
 	m := b.members[r.Target]
 	if m == nil {
@@ -160,8 +160,8 @@
 	}
 }
 
-// reported takes what a target has reported of itself in the response to a request or a
-// question that was sent at that time.
+// applyReport applies a target's report from the response to a request or a probe that was
+// sent at the time sent.
 func (b *Book) reported(now, sent time.Time, m *member, r Report, question bool, out []Action) []Action {
 	if r.Leaving && m.left.IsZero() {
 		m.left = now
@@ -179,8 +179,8 @@
 	return out
 }
 
-// meanWords is how many words on load the mean pace is taken over: those of
-// some tenths of a second, in which half of the targets change theirs.
+// maxMeanSamples is the number of load reports that meanPace covers: those of a few tenths
+// of a second, in which half of the targets change their pace.
 const meanWords = 64
 
 func (b *Book) tell(now time.Time, m *member, l Load) {
@@ -196,7 +196,7 @@
 	return b
 }
 
-// Done takes the end of a request at its target.
+// Done handles the end of a request at its target.
 func (b *Book) Done(now time.Time, e End, out []Action) []Action {
 	f := b.flights[e.ID]
 	if f == nil {
@@ -207,17 +207,17 @@
 	m.inFlight--
 	if e.Report.Loaded {
 		load := e.Report.Load
-		// Its own request may still be counted in its word.
+		// The target may still count this request in the load that it reports.
 		load.Running = max(load.Running-1, 0)
 		b.tell(now, m, load)
 	}
 	out = b.reported(now, f.sent, m, e.Report, false, out)
-	was := m.out
+	wasEjected := m.out
 	b.judge(now, f, e)
 	switch {
-	case m.out && !was:
+	case m.out && !wasEjected:
 		out = append(out, Action{Do: Rest, Target: m.Target})
-	case was && !m.out:
+	case wasEjected && !m.out:
 		out = append(out, Action{Do: Back, Target: m.Target})
 	}
 	return b.serve(now, out)
@@ -225,11 +225,11 @@
 
 func (b *Book) judge(now time.Time, f *flight, e End) {
 	m := f.member
-	took := now.Sub(f.sent)
+	latency := now.Sub(f.sent)
 	switch e.Kind {
 	case Served:
 		m.praise()
-		b.measure(now, f, took)
+		b.measure(now, f, latency)
 	case Failed, Lost, TimedOut:
 		m.blame(now, failWeight, &b.cfg)
 	case Shed:
@@ -246,46 +246,47 @@
 	}
 }
 
-// measure learns from how long an answer took. Targets that were slow already
-// when it was sent say little of the others.
-func (b *Book) measure(now time.Time, f *flight, took time.Duration) {
+// recordServiceTime updates the estimates from the latency of a response. Targets that were
+// slow when the request was sent tell little about the others, so the shared estimates
+// ignore them.
+func (b *Book) measure(now time.Time, f *flight, latency time.Duration) {
 	const weight = 1.0 / 32
-	crowded := f.member.crowded(f.beside)
-	plain := float64(f.usual) * f.pace
+	wasCrowded := f.member.crowded(f.beside)
+	predicted := float64(f.usual) * f.pace
 	switch {
 	case f.pace > b.cfg.Slow:
-	case crowded:
-		ratio := float64(took) / plain
+	case wasCrowded:
+		ratio := float64(latency) / predicted
 		b.knee += (min(max(ratio, 1), maxKnee) - b.knee) * weight
 	default:
-		b.usual.add(f.class, time.Duration(float64(took)/f.pace))
+		b.usual.add(f.class, time.Duration(float64(latency)/f.pace))
 	}
-	if crowded {
-		plain *= b.knee
+	if wasCrowded {
+		predicted *= b.knee
 	}
-	f.member.measure(now, took, time.Duration(plain))
+	f.member.measure(now, latency, time.Duration(predicted))
 }
 
-// maxKnee bounds what one answer may say of a crowded target.
+// maxCrowdedSample bounds the effect of one response on crowdedFactor.
 const maxKnee = 3
 
-// mayEject keeps half of the targets in that may get work at all: a fault that all
-// share would leave nothing to send to.
+// canEject reports whether another target may be ejected. Half of the available targets
+// always stay: a fault that all of them share would leave no target otherwise.
 func (b *Book) mayEject() bool {
-	out, all := 0, 0
+	ejected, available := 0, 0
 	for _, m := range b.order {
 		if m.leaves() {
 			continue
 		}
-		all++
+		available++
 		if m.out {
-			out++
+			ejected++
 		}
 	}
-	return 2*(out+1) <= all
+	return 2*(ejected+1) <= available
 }
 
-// Cancel takes back a request that seeks a target.
+// Cancel withdraws a request, whether it is pending or at a target.
 func (b *Book) Cancel(now time.Time, id uint64, out []Action) []Action {
 	s := b.seeking[id]
 	if s == nil {
@@ -295,17 +296,17 @@
 	return out
 }
 
-// Usual returns how long work of a class takes at a target that is idle and not
+// ServiceTime returns the baseline service time of a class: at a target that is idle and not
 // slow.
 func (b *Book) Usual(class string) time.Duration { return b.usual.of(class) }
 
-// Size returns the number of targets.
+// NumTargets returns the number of targets.
 func (b *Book) Size() int { return len(b.members) }
 
-// Has reports whether there is such a target.
+// HasTarget reports whether the list contains the target with this ID.
 func (b *Book) Has(id string) bool { return b.members[id] != nil }
 
-// Len returns the number of requests that seek a target and of those in flight.
+// RequestCounts returns the numbers of pending requests and of requests in flight.
 func (b *Book) Len() (seeking, inFlight int) {
 	return len(b.seeking), len(b.flights)
 }
@@ -318,22 +319,22 @@
 	}
 }
 
-func (b *Book) refuse(s *seeker, r Reason, retry time.Duration, out []Action) []Action {
+func (b *Book) refuse(s *seeker, reason Reason, retryAfter time.Duration, out []Action) []Action {
 	b.drop(s)
-	return append(out, Action{Do: Refuse, ID: s.ID, Reason: r, Retry: retry})
+	return append(out, Action{Do: Refuse, ID: s.ID, Reason: reason, Retry: retryAfter})
 }
 
 func (b *Book) send(now time.Time, s *seeker, m *member, out []Action) []Action {
 	b.drop(s)
 	pace := m.estimate(now, b.mean, &b.cfg)
-	beside := m.busy(now, &b.cfg)
-	why := Why{
-		InFlight: beside, Told: m.loads, Pace: m.pace, Age: now.Sub(m.told), Asked: s.asked, Waited: now.Sub(s.Arrived),
+	concurrent := m.busy(now, &b.cfg)
+	decision := Why{
+		InFlight: concurrent, Told: m.loads, Pace: m.pace, Age: now.Sub(m.told), Asked: s.asked, Waited: now.Sub(s.Arrived),
 		Expected: m.expected(now, s.usual, pace, b.knee, &b.cfg),
 	}
 	m.inFlight++
 	m.ration.Sent(now)
 	m.limit.ration.Sent(now)
-	b.flights[s.ID] = &flight{member: m, sent: now, beside: beside, pace: pace, class: s.Class, usual: s.usual}
-	return append(out, Action{Do: Send, ID: s.ID, Target: m.Target, Why: why})
+	b.flights[s.ID] = &flight{member: m, sent: now, beside: concurrent, pace: pace, class: s.Class, usual: s.usual}
+	return append(out, Action{Do: Send, ID: s.ID, Target: m.Target, Why: decision})
 }
--- a/pkg/slot/choose.go
+++ b/pkg/slot/choose.go
@@ -9,56 +9,56 @@
 	return slices.ContainsFunc(b.order, func(m *member) bool { return !m.leaves() })
 }
 
-// atHome reports whether requests with these homes may be sent to m. A target of which
-// the region isn't known may be anywhere.
+// inRegions reports whether the target may serve requests that are restricted to these
+// regions; none means no restriction. A target with an unknown region may be anywhere, so it
+// serves no restricted request.
 func (m *member) atHome(homes []string) bool {
 	return len(homes) == 0 || slices.Contains(homes, m.Region)
 }
 
-// housed reports whether any target may get requests with these homes.
+// anyInRegions reports whether any available target may serve requests with these regions.
 func (b *Book) housed(homes []string) bool {
 	return len(homes) == 0 || slices.ContainsFunc(b.order, func(m *member) bool { return !m.leaves() && m.atHome(homes) })
 }
 
-// usable reports whether s may be sent to m, as far as is known.
+// usable reports whether s may be dispatched to m, by the current estimate of its load.
 func (b *Book) usable(now time.Time, m *member, s *seeker) bool {
 	return m.open(now) && m.busy(now, &b.cfg) < m.Slots && b.admits(now, m) && m.atHome(s.Homes) && !slices.Contains(s.Tried, m.ID)
 }
 
-// room reports whether any target could take s.
+// anyUsable reports whether any target may get s.
 func (b *Book) room(now time.Time, s *seeker) bool {
 	return slices.ContainsFunc(b.order, func(m *member) bool { return b.usable(now, m, s) })
 }
 
-// candidate is a target with the time that an answer from it should take.
+// candidate is a target with the expected latency of a response from it.
 type candidate struct {
 	*member
 	pace     float64
 	expected time.Duration
-	cost     float64 // expected, with what speaks against the target
+	cost     float64 // expected latency with all penalties
 }
 
-// candidates returns at most n of the targets that could take s, the most
-// promising first. It looks at each target once, from a random one on, so that
-// equal ones take turns.
+// candidates returns at most n targets that may get s, in order of cost. It scans all
+// targets once from a random offset, so that targets of equal cost take turns.
 func (b *Book) candidates(now time.Time, s *seeker, n int) []candidate {
 	list := b.scratch[:0]
 	total := len(b.order)
 	if total == 0 || n <= 0 {
 		return nil
 	}
-	from := b.rnd.IntN(total)
-	var view survey
+	offset := b.rnd.IntN(total)
+	var stats survey
 	for i := range total {
-		m := b.order[(from+i)%total]
-		view.add(now, m, &b.cfg)
+		m := b.order[(offset+i)%total]
+		stats.add(now, m, &b.cfg)
 		if !b.usable(now, m, s) {
 			continue
 		}
 		list = insert(list, b.candidate(now, m, s), n)
 	}
 	b.scratch = list
-	b.view = view
+	b.view = stats
 	return list
 }
 
@@ -69,25 +69,25 @@
 	return c
 }
 
-// insert keeps the n most promising candidates in order.
+// insert adds c to the list, which is ordered by cost and holds at most n candidates.
 func insert(list []candidate, c candidate, n int) []candidate {
-	at := len(list)
-	for at > 0 && c.cost < list[at-1].cost {
-		at--
+	pos := len(list)
+	for pos > 0 && c.cost < list[pos-1].cost {
+		pos--
 	}
-	if at == n {
+	if pos == n {
 		return list
 	}
 	if len(list) == n {
 		list = list[:n-1]
 	}
-	return slices.Insert(list, at, c)
+	return slices.Insert(list, pos, c)
 }
 
-// unsureFactor is what a target counts for more that leaves a question without
-// an answer for unsureAfter, several round trips: its VM may be gone. What is
-// sent there is held until its connection is given up, half a second later, and
-// so would be each trial that the target gets after that.
+// unansweredPenalty multiplies the cost of a target that has left a probe unanswered for
+// unansweredAfter, which is several round trips: its VM may be gone. A request to such a
+// target is held until its connection times out half a second later, and so is every trial
+// request that the target gets after that.
 const (
 	unsureFactor = 3
 	unsureAfter  = 10 * time.Millisecond
@@ -107,7 +107,7 @@
 	return cost
 }
 
-// ask asks the most promising targets for their load.
+// probe probes the most promising targets for their load.
 func (b *Book) ask(now time.Time, s *seeker, out []Action) []Action {
 	list := b.candidates(now, s, choices)
 	if len(list) == 0 {
@@ -118,8 +118,8 @@
 		s.near[i] = c.member
 	}
 	s.until = now.Add(b.cfg.AskTime)
-	more := b.more()
-	for i, c := range list[:min(len(list), max(b.cfg.Ask, 0)+more)] {
+	extra := b.more()
+	for i, c := range list[:min(len(list), max(b.cfg.Ask, 0)+extra)] {
 		if i >= b.cfg.Ask && !c.unknown(now, &b.cfg) {
 			continue
 		}
@@ -141,26 +141,25 @@
 	return out
 }
 
-// askFresh is how old a target's word may be to be taken without a question. It
-// is a fifteenth of the time in which the pace changes.
+// freshLoadAge is the age up to which a load report makes a probe unnecessary. It is a
+// fifteenth of the time in which the pace changes.
 const askFresh = 10 * time.Millisecond
 
-// What counts as ideal: a pace as usual, and answers that took no longer than
-// that says. Both are within what one answer differs from the next.
+// A target is ideal when its pace is normal and its responses took no longer than that pace
+// predicts. Both bounds lie within the variation from one response to the next.
 const (
 	idealPace = 1.1
 	idealSlow = 1.5
 )
 
-// ideal reports whether m just said that it is idle and as fast as usual: then
-// no other answer can change the choice.
+// ideal reports whether m has just reported that it is idle and that its pace is normal. No
+// other answer can change the choice then.
 func (b *Book) ideal(now time.Time, m *member, s *seeker) bool {
 	idle := b.usable(now, m, s) && m.busy(now, &b.cfg) == 0
 	return idle && m.pace <= idealPace && m.slower(now) < idealSlow && !m.isCold(now)
 }
 
-// decide sends s to the target that promises the earliest end, if that is good
-// enough.
+// decide dispatches s to the acceptable target with the lowest cost.
 func (b *Book) decide(now time.Time, s *seeker, out []Action) []Action {
 	s.pending = 0
 	m := b.firstGood(now, s, b.nearest(now, s))
@@ -182,10 +181,9 @@
 	return nil
 }
 
-// nearest returns the targets that were most promising when s asked, as they are
-// now. Little else has changed in the time of an answer, so that a second look
-// at all targets is needed only when none of these is good: that look is half
-// of a decision at 250 targets.
+// refreshShortlist returns the shortlist of s with current costs. Little else changes while
+// the probes are answered, so a second scan of all targets is needed only when none of these
+// is acceptable. That scan takes half of the time of a decision with 250 targets.
 func (b *Book) nearest(now time.Time, s *seeker) []candidate {
 	list := b.scratch[:0]
 	for _, m := range s.near {
@@ -197,13 +195,13 @@
 	return list
 }
 
-// choices is how many targets are looked at for a good one. The first is nearly
-// always taken; the others are for those to which a second request may not go, and to
-// be asked where little is known.
+// maxCandidates is the number of candidates that a decision considers. The first is nearly
+// always chosen. The others are needed when a target can't take a second request, and for
+// extra probes when the load of many targets is unknown.
 const choices = 12
 
-// good reports whether m should answer s within its objective. A second
-// request at a slow target would hold up both for long.
+// acceptable reports whether the target is expected to answer s within its objective. A
+// second request at a slow target would delay both for long.
 func (b *Book) good(now time.Time, c candidate, s *seeker) bool {
 	if c.busy(now, &b.cfg) > 0 && c.pace > b.cfg.Slow {
 		return false
@@ -211,9 +209,9 @@
 	return !now.Add(c.expected).After(s.Objective)
 }
 
-// settle decides what becomes of a request for which no target is good enough:
-// it waits while it can still meet its objective. After that it is served late
-// by a target that would be idle otherwise, or refused.
+// waitOrRefuse handles a request for which no target is acceptable. It is queued while it
+// can still meet its objective. After that it is dispatched late to an idle target, or
+// refused.
 func (b *Book) settle(now time.Time, s *seeker, out []Action) []Action {
 	if s.Hedge {
 		return b.refuse(s, Full, 0, out)
@@ -226,8 +224,8 @@
 			return b.send(now, s, c.member, out)
 		}
 	}
-	if why, retry, ok := b.hopeless(now, s); ok {
-		return b.refuse(s, why, retry, out)
+	if reason, retryAfter, ok := b.hopeless(now, s); ok {
+		return b.refuse(s, reason, retryAfter, out)
 	}
 	return b.refuse(s, Full, b.retry(s.usual), out)
 }
--- a/pkg/slot/cold.go
+++ b/pkg/slot/cold.go
@@ -6,13 +6,13 @@
 	"plumpitch.example/plumpitch/pkg/quota"
 )
 
-// Warmup is what is known of the targets of a service that have just started.
+// Warmup describes the cold targets of a service, those that have just started.
 type Warmup struct {
 	Bound quota.ColdBound
-	Time  time.Duration // for which they are cold
+	Time  time.Duration // of the warm-up
 }
 
-// Warmup takes what the configuration says of cold targets.
+// SetWarmup sets the configuration of cold targets.
 func (b *Book) Warmup(now time.Time, w Warmup) {
 	if w == b.warmup {
 		return
@@ -21,14 +21,14 @@
 	b.deal(now)
 }
 
-// Senders takes which entries send to the service. While there are none, as at an entry
-// that is cut off from the others, cold targets get nothing.
+// SetSenders sets the entries that send to the service. While there are none, as at an entry
+// that is isolated from the others, cold targets get no requests.
 func (b *Book) Senders(now time.Time, s quota.Senders) {
 	b.senders = s
 	b.deal(now)
 }
 
-// deal works out which targets this entry holds a share of.
+// updateShares determines the targets of which this entry holds a share.
 func (b *Book) deal(now time.Time) {
 	b.share = quota.NewColdShare(b.warmup.Bound, b.senders.Len())
 	for _, m := range b.order {
@@ -39,7 +39,7 @@
 	}
 }
 
-// bears reports whether the bound on what a cold target gets lets this entry send to m.
+// admitsCold reports whether the bound for cold targets lets this entry send to m now.
 func (b *Book) bears(now time.Time, m *member) bool {
 	if !m.isCold(now) || !b.warmup.Bound.Limited {
 		return true
@@ -47,8 +47,8 @@
 	return m.ration.Admits(now, b.share)
 }
 
-// thawed is when m is warm or, if that is sooner, when this entry may send it a request
-// while it is cold.
+// nextAdmittedCold returns when m has warmed up or, if earlier, when this entry may send a
+// request to it while it is cold.
 func (b *Book) thawed(now time.Time, m *member) time.Time {
 	at := m.cold
 	if next, ok := m.ration.Next(now, b.share); ok {
@@ -57,13 +57,14 @@
 	return at
 }
 
-// returns notes that a target's failure domain is in use again. It may have become cold
-// meanwhile and can't have been asked, so it counts as cold until it says something else.
+// evacuationEnded handles the end of the evacuation of a target's failure domain. The target
+// may have become cold meanwhile and wasn't probed, so it counts as cold until it reports
+// otherwise.
 func (b *Book) returns(now time.Time, m *member) {
 	m.cold = later(m.cold, now.Add(b.warmup.Time))
 }
 
-// soonest returns the earlier of two times of which either may not be set.
+// earliest returns the earlier of two times; the zero time counts as unset.
 func soonest(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
@@ -71,5 +72,5 @@
 	return a
 }
 
-// isCold reports whether the target has just started, as far as is known.
+// isCold reports whether the target's warm-up is still in progress.
 func (m *member) isCold(now time.Time) bool { return !m.cold.IsZero() && now.Before(m.cold) }
--- a/pkg/slot/doc.go
+++ b/pkg/slot/doc.go
@@ -1,12 +1,13 @@
-// Package slot decides which target serves a request, and when it is better
-// refused. A Book holds the targets of one service. It does no I/O, starts no
-// goroutine and reads no clock: events come in with the time, actions go out.
+// Package slot chooses the target that serves each request of one service, and refuses
+// requests that no target could serve in time. A Balancer holds the targets of the service.
+// It does no I/O, starts no goroutine and reads no clock: callers pass in events with the
+// current time and carry out the actions that it returns.
 //
-// How long work takes at a target changes several times a second, so a report
-// is old within tens of milliseconds. A request therefore asks a few of the
-// best-looking targets just before it is sent, and goes to the one whose answer
-// promises the earliest end. A target never holds more than two requests more
-// than it should: the second one slows down both, and nothing queues there.
+// The service time at a target changes several times a second, so a load report is out of
+// date within tens of milliseconds. The balancer therefore probes a few of the most
+// promising targets just before it dispatches a request, and chooses the one with the
+// earliest expected response. A target never holds more than two requests more than it
+// should: the second one slows down both, and nothing queues there.
 package slot
 
 import (
@@ -21,38 +22,37 @@
 	Service string
 	Place   string // failure domain
 	Slots   int    // requests that it runs at once
-	Leaving bool   // it wants no new work
-	// Region is that of its failure domain, empty if unknown. It is no part of the
-	// target's own record.
+	Leaving bool   // it accepts no new requests
+	// Region is the region of the target's failure domain, empty if unknown. It isn't part
+	// of the target's own record.
 	Region string
-	// Evacuated says that the operator wants no requests in its failure domain. It
-	// is no part of the target's own record.
+	// Evacuated reports whether the operator has evacuated the target's failure domain. It
+	// isn't part of the target's own record.
 	Evacuated bool
-	Warm      time.Time // until then its work takes longer
-	// Born is the start of this incarnation in Unix milliseconds, 0 if unknown.
-	// A target may start again under its old id.
+	Warm      time.Time // end of the warm-up, during which the service time is higher
+	// StartedMillis is the start of this incarnation in Unix milliseconds, 0 if unknown. A
+	// target may restart under the same ID.
 	Born int64
 }
 
-// Run names the incarnation.
+// Incarnation returns a name that is unique to this incarnation of the target.
 func (t Target) Run() string {
 	return t.ID + "@" + strconv.FormatInt(t.Born, 10)
 }
 
-// Evacuation is the operator's mark on a failure domain that is to get no requests,
-// under the domain's name. It holds until it is removed.
+// Evacuation excludes the targets of a failure domain from new requests. It is stored under
+// the name of the domain and stays in force until it is removed.
 type Evacuation struct{}
 
-// SameEvacuation reports whether two marks differ in nothing that a decision needs.
+// EquivalentEvacuations reports whether two evacuations are the same for every decision.
 func SameEvacuation(Evacuation, Evacuation) bool { return true }
 
-// warmNoise is by how much the end of one warm-up differs from report to report, as
-// each counts from the time at which it was read.
+// warmupTolerance bounds the difference between two reports of the end of the same warm-up.
+// Each report counts from the time at which it was read.
 const warmNoise = 1500 * time.Millisecond
 
-// Same reports whether the record b, which follows a, differs in nothing that a
-// decision needs. A warm-up that has begun anew matters: a target may become cold
-// again while it runs.
+// Equivalent reports whether b, the record that follows a, is the same for every decision. A
+// warm-up that has begun again makes a difference: a running target may become cold again.
 func Same(a, b Target) bool {
 	cold := b.Warm.Sub(a.Warm) > warmNoise
 	a.Warm, b.Warm = time.Time{}, time.Time{}
@@ -61,10 +61,10 @@
 	return a == b && !cold
 }
 
-// Load is what a target says of itself.
+// Load is the load that a target reports.
 type Load struct {
-	Running int // requests that have begun, also those of other entries
+	Running int // requests that have begun, including those of other entries
 	Waiting int
 	Slots   int
-	Pace    float64 // how long work takes there, as a multiple of the usual
+	Pace    float64 // service time as a multiple of the baseline: 1 is normal, 2 is half as fast
 }
--- a/pkg/slot/event.go
+++ b/pkg/slot/event.go
@@ -2,80 +2,80 @@
 
 import "time"
 
-// Request wants a target.
+// Request is a request that needs a target.
 type Request struct {
-	ID        uint64    // unique in the book
+	ID        uint64    // unique in the balancer
 	Arrived   time.Time // at this entry
-	Objective time.Time // an answer is worth its full credit until then
-	Deadline  time.Time // no answer is of use after it
-	Priority  int       // 0 goes first
-	Homes     []string  // regions whose targets may get it; empty for all
-	Tried     []string  // targets that failed it, which it isn't sent to again
-	Hedge     bool      // it is sent at once, or not at all
-	Class     string    // requests of one class take about as long as each other
+	Objective time.Time // end of the time in which a response counts as prompt
+	Deadline  time.Time // a response is useless after it
+	Priority  int       // 0 is the most urgent
+	Homes     []string  // regions whose targets may serve it; empty for all
+	Tried     []string  // IDs of targets that failed it and may not get it again
+	Hedge     bool      // it is dispatched without a wait in the queue, or refused
+	Class     string    // requests of one class have similar service times
 }
 
-// Kind is how a request ended at its target.
+// Outcome is how a request ended at its target.
 type Kind uint8
 
-// Ends of a request at a target.
+// Outcomes of a request at a target.
 const (
-	Served    Kind = iota // answered as it should be
-	Failed                // answered with a server error
-	Shed                  // refused by the target, surely not run
-	Lost                  // connection failed, or the answer broke off
-	TimedOut              // no answer in time
-	Cancelled             // the caller is gone, or another answer came first
+	Served    Kind = iota // successful response
+	Failed                // response with a server error
+	Shed                  // refused by the target and certainly not run
+	Lost                  // the connection failed, or the response was incomplete
+	TimedOut              // no response in time
+	Cancelled             // the caller left, or another response came first
 )
 
-// End is the end of a request at a target.
+// Completion is the end of a request at a target.
 type End struct {
 	ID     uint64
 	Kind   Kind
 	Report Report
-	Moved  bool // another target has its address now
+	Moved  bool // another target now has this address
 }
 
-// Reply is the end of a question to a target for its load.
+// ProbeResult is the end of a load probe.
 type Reply struct {
 	Target string
 	Report Report
-	Well   bool          // it answered, and says that it is well
-	Cold   time.Duration // for how much longer it is cold
-	Warmth bool          // whether Cold was given
+	Well   bool          // the target answered and reported that it is healthy
+	Cold   time.Duration // rest of its warm-up
+	Warmth bool          // whether ColdFor was reported
 }
 
-// Do is what the driver has to do.
+// ActionKind is what the caller of the balancer has to do.
 type Do uint8
 
-// The actions.
+// Kinds of actions. Those with the prefix Note only announce a change.
 const (
-	Ask    Do = iota + 1 // ask Target for its load; a Reply follows in any case
+	Ask    Do = iota + 1 // probe Target for its load; ProbeDone has to be called in any case
 	Send                 // send request ID to Target
-	Refuse               // request ID gets no target
-	Rest                 // Target is out: it fails what it is sent
+	Refuse               // refuse request ID
+	Rest                 // Target was ejected because it fails requests
 	Back                 // Target gets requests again
-	Leaves               // Target has reported that it leaves
-	Limit                // Target has named a limit, another one than before, or none any more
-	Pause                // Target wants nothing from this entry for the time in Retry
+	Leaves               // Target has reported that it is leaving
+	Limit                // Target has reported a new limit, or none any more
+	Pause                // Target has asked this entry to pause for RetryAfter
 )
 
-// Reason tells why a request was refused.
+// Reason is why a request was refused.
 type Reason uint8
 
-// Reasons of a refusal.
+// Reasons for a refusal.
 const (
 	NoReason Reason = iota
 	Full            // no target could answer it in time
-	NoTarget        // no target may get work
-	Cold            // all targets have just started and have had what they bear
-	Paused          // all targets have had what they take or, some of them, want nothing for a time
-	Limited         // the same, some of them by a limit that they name
+	NoTarget        // no target is available
+	Cold            // all targets are cold and at the bound for cold targets
+	Paused          // all targets are at their bounds or have asked for a pause
+	Limited         // all targets are at their bounds, at least one of them at a limit that it reports
 )
 
 var reasons = [...]string{"none", "full", "notarget", "cold", "paused", "limited"}
 
-// String returns the one-word name of a reason.
+// String returns the name of the reason as one word.
 func (r Reason) String() string {
 	if int(r) >= len(reasons) {
 		return reasons[0]
@@ -83,25 +83,25 @@
 	return reasons[r]
 }
 
-// Action is one thing for the driver to do.
+// Action is something that the caller of the balancer has to do.
 type Action struct {
 	Do     Do
 	ID     uint64
 	Target Target
-	Reason Reason        // of Refuse
-	Retry  time.Duration // of Refuse: when room is likely; of Pause: for how long
-	Why    Why           // of Send
-	Rate   float64       // of Limit: requests a second
-	Named  bool          // of Limit: whether there is one
+	Reason Reason        // for Refuse
+	Retry  time.Duration // for Refuse: when a retry is likely to succeed; for NotePause: length of the pause
+	Why    Why           // for Send
+	Rate   float64       // for NoteLimit: requests per second
+	Named  bool          // for NoteLimit: whether the target has a limit
 }
 
-// Why is what a choice was made by, for the log.
+// Decision holds the inputs of the choice of a target, for the log.
 type Why struct {
-	InFlight int           // requests at the target, this one excluded
-	Told     bool          // whether the target has told its load
-	Pace     float64       // as it was last told
-	Age      time.Duration // of that word
-	Expected time.Duration // until the answer
-	Asked    int           // targets that were asked
-	Waited   time.Duration // since the request's arrival
+	InFlight int           // requests at the target, not counting this one
+	Told     bool          // whether the target has reported its load
+	Pace     float64       // from the last load report
+	Age      time.Duration // age of that report
+	Expected time.Duration // expected latency
+	Asked    int           // targets that were probed
+	Waited   time.Duration // time since the request arrived
 }
--- a/pkg/slot/limit.go
+++ b/pkg/slot/limit.go
@@ -6,15 +6,15 @@
 	"plumpitch.example/plumpitch/pkg/quota"
 )
 
-// limit is what a target has reported of its limit, and what this entry may send to it
-// under that. Nothing is held back while none is named.
+// targetLimit is the limit that a target reports, and this entry's share of it. Without a
+// reported limit nothing is held back.
 type limit struct {
-	rate  float64 // requests a second, from all entries
+	rate  float64 // requests per second from all entries
 	named bool
-	since time.Time // when it was first named
-	at    time.Time // when it was last named
-	// asked says that the target has named it in the answer to a question. Only then
-	// does such an answer without a limit end one.
+	since time.Time // when it was first reported
+	at    time.Time // when it was last reported
+	// inProbes reports whether the target has included the limit in the answer to a probe.
+	// Only then does an answer without a limit end it.
 	asked  bool
 	share  quota.Share
 	ration quota.Ration
@@ -24,9 +24,10 @@
 	return limit{ration: quota.NewRation(target, quota.LimitSpan)}
 }
 
-// take takes a report on a request or a question that was sent at that time, and tells
-// whether the limit has changed. A response that may have been made before the last one
-// that named a limit neither raises nor ends it.
+// update applies a report from the response to a request or a probe that was sent at the
+// time sent, and reports whether the limit has changed. A response may be older than the
+// last report of a limit if its request was sent before that report; it neither raises nor
+// ends the limit.
 func (l *limit) take(now, sent time.Time, r Report, question bool) (changed bool) {
 	stale := sent.Before(l.at)
 	switch {
@@ -47,7 +48,7 @@
 	return false
 }
 
-// deal takes which entries send to the target.
+// updateShare sets the entries that send to the target.
 func (l *limit) deal(now time.Time, senders quota.Senders) {
 	l.share = quota.Share{}
 	if l.named {
@@ -60,7 +61,8 @@
 	return !l.named || l.ration.Admits(now, l.share)
 }
 
-// next is when the limit lets this entry send again; ok is false where it never does.
+// nextAdmitted returns when the limit lets this entry send again; ok is false if it never
+// does.
 func (l *limit) next(now time.Time) (at time.Time, ok bool) {
 	if !l.named {
 		return now, true
@@ -68,7 +70,7 @@
 	return l.ration.Next(now, l.share)
 }
 
-// perSecond is how many requests a second this entry may send at the most.
+// perSecond returns the highest rate of requests per second that this entry may send.
 func (l *limit) perSecond() float64 {
 	if l.share.Gap <= 0 {
 		return 0
@@ -76,12 +78,13 @@
 	return 1 / l.share.Gap.Seconds()
 }
 
-// limitCheck is how long an entry that may send nothing to a limited target goes without
-// word from it. Without a question it would never learn that the limit has ended.
+// limitProbeInterval is the time without a report after which an entry probes a limited
+// target. An entry that may send nothing to the target would never learn otherwise that the
+// limit has ended.
 const limitCheck = 500 * time.Millisecond
 
-// due reports whether the target has to be asked for its limit. One that doesn't name it
-// in its answers to questions isn't asked.
+// limitProbeDue reports whether the target has to be probed for its limit. A target that
+// doesn't include its limit in answers to probes isn't probed.
 func (m *member) due(now time.Time) bool {
 	l := &m.limit
 	return l.named && !m.asking && !m.leaves() && !now.Before(m.paused) && now.Sub(later(l.at, m.askedAt)) >= limitCheck && (l.asked || m.askedAt.Before(l.since))
@@ -96,7 +99,7 @@
 	}
 }
 
-// checkLimits asks targets whether they still have a limit.
+// probeLimits probes targets whether they still have a limit.
 func (b *Book) checkLimits(now time.Time, out []Action) []Action {
 	if b.limited == 0 {
 		return out
--- a/pkg/slot/member.go
+++ b/pkg/slot/member.go
@@ -6,45 +6,45 @@
 	"plumpitch.example/plumpitch/pkg/quota"
 )
 
-// flight is a request at a target.
+// dispatch is a request at a target.
 type flight struct {
 	member *member
 	sent   time.Time
-	beside int     // requests there when it was sent
-	pace   float64 // when it was sent
+	beside int     // requests at the target when this one was sent
+	pace   float64 // estimated pace when it was sent
 	class  string
-	usual  time.Duration // of its class, when it was sent
+	usual  time.Duration // baseline of its class when it was sent
 }
 
-// member is a target with what is known of it.
+// member is a target with its state in this balancer.
 type member struct {
 	Target
 	inFlight int // requests of this entry
 
-	pace     float64 // as last told
-	foreign  int     // requests of other entries, as last told
+	pace     float64 // from the last load report
+	foreign  int     // requests of other entries, from the last load report
 	told     time.Time
-	loads    bool    // it tells its load
-	mute     bool    // it answers questions without telling its load
-	slowness float64 // how much longer it takes than it says, 1 is as said
+	loads    bool    // it has reported its load
+	mute     bool    // it answers probes without its load
+	slowness float64 // measured latency as a multiple of the expected latency
 	judged   time.Time
 
-	asking  bool      // a question is under way
-	askedAt time.Time // when it was asked
-	askers  []*seeker // requests that wait for its answer
+	asking  bool      // a probe is in flight
+	askedAt time.Time // when the last probe was sent
+	askers  []*seeker // requests that wait for the answer
 
-	fails  float64 // recent failures, less what went well since
+	fails  float64 // recent failures; each success reduces it
 	out    bool    // it gets trial requests only
 	rest   time.Time
 	pause  time.Duration
-	sheds  int // in a row
+	sheds  int // consecutive
 	closed time.Time
-	moved  bool // another target answered at its address
+	moved  bool // another target has answered at its address
 
-	left   time.Time // when it reported that it leaves
-	paused time.Time // it wants nothing from this entry until then
+	left   time.Time // when it reported that it is leaving
+	paused time.Time // end of the pause that it has asked this entry for
 	limit  limit
-	cold   time.Time // it has just started and is cold until then
+	cold   time.Time // end of its warm-up
 	ration quota.Ration
 }
 
@@ -52,24 +52,25 @@
 	return &member{Target: t, pace: 1, slowness: 1, cold: t.Warm, ration: quota.NewRation(t.ID, quota.ColdSpan), limit: newLimit(t.ID)}
 }
 
-// estimate is the pace that is to be expected now: the last word, which goes
-// by halves towards the mean of all as it ages. A target that has said nothing
-// is taken for the mean: were it taken for one as fast as usual, it would be
-// preferred to those that were asked and said that they are.
-func (m *member) estimate(now time.Time, mean float64, c *Config) float64 {
+// estimatedPace returns the expected current pace: the last reported one, which approaches
+// the mean of all targets as it ages. A target that has reported nothing gets the mean. A
+// normal pace as its estimate would make it preferable to targets that were probed and
+// reported about the normal pace.
+func (m *member) estimate(now time.Time, meanPace float64, c *Config) float64 {
 	if !m.loads {
-		return mean
+		return meanPace
 	}
-	fresh := aged(now.Sub(m.told), c.Hold)
-	return m.pace*fresh + mean*(1-fresh)
+	weight := aged(now.Sub(m.told), c.Hold)
+	return m.pace*weight + meanPace*(1-weight)
 }
 
-// aged is the weight of a word of that age, half of it after half.
-func aged(age, half time.Duration) float64 {
-	return float64(half) / float64(half+max(age, 0))
+// ageWeight returns the weight of a report of this age; at the age half it is one half.
+func aged(age, halfLife time.Duration) float64 {
+	return float64(halfLife) / float64(halfLife+max(age, 0))
 }
 
-// others is how many requests of other entries it holds. That word ages too.
+// otherInFlight returns the estimated number of requests of other entries at the target. The
+// report expires after twice LoadHalfLife.
 func (m *member) others(now time.Time, c *Config) int {
 	if m.foreign == 0 || now.Sub(m.told) > 2*c.Hold {
 		return 0
@@ -81,8 +82,8 @@
 	return m.inFlight + m.others(now, c)
 }
 
-// slower is how much longer than it says the target takes. A target that is
-// never sent anything would never be seen to have recovered, so this ages.
+// currentLatencyRatio returns latencyRatio, which decays towards 1 with age: a target that
+// gets no requests could never show that it has recovered.
 func (m *member) slower(now time.Time) float64 {
 	if m.slowness == 1 {
 		return 1
@@ -91,11 +92,11 @@
 	return 1 + (m.slowness-1)*aged(now.Sub(m.judged), half)
 }
 
-// expected is how long an answer takes that is asked for now.
-func (m *member) expected(now time.Time, usual time.Duration, pace, knee float64, c *Config) time.Duration {
-	d := float64(usual) * pace * m.slower(now)
+// expectedLatency returns the expected latency of a response to a request that is sent now.
+func (m *member) expected(now time.Time, serviceTime time.Duration, pace, crowdedFactor float64, c *Config) time.Duration {
+	d := float64(serviceTime) * pace * m.slower(now)
 	if m.crowded(m.busy(now, c)) {
-		d *= knee
+		d *= crowdedFactor
 	}
 	if m.isCold(now) {
 		d *= coldFactor
@@ -103,19 +104,18 @@
 	return time.Duration(d)
 }
 
-// fullShare is the share of its slots from which on work at a target takes
-// longer.
+// crowdedShare is the share of its slots above which the service time of a target increases.
 const fullShare = 0.8
 
-// crowded reports whether work takes longer beside that many other requests.
-func (m *member) crowded(beside int) bool {
-	return beside > 0 && float64(beside+1) > fullShare*float64(m.Slots)
+// crowded reports whether the service time increases beside this number of other requests.
+func (m *member) crowded(concurrent int) bool {
+	return concurrent > 0 && float64(concurrent+1) > fullShare*float64(m.Slots)
 }
 
-// coldFactor is how much longer work takes on a target that has just started.
+// coldFactor multiplies the service time of a target that has just started.
 const coldFactor = 2
 
-// tell takes the target's word on its load.
+// recordLoad applies the load that the target has reported.
 func (m *member) tell(now time.Time, l Load) {
 	m.loads = true
 	m.pace = l.Pace
@@ -123,9 +123,9 @@
 	m.told = now
 }
 
-// record takes the target's record. What a request has shown of its address
-// counts until the record changes. A target that leaves doesn't come back without a new
-// start: a record that says so is an older one.
+// updateRecord replaces the target's record. That its address is reused, as a response has
+// shown, holds until the record changes. A target that is leaving doesn't return without a
+// restart: a record that says otherwise is an older one.
 func (m *member) record(t Target) {
 	t.Leaving = t.Leaving || m.Leaving
 	if !Same(m.Target, t) {
@@ -137,14 +137,14 @@
 	m.Target = t
 }
 
-// leaves reports whether the target is to get no new work, or is no longer there. What it
-// has said in a response holds against its record: the store may be away, or the record
+// excluded reports whether the target may get no new requests. What it has reported in a
+// response takes precedence over its record: the store may be unavailable, or the record
 // older.
 func (m *member) leaves() bool {
 	return m.Leaving || !m.left.IsZero() || m.Evacuated || m.moved
 }
 
-// open reports whether the target may get a request at all now.
+// available reports whether the target may get a request now, apart from its load.
 func (m *member) open(now time.Time) bool {
 	if m.leaves() || now.Before(m.closed) {
 		return false
@@ -155,16 +155,16 @@
 	return true
 }
 
-// Weights of what speaks against a target, and the sum at which it is taken
-// out: two failures in a row, or four refusals. A target that fails half of its
-// requests comes to that within a few of them.
+// The failure score adds up failures with these weights. A target is ejected at ejectScore:
+// after two failures or four refusals in a row. A target that fails half of its requests
+// reaches that score within a few of them.
 const (
 	failWeight  = 1.0
 	shedWeight  = 0.5
 	failsOut    = 2.0
-	servedKeeps = 0.5 // part of the sum that an answer leaves
+	servedKeeps = 0.5 // factor of the score after a success
 	shedPause   = 20 * time.Millisecond
-	shedShift   = 4 // doublings of shedPause at the most
+	shedShift   = 4 // most doublings of shedCooldown
 )
 
 func (m *member) blame(now time.Time, weight float64, c *Config) {
@@ -187,10 +187,10 @@
 	m.rest = now.Add(m.pause)
 }
 
-// measure compares how long an answer took with what was expected.
-func (m *member) measure(now time.Time, took, expected time.Duration) {
+// recordLatency compares the latency of a response with the expected one.
+func (m *member) measure(now time.Time, latency, expected time.Duration) {
 	const weight = 0.3
-	ratio := min(max(float64(took)/float64(max(expected, time.Millisecond)), 0.3), 10)
+	ratio := min(max(float64(latency)/float64(max(expected, time.Millisecond)), 0.3), 10)
 	m.slowness = max(m.slower(now)*(1-weight)+ratio*weight, 0.7)
 	m.judged = now
 }
--- a/pkg/slot/queue.go
+++ b/pkg/slot/queue.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// askAgain is how long a waiting request goes on without a new question. Pace
-// changes in about 150 ms, so that a target asked 15 ms ago says little new.
+// reprobeInterval is the time between the probes of a queued request. Pace changes in about
+// 150 ms, so a target that was probed less than 15 ms ago has little new to report.
 const askAgain = 15 * time.Millisecond
 
-// wait puts s in the queue.
+// enqueue adds s to the queue and schedules its next probes.
 func (b *Book) wait(now time.Time, s *seeker, out []Action) []Action {
 	s.again = now.Add(askAgain)
 	if s.waiting {
@@ -22,25 +22,24 @@
 	return out
 }
 
-// before orders the queue: urgent ones first, then by the end of their time.
+// compareQueued orders the queue by priority, then by objective, then by ID.
 func before(x, y *seeker) int {
 	return cmp.Or(cmp.Compare(x.Priority, y.Priority), x.Objective.Compare(y.Objective), cmp.Compare(x.ID, y.ID))
 }
 
-// crowded reports whether so many requests would be served before s that it
-// could not meet its objective.
+// queueTooLong reports whether the requests ahead of s would make it miss its objective.
 func (b *Book) crowded(now time.Time, s *seeker) bool {
-	work := b.usual.all.mean
-	slots := b.capacity(now, s.Homes, work)
+	serviceTime := b.usual.all.mean
+	slots := b.capacity(now, s.Homes, serviceTime)
 	if slots == 0 {
 		slots = 1
 	}
-	wait := time.Duration(float64(work) * float64(b.ahead(s)+1) / slots)
+	wait := time.Duration(float64(serviceTime) * float64(b.ahead(s)+1) / slots)
 	return now.Add(wait + s.usual).After(s.Objective)
 }
 
-// serve sends waiting requests where a target has become good enough by what
-// was just told, and ends the wait of those whose time is up.
+// serveQueue dispatches queued requests to targets that have become acceptable by recent
+// load reports, and decides on those that can't wait any longer.
 func (b *Book) serve(now time.Time, out []Action) []Action {
 	if len(b.queue) > 0 && !b.anyOpen() {
 		return b.turnAway(out)
@@ -49,8 +48,8 @@
 		if s.pending > 0 {
 			continue
 		}
-		if next, sent := b.place(now, s, out); sent {
-			out = next
+		if actions, sent := b.place(now, s, out); sent {
+			out = actions
 			continue
 		}
 		if !now.Add(s.usual).Before(s.Objective) {
@@ -60,8 +59,8 @@
 	return out
 }
 
-// turnAway refuses all that wait, where no target is left that may get work: they
-// would wait in vain until their objective is over.
+// refuseQueue refuses all queued requests when no target is available. Otherwise they would
+// wait in vain until their objective has passed.
 func (b *Book) turnAway(out []Action) []Action {
 	for _, s := range slices.Clone(b.queue) {
 		out = b.refuse(s, NoTarget, b.cfg.PauseMin, out)
@@ -69,8 +68,8 @@
 	return out
 }
 
-// place sends s to a target of which fresh word says that it is good.
-func (b *Book) place(now time.Time, s *seeker, out []Action) (next []Action, sent bool) {
+// tryDispatch dispatches s to a target that is acceptable by a recent load report.
+func (b *Book) place(now time.Time, s *seeker, out []Action) (actions []Action, sent bool) {
 	for _, c := range b.candidates(now, s, choices) {
 		if now.Sub(c.told) < askAgain && b.good(now, c, s) {
 			return b.send(now, s, c.member, out), true
@@ -79,7 +78,7 @@
 	return out, false
 }
 
-// Tick ends waits for answers and in the queue, and asks again.
+// Tick handles probe timeouts and the queue, and sends the next probes.
 func (b *Book) Tick(now time.Time, out []Action) []Action {
 	for _, s := range b.seeking {
 		if s.pending > 0 && !now.Before(s.until) {
@@ -89,9 +88,9 @@
 	return b.askQueue(now, b.serve(now, out))
 }
 
-// askQueue has those ask that have waited long enough. They wait anew also where
-// no target has room: else the timer would be due at once, and again, until one
-// has, and keep the processor busy in an overload.
+// probeForQueue sends probes for queued requests whose next probes are due. Their time is
+// set anew even if no target is usable. Otherwise the timer would be due again at once until
+// a target is usable, and keep the CPU busy during an overload.
 func (b *Book) askQueue(now time.Time, out []Action) []Action {
 	for _, s := range slices.Clone(b.queue) {
 		if !s.waiting || s.pending > 0 || now.Before(s.again) {
@@ -105,53 +104,53 @@
 	return out
 }
 
-// Next tells when Tick is needed next; the zero time means not at all.
+// NextTick returns when Tick has to be called next, or the zero time if no call is needed.
 func (b *Book) Next() (at time.Time) {
-	soonest := func(t time.Time) {
+	needBy := func(t time.Time) {
 		if at.IsZero() || t.Before(at) {
 			at = t
 		}
 	}
 	for _, s := range b.seeking {
 		if s.pending > 0 {
-			soonest(s.until)
+			needBy(s.until)
 		}
 	}
 	for _, s := range b.queue {
 		if s.pending > 0 {
-			continue // its answers, or the end of the wait for them, come first
+			continue // its probe answers or their timeout come first
 		}
-		soonest(s.again)
-		soonest(s.Objective.Add(-s.usual))
+		needBy(s.again)
+		needBy(s.Objective.Add(-s.usual))
 	}
 	return at
 }
 
-// retry is when a refused request is likely to find room: about as long as the
-// queue takes to empty, spread so that those refused together don't come back
-// together.
-func (b *Book) retry(base time.Duration) time.Duration {
-	return base/2 + time.Duration(b.rnd.Int64N(int64(base)+1))
+// retryDelay returns the time after which a refused request is likely to find an available
+// target: about as long as the queue takes to empty. It is randomized so that requests that
+// were refused together don't return together.
+func (b *Book) retry(serviceTime time.Duration) time.Duration {
+	return serviceTime/2 + time.Duration(b.rnd.Int64N(int64(serviceTime)+1))
 }
 
-// soon is when a request may come back that a target refused though it has room:
-// its caller comes by a new connection, which takes longer than that.
+// minRetryDelay is the retry delay for a request that was refused by a target although it
+// has room. The caller needs a new connection for the retry, which takes longer than that.
 const soon = 5 * time.Millisecond
 
-// Back is when a request is likely to find room that was refused by the targets
-// it was sent to. Where most targets are open and have room, they refuse by
-// fault and not for load, and a pause would only make the request late.
+// RetryAfter returns the time after which a request that its targets refused is likely to be
+// served. If most targets are available and have room, the refusal is a fault and not
+// overload, and a longer delay would only make the request late.
 func (b *Book) Back(now time.Time) time.Duration {
 	if t, all := b.throttled(now, nil); all && !t.until.IsZero() {
 		return b.comeback(now, t.until, b.usual.all.mean)
 	}
-	room := 0
+	withRoom := 0
 	for _, m := range b.order {
 		if !m.leaves() && !m.crowded(m.busy(now, &b.cfg)) {
-			room++
+			withRoom++
 		}
 	}
-	if 2*room > len(b.order) && len(b.queue) == 0 {
+	if 2*withRoom > len(b.order) && len(b.queue) == 0 {
 		return soon
 	}
 	return b.retry(b.usual.all.mean)
--- a/pkg/slot/throttle.go
+++ b/pkg/slot/throttle.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// admits reports whether this entry may send to m now by what m takes: a cold target
-// crashes above its bound and takes with it what it was at work on, a target with a limit
-// or a pause is in need.
+// admits reports whether this entry may send to m now by its cold bound, its limit and its
+// pause. A cold target crashes above its bound and loses the requests that it runs. A target
+// with a limit or a pause is overloaded.
 func (b *Book) admits(now time.Time, m *member) bool {
 	return !now.Before(m.paused) && b.bears(now, m) && m.limit.admits(now)
 }
 
-// allowed tells when this entry may send to m again; ok is false where nothing says when.
+// nextAdmitted returns when this entry may send to m again; ok is false if that is unknown.
 func (b *Book) allowed(now time.Time, m *member) (at time.Time, ok bool) {
 	at, ok = m.limit.next(now)
 	at = later(at, m.paused)
@@ -22,15 +22,15 @@
 	return later(at, b.thawed(now, m)), true
 }
 
-// throttle is a state in which no target may get a request, since each has had what it
-// takes.
+// throttle is the state in which no target may get a request because all are at their
+// bounds.
 type throttle struct {
-	until time.Time // when one may get a request again; zero where nothing says when
+	until time.Time // when a target may get a request again; zero if unknown
 	why   Reason
 }
 
-// throttled tells whether all targets that may get requests with these homes have had what
-// they take.
+// throttled reports whether all available targets for requests with these regions are at
+// their bounds.
 func (b *Book) throttled(now time.Time, homes []string) (t throttle, all bool) {
 	for _, m := range b.order {
 		if m.leaves() || !m.atHome(homes) {
@@ -48,7 +48,8 @@
 	return t, all
 }
 
-// heldBy is why m gets no request now though it is there, the gravest of its reasons.
+// throttleReason returns why m may get no request now. The most severe reason takes
+// precedence.
 func (m *member) heldBy(now time.Time) Reason {
 	switch {
 	case m.limit.named:
@@ -59,9 +60,9 @@
 	return Cold
 }
 
-// hopeless reports whether s can't be served within its objective since all targets have
-// had what they take, and after how long it is best back.
-func (b *Book) hopeless(now time.Time, s *seeker) (why Reason, retry time.Duration, ok bool) {
+// throttledPastObjective reports whether s can't meet its objective because all targets are
+// at their bounds, and returns the time after which to retry.
+func (b *Book) hopeless(now time.Time, s *seeker) (reason Reason, retryAfter time.Duration, ok bool) {
 	t, all := b.throttled(now, s.Homes)
 	if !all {
 		return NoReason, 0, false
@@ -69,30 +70,31 @@
 	if t.until.IsZero() {
 		return t.why, b.cfg.PauseMin, true
 	}
-	work := s.usual
+	serviceTime := s.usual
 	if t.why == Cold {
-		work *= coldFactor
+		serviceTime *= coldFactor
 	}
-	if !t.until.Add(work).After(s.Objective) {
+	if !t.until.Add(serviceTime).After(s.Objective) {
 		return NoReason, 0, false
 	}
 	return t.why, b.comeback(now, t.until, s.usual), true
 }
 
-// comeback is after how long a request is best back that was refused since all targets
-// have had what they take.
-func (b *Book) comeback(now, until time.Time, usual time.Duration) time.Duration {
-	return max(until.Sub(now), soon) + time.Duration(b.rnd.Int64N(int64(usual)+1))
+// throttledRetryDelay returns the time after which to retry a request that was refused
+// because all targets are at their bounds.
+func (b *Book) comeback(now, until time.Time, serviceTime time.Duration) time.Duration {
+	return max(until.Sub(now), soon) + time.Duration(b.rnd.Int64N(int64(serviceTime)+1))
 }
 
-// capacity is how many of the requests of that much work the targets serve at a time.
-func (b *Book) capacity(now time.Time, homes []string, work time.Duration) (slots float64) {
+// capacity returns the number of requests with this service time that the targets serve at
+// once.
+func (b *Book) capacity(now time.Time, homes []string, serviceTime time.Duration) (slots float64) {
 	for _, m := range b.order {
 		if !m.atHome(homes) || !m.open(now) && (m.inFlight == 0 || m.leaves()) {
 			continue
 		}
 		if m.limit.named {
-			slots += min(1, m.limit.perSecond()*work.Seconds())
+			slots += min(1, m.limit.perSecond()*serviceTime.Seconds())
 			continue
 		}
 		slots++
@@ -100,8 +102,8 @@
 	return slots
 }
 
-// ahead is how many waiting requests are served before s. Those with other homes wait for
-// other targets.
+// queuedAhead returns the number of queued requests that are served before s. Requests with
+// other regions don't count: they wait for other targets.
 func (b *Book) ahead(s *seeker) (n int) {
 	for _, q := range b.queue {
 		if before(q, s) < 0 && slices.Equal(q.Homes, s.Homes) {
