--- a/pkg/probe/budget.go
+++ b/pkg/probe/budget.go
@@ -1,70 +1,70 @@
-// Package probe keeps the cost of measuring a service's targets under its
-// agreed budget: target time spent on probes in any window, over all entries
-// that share the service.
+// Package probe keeps the cost of probing a service's targets within a budget: the target
+// time that all entries of the service together spend on probes in any window.
 package probe
 
 import "time"
 
 // Config is the budget of one service.
 type Config struct {
-	Window time.Duration // any interval of this length is held to Budget
+	Window time.Duration // Budget applies to every interval of this length
 	Budget time.Duration // target time that all entries together may spend in it
-	Cost   time.Duration // target time of one probe, which is its time limit too
+	Cost   time.Duration // target time of one probe, and its timeout
 	Settle time.Duration // time until all entries know of a change of shares
 }
 
-// Share is one entry's part among the entries that probe a service.
+// Share is one entry's share among the entries that probe a service.
 type Share struct {
-	Rank int // place among them, from 0
-	Of   int // how many they are; zero means that this entry may not probe
+	Rank int // position among these entries, from 0
+	Of   int // number of these entries; zero means that this entry may not probe
 }
 
-// Budget counts whole probes. Those of one window are dealt out by rank, so
-// that a budget of one probe belongs to the first entry and to no other.
+// Budget counts whole probes. The probes of a window are divided by rank, so that a budget
+// of one probe belongs to the first entry only.
 type Budget struct {
 	cfg    Config
-	now    time.Duration // monotonic by construction, see set
+	now    time.Duration // monotonic, see advance
 	last   time.Time
 	spent  []time.Duration // when the probes of the last span were sent
 	count  int             // probes that may be sent in a span
-	next   int             // count after the change has settled
-	change time.Duration   // when next comes into force
+	next   int             // limit after the change takes effect
+	change time.Duration   // when nextLimit takes effect
 }
 
 // New returns a budget without a share.
 func New(cfg Config) *Budget { return &Budget{cfg: cfg} }
 
-// span is the time over which sent probes are counted. One Window would do,
-// since two probes that start so far apart spend no more than one of them in
-// any window; the second one covers a clock that steps ahead unseen by less.
+// span returns the time for which a sent probe counts. One Window would be enough for an
+// exact clock: two probes that start so far apart spend no more than the cost of one of them
+// in any window. The second Window covers an undetected forward step of the clock by less
+// than a Window.
 func (b *Budget) span() time.Duration { return 2 * b.cfg.Window }
 
-// set moves the budget's own clock. A clock that stepped ahead would make the
-// spent probes look old and grant them again within the same window; so a step
-// longer than Window counts as no time at all, and so does one back. A driver
-// that asks at least once a window loses nothing by it. What is left: a clock
-// that steps ahead by almost a window twice within one. Readings of Go's
-// monotonic clock do not step at all.
+// advance moves the budget's own clock. A clock that steps forward would make sent probes
+// look old, and as many could be sent again within the same window. A step longer than
+// Window therefore counts as no time at all, and so does a step back. A caller that uses the
+// budget at least once per window loses nothing by that. A clock that steps forward twice
+// within one window by almost a window isn't covered. Go's monotonic clock readings don't
+// step.
 func (b *Budget) set(now time.Time) {
 	step := now.Sub(b.last)
 	b.last = now
 	if step > 0 && step <= b.cfg.Window {
 		b.now += step
 	}
-	keep := 0
+	kept := 0
 	for _, at := range b.spent {
 		if b.now-at < b.span() {
-			b.spent[keep] = at
-			keep++
+			b.spent[kept] = at
+			kept++
 		}
 	}
-	b.spent = b.spent[:keep]
+	b.spent = b.spent[:kept]
 	if b.now >= b.change {
 		b.count = b.next
 	}
 }
 
-// whole is the number of probes that the budget pays for in one window.
+// probesPerWindow returns the number of whole probes that the budget allows in one window.
 func (b *Budget) whole() int {
 	if b.cfg.Cost <= 0 {
 		return 0
@@ -72,9 +72,9 @@
 	return int(b.cfg.Budget / b.cfg.Cost)
 }
 
-// Share sets this entry's part. A smaller one is in force at once; a larger
-// one only when the others have surely given theirs up, since both would
-// spend the same part of the budget meanwhile.
+// SetShare sets this entry's share. A smaller share takes effect at once. A larger one takes
+// effect when the other entries have given up theirs, since both would spend the same part
+// of the budget until then.
 func (b *Budget) Share(now time.Time, s Share) {
 	b.set(now)
 	next := 0
@@ -102,10 +102,10 @@
 	return true
 }
 
-// Active tells whether this entry has a share, or will have one.
+// Active reports whether this entry has a share or will have one.
 func (b *Budget) Active() bool { return b.count > 0 || b.next > 0 }
 
-// Left returns how many probes could be sent now.
+// Remaining returns the number of probes that may be sent now.
 func (b *Budget) Left(now time.Time) int {
 	b.set(now)
 	return max(b.count-len(b.spent), 0)
--- a/pkg/quota/cold.go
+++ b/pkg/quota/cold.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// ColdBound is how many requests a cold target of a service may get in any second, over
-// all entries. The zero value bounds nothing.
+// ColdBound is the number of requests that a cold target of a service may get within any
+// second from all entries. The zero value means no bound.
 type ColdBound struct {
 	Limited bool
 	Most    int
 }
 
-// NewColdBound returns the bound for targets that bear rate requests a second while cold,
-// of which factor times as many and slack beyond that are allowed. A rate of 0 says that
-// the operator knows of no limit.
+// NewColdBound returns the bound for targets that can serve rate requests per second while
+// cold: rate*factor+slack requests within a second. A rate of 0 means that no bound is
+// configured.
 func NewColdBound(rate, factor, slack float64) ColdBound {
 	if rate <= 0 {
 		return ColdBound{}
@@ -20,21 +20,21 @@
 }
 
 const (
-	// ColdSpan is the span of a cold target's Ration: the second of the bound, and the
-	// time for which requests that were sent before it may still be on their way, as
-	// those that wait for a new connection.
+	// ColdSpan is the span of a cold target's Limiter: the second of the bound, and 250 ms
+	// for requests that were sent before it and are still on their way, such as those that
+	// wait for a new connection.
 	ColdSpan = time.Second + 250*time.Millisecond
-	// views is how many views of which entries send may be held at once: the shares of
-	// one of them sum to half of the bound.
+	// maxViews is the number of different views of the senders that entries may hold at the
+	// same time. The shares of one view add up to half of the bound.
 	views = 2
 )
 
-// NewColdShare divides a bound among that many senders.
-func NewColdShare(b ColdBound, senders int) Share {
+// NewColdShare divides a bound among this number of senders.
+func NewColdShare(bound ColdBound, senders int) Share {
 	if senders <= 0 {
 		return Share{}
 	}
-	whole := max(b.Most/views, 1)
-	holders := min(mostHolders, senders, whole)
-	return Share{Holders: holders, Each: whole / holders, Wait: ColdSpan}
+	perView := max(bound.Most/views, 1)
+	holders := min(mostHolders, senders, perView)
+	return Share{Holders: holders, Each: perView / holders, Wait: ColdSpan}
 }
--- a/pkg/quota/recent.go
+++ b/pkg/quota/recent.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// recent counts what was sent to a target within a span.
+// slidingCounter counts the requests to a target within a span.
 type recent struct {
 	part   time.Duration
 	counts [parts + 1]uint16
-	epoch  time.Time // beginning of part 0
-	last   int64     // newest part that counts holds
+	epoch  time.Time // beginning of bucket 0
+	last   int64     // newest bucket in counts
 }
 
-// parts is how many parts of a span are counted together. A part counts whole for as
-// long as any of it lies within the span.
+// buckets is the number of buckets per span. A bucket counts in full while any part of it
+// lies within the span.
 const parts = 10
 
 func newRecent(span time.Duration) recent { return recent{part: span / parts} }
 
-// span is the time that the requests in it are counted for at least.
+// span returns the minimum time for which a request is counted.
 func (r *recent) span() time.Duration { return parts * r.part }
 
-// add notes a request.
+// add counts a request.
 func (r *recent) add(now time.Time) {
 	if r.epoch.IsZero() {
 		r.epoch = now
@@ -30,7 +30,7 @@
 	}
 }
 
-// count returns how many were noted within the span, or a little longer.
+// count returns the number of requests within the span, or slightly more.
 func (r *recent) count(now time.Time) (n int) {
 	if r.epoch.IsZero() {
 		return 0
@@ -43,30 +43,30 @@
 }
 
 func (r *recent) advance(now time.Time) {
-	part := int64(now.Sub(r.epoch) / r.part)
-	if part-r.last > parts {
+	bucket := int64(now.Sub(r.epoch) / r.part)
+	if bucket-r.last > parts {
 		clear(r.counts[:])
-		r.last = part
+		r.last = bucket
 	}
-	for r.last < part {
+	for r.last < bucket {
 		r.last++
 		r.counts[r.last%(parts+1)] = 0
 	}
 }
 
-// free is when fewer than most will have been noted within the span, if none is added.
+// freeAt returns when the count falls below most if no request is added.
 func (r *recent) free(now time.Time, most int) time.Time {
 	n := r.count(now)
 	if n < most {
 		return now
 	}
-	for part := r.last - parts; part <= r.last; part++ {
-		if part < 0 {
+	for bucket := r.last - parts; bucket <= r.last; bucket++ {
+		if bucket < 0 {
 			continue
 		}
-		n -= int(r.counts[part%(parts+1)])
+		n -= int(r.counts[bucket%(parts+1)])
 		if n < most {
-			return r.epoch.Add(time.Duration(part+parts+1) * r.part)
+			return r.epoch.Add(time.Duration(bucket+parts+1) * r.part)
 		}
 	}
 	return now.Add(r.span())
--- a/pkg/quota/senders.go
+++ b/pkg/quota/senders.go
@@ -6,14 +6,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Senders are the entries that send to a service, as one of them sees it.
+// Senders is one entry's view of the entries that send to a service.
 type Senders struct {
-	self   uint64 // hash of its name, where it is one of them
+	self   uint64 // hash of this entry's name
 	sends  bool
 	others []uint64
 }
 
-// NewSenders returns the view of the entry self of the entries with these names.
+// NewSenders returns the view of the entry self, with the names of all senders.
 func NewSenders(names []string, self string) Senders {
 	s := Senders{self: Hash(self)}
 	for _, n := range names {
@@ -26,10 +26,10 @@
 	return s
 }
 
-// Hash is that of a name of an entry or a target.
+// Hash returns the hash of the name of an entry or a target.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Len is the number of entries that send.
+// Len returns the number of senders.
 func (s Senders) Len() int {
 	if s.sends {
 		return len(s.others) + 1
@@ -37,19 +37,19 @@
 	return len(s.others)
 }
 
-// Holds reports whether the target with that hash is dealt to this entry, where each is
-// dealt to that many.
+// IsHolder reports whether this entry is one of the given number of holders of the target
+// with this hash.
 func (s Senders) Holds(target uint64, holders int) bool {
 	if !s.sends {
 		return false
 	}
-	own, before := weight(s.self, target), 0
+	own, higher := weight(s.self, target), 0
 	for _, o := range s.others {
 		if weight(o, target) > own {
-			before++
+			higher++
 		}
 	}
-	return before < holders
+	return higher < holders
 }
 
 func weight(entry, target uint64) uint64 {
--- a/pkg/quota/share.go
+++ b/pkg/quota/share.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// mostHolders is how many entries share a target where the quota allows it. With one, a
-// target that is dealt to an entry without requests is of no use; with many, each may
-// send so little that it can't make up for the others.
+// maxHolders is the number of holders of a target if the quota is large enough. With a
+// single holder, the target is unused while that entry has no requests. With many, the share
+// of each may be too small to make up for idle holders.
 const mostHolders = 3
 
-// Share is what each holder of a target may send it.
+// Share is what each holder of a target may send to it.
 type Share struct {
-	Holders int           // entries that a target is dealt to
-	Each    int           // requests of each within the span of its Ration
-	Gap     time.Duration // between two requests of one holder at the least
-	Wait    time.Duration // after a share was dealt it begins to count
+	Holders int           // entries that a target is assigned to
+	Each    int           // requests of each holder within the span of its Limiter
+	Gap     time.Duration // shortest time between two requests of one holder
+	Wait    time.Duration // time from the assignment until the share takes effect
 }
--- a/pkg/slot/absent.go
+++ b/pkg/slot/absent.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// absentKept is how long a target that has gone from the list is remembered: longer
-	// than the store stays away, or is behind.
+	// absentRetention is how long the state of a target that is missing from the list is
+	// kept. It exceeds the time for which the store is unavailable or returns old data.
 	absentKept = 10 * time.Minute
-	// absentMost bounds how many are.
+	// maxAbsent bounds the number of such targets.
 	absentMost = 1024
 )
 
-// absence is a target that has gone from the list.
+// absence is a target that is missing from the list.
 type absence struct {
 	member *member
 	since  time.Time
 }
 
-// absences are targets that have gone from the list, by incarnation. What one has reported
-// holds for as long as it runs, and its record may only have been away for a moment.
+// absences are the targets that are missing from the list, by incarnation. A target's
+// reports stay valid while it runs, and its record may be missing for only a moment.
 type absences map[string]absence
 
-// add remembers a target where anything was reported, or may yet be.
+// add keeps the state of a target that has reported something or may still do so.
 func (a absences) add(now time.Time, m *member) {
 	if !m.Leaving && m.left.IsZero() && !m.limit.named && m.inFlight == 0 && !now.Before(m.paused) {
 		return
@@ -31,28 +31,29 @@
 	a[m.Run()] = absence{m, now}
 }
 
-// take returns a target that is back, nil where nothing is remembered of it.
+// restore removes and returns the state of a target that is back in the list, or nil if
+// there is none.
 func (a absences) take(t Target) *member {
 	m := a[t.Run()].member
 	delete(a, t.Run())
 	return m
 }
 
-// expire forgets those that have been away for long.
+// expire removes targets that have been missing for longer than absentRetention.
 func (a absences) expire(now time.Time) {
-	for run, x := range a {
-		if now.Sub(x.since) > absentKept {
-			delete(a, run)
+	for incarnation, missing := range a {
+		if now.Sub(missing.since) > absentKept {
+			delete(a, incarnation)
 		}
 	}
 }
 
-// evict forgets the one that has been away for longest.
+// evict removes the target that has been missing for longest.
 func (a absences) evict() {
 	oldest := ""
-	for run, x := range a {
-		if oldest == "" || x.since.Before(a[oldest].since) {
-			oldest = run
+	for incarnation, missing := range a {
+		if oldest == "" || missing.since.Before(a[oldest].since) {
+			oldest = incarnation
 		}
 	}
 	delete(a, oldest)
--- a/pkg/slot/config.go
+++ b/pkg/slot/config.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Config of a Book. Zero fields take the defaults.
+// Config configures a Balancer. Zero fields take the defaults.
 type Config struct {
-	Place    string        // failure domain of this entry: ties go to targets there
-	Ask      int           // targets that one request asks; 0 takes the default, less than 0 none
-	AskTime  time.Duration // longest wait for their answers
-	Usual    time.Duration // time of work before any is measured
-	Knee     float64       // how much longer work takes at a target that is nearly full, before any is measured
-	Slow     float64       // pace from which a target counts as slow
-	Hold     time.Duration // an old report is half forgotten after it
-	PauseMin time.Duration // a failing target rests at least so long
+	Place    string        // failure domain of this entry; its targets are preferred
+	Ask      int           // probes per request; 0 takes the default, a negative value disables probes
+	AskTime  time.Duration // longest wait for the answers to probes
+	Usual    time.Duration // baseline service time before any is measured
+	Knee     float64       // increase of the service time at a crowded target before any is measured
+	Slow     float64       // targets are slow above this pace
+	Hold     time.Duration // age at which a load report has lost half of its weight
+	PauseMin time.Duration // first ejection of a failing target; doubles with each failed trial request
 	PauseMax time.Duration
 }
 
-// Defaults. The figures are those at which the model and the deployments with
-// two slots a target served most within the objective.
+// Defaults. With two slots per target, these values serve most requests within the
+// objective.
 const (
 	defaultAsk     = 4
 	defaultAskTime = 20 * time.Millisecond
--- a/pkg/slot/explain.go
+++ b/pkg/slot/explain.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// Row is what is known of a target, for operators.
+// TargetStatus is the state of a target, for operators.
 type Row struct {
 	Target
 	InFlight int // requests of this entry
-	Foreign  int // requests of other entries, as last told
+	Foreign  int // requests of other entries, from the last load report
 	Told     bool
-	Pace     float64       // as last told
-	Age      time.Duration // of that word
+	Pace     float64       // from the last load report
+	Age      time.Duration // age of that report
 	State    State
-	Until    time.Time // end of a rest; zero where there is none
-	Leaves   time.Time // when it reported that it leaves; zero where it has not
+	Until    time.Time // end of the ejection, cooldown or pause; otherwise zero
+	Leaves   time.Time // when it reported that it is leaving; zero if it hasn't
 	Limited  bool
-	Limit    float64   // requests a second that it takes from all entries together
-	Since    time.Time // when it first named a limit
+	Limit    float64   // requests per second that it accepts from all entries together
+	Since    time.Time // when it first reported a limit
 }
 
-// State says whether a target gets requests.
+// State tells whether a target gets requests.
 type State string
 
-// The states.
+// States of a target.
 const (
 	Open    State = "open"      // gets requests
 	Busy    State = "busy"      // all slots are taken
-	Resting State = "resting"   // refused or was unwell a moment ago, or wants nothing for a time
-	Out     State = "out"       // fails what it is sent, gets trials only
-	Left    State = "leaving"   // wants no new work
-	Vacated State = "evacuated" // its failure domain is to get no requests
-	Moved   State = "moved"     // another target answered at its address
-	// Throttled targets have had of this entry what the limit that they name allows.
+	Resting State = "resting"   // has just refused a request or been unhealthy, or has asked for a pause
+	Out     State = "out"       // fails requests and gets trial requests only
+	Left    State = "leaving"   // accepts no new requests
+	Vacated State = "evacuated" // its failure domain is evacuated
+	Moved   State = "moved"     // another target has answered at its address
+	// Throttled means that this entry has used up its share of the limit that the target
+	// reports.
 	Throttled State = "limited"
 )
 
-// Explain tells of each target, by id, whether it gets requests and why not.
+// Explain returns the state of each target, ordered by ID.
 func (b *Book) Explain(now time.Time) []Row {
 	rows := make([]Row, 0, len(b.order))
 	for _, m := range b.order {
--- a/pkg/slot/report.go
+++ b/pkg/slot/report.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Report is what a target says of itself in a response. The zero value says nothing.
+// Report is what a target reports about itself in a response. The zero value reports
+// nothing.
 type Report struct {
 	Load    Load
-	Loaded  bool    // whether Load was given
-	Limit   float64 // requests a second that it takes from all entries together
-	Limited bool    // whether Limit was given
-	// Unlimited says that a response was read that names no limit. Where a limit
-	// can't be read, neither is set.
+	Loaded  bool    // whether Load was reported
+	Limit   float64 // requests per second that it accepts from all entries together
+	Limited bool    // whether Limit was reported
+	// Unlimited means that a response was read and reported no limit. HasLimit and Unlimited
+	// are both false if there was no response or its limit can't be parsed.
 	Unlimited bool
-	Leaving   bool // it wants no new work
-	// Pause is for how long it wants nothing from this entry.
+	Leaving   bool // it accepts no new requests
+	// Pause is the time for which it asks this entry to send nothing.
 	Pause time.Duration
 }
--- a/pkg/slot/survey.go
+++ b/pkg/slot/survey.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// survey is how much the targets have to do and how much of that is known. At a few
-// targets every one has told its load within the time that a pace lasts. Among hundreds,
-// with several entries that send to them, nearly none has: a target that holds one request
-// of this entry may hold another one's too, and of the few that are asked in a burst none
-// may be idle though many are.
+// loadStats counts how many targets are busy and how many have an unknown load. With few
+// targets, every one has reported its load within the time in which its pace stays the same.
+// With hundreds of targets and several entries, nearly none has. A target with one request
+// of this entry may then have one of another entry too, and in a burst none of the few
+// probed targets may be idle although many others are.
 type survey struct {
-	all     int // targets that may get work
-	taken   int // that hold a request, as far as is known
-	unknown int // whose load isn't known now
+	all     int // available targets
+	taken   int // targets with a request, by the current estimate
+	unknown int // targets whose current load is unknown
 }
 
 func (v *survey) add(now time.Time, m *member, c *Config) {
@@ -26,41 +26,43 @@
 	}
 }
 
-// unknown reports whether the target's last word is so old that its pace has changed
-// since, and that requests of others may have come.
+// loadUnknown reports whether the last load report is so old that the pace has changed since
+// then and other entries may have sent requests.
 func (m *member) unknown(now time.Time, c *Config) bool {
 	return !m.loads || now.Sub(m.told) > 2*c.Hold
 }
 
-// blind is the part of the targets that nothing is known of.
+// unknownShare returns the share of targets whose load is unknown.
 func (v survey) blind() float64 { return float64(v.unknown) / float64(max(v.all, 1)) }
 
-// strain is near 1 where nearly all targets hold a request and nothing is known of them.
+// pressure is near 1 when nearly all targets are busy and their load is unknown.
 func (v survey) strain() float64 { return float64(v.taken) / float64(max(v.all, 1)) * v.blind() }
 
-// What a target counts for more.
+// Factors that raise the cost of a target.
 const (
-	// farFactor is that of one in another failure domain: traffic between them costs,
-	// and a choice among too few costs late answers.
+	// maxRemotePenalty applies to targets in another failure domain. Traffic between domains
+	// has a price, but a choice among too few targets causes late responses.
 	farFactor = 2
-	// crowdFactor is added for one that one more request would crowd, where nothing is
-	// known: it may hold another entry's request too, and an idle one in another failure
-	// domain comes first.
+	// maxExtraCrowdedPenalty applies in addition to a target that one more request would
+	// crowd, when loads are unknown. The target may have a request of another entry too, and
+	// an idle one in another failure domain takes precedence.
 	crowdFactor = 2
 )
 
-// far is what a target in another failure domain counts for more now. The more there is
-// to do, the less a choice among those nearby is enough.
+// remotePenalty returns the current cost factor of targets in another failure domain. It
+// falls as the pressure rises, since the nearby targets alone may then be too few.
 func (v survey) far() float64 { return farFactor - v.strain() }
 
-// crowd is what a target counts for more now that one more request would crowd.
+// crowdedPenalty returns the current cost factor of targets that one more request would
+// crowd.
 func (v survey) crowd() float64 { return 1 + crowdFactor*v.blind() }
 
-// mostMore is how many targets more would be asked at the greatest strain. All in all no
-// more than choices are.
+// maxExtraProbes is the number of extra probes at the highest pressure. The total is bounded
+// by maxCandidates.
 const mostMore = 16
 
-// more is how many targets more a request asks, of those that nothing is known of.
+// extraProbes returns the number of extra probes per request, for targets whose load is
+// unknown.
 func (b *Book) more() int {
 	if b.cfg.Ask <= 0 {
 		return 0
--- a/pkg/slot/usual.go
+++ b/pkg/slot/usual.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// usual is the time that work takes at a target that is idle and not slow.
+// meanTime is a moving average of the service time at targets that are idle and not slow.
 type usual struct {
 	mean  time.Duration
 	count int
 }
 
-// add takes one answer. The first ones weigh as much as their number says.
-func (u *usual) add(took time.Duration) {
-	const most = 64
-	u.count = min(u.count+1, most)
-	u.mean += (took - u.mean) / time.Duration(u.count)
+// add updates the mean. It is a plain average until the number of samples reaches maxSamples.
+func (u *usual) add(serviceTime time.Duration) {
+	const maxSamples = 64
+	u.count = min(u.count+1, maxSamples)
+	u.mean += (serviceTime - u.mean) / time.Duration(u.count)
 }
 
-// usuals are the usual times of a service's classes of requests. A service has
-// no single one: requests of 2 ms on rarely used routes drew it to 1 ms where
-// most work takes 120, and every target seemed good enough for all of it.
+// serviceTimes holds the baseline service time of each request class of a service. A single
+// mean isn't enough: 2 ms requests on rarely used routes pulled it down to 1 ms where most
+// requests take 120 ms, and every target seemed fast enough for all of them.
 type usuals struct {
 	all   usual
 	class map[string]*usual
 }
 
 const (
-	// classKnown is how many answers a class needs for a time of its own.
+	// minClassSamples is the number of samples after which a class has its own mean.
 	classKnown = 4
-	// classesKept bounds the classes; beyond that all are learnt anew.
+	// maxClasses bounds the number of classes; one class more clears them all.
 	classesKept = 1024
 )
 
-func newUsuals(before time.Duration) usuals {
-	return usuals{all: usual{mean: before}, class: make(map[string]*usual)}
+func newUsuals(initial time.Duration) usuals {
+	return usuals{all: usual{mean: initial}, class: make(map[string]*usual)}
 }
 
-// of returns the time of a class, that over all while it isn't known.
+// forClass returns the mean of the class, or the overall mean while the class has too few
+// samples.
 func (u *usuals) of(class string) time.Duration {
 	if c := u.class[class]; c != nil && c.count >= classKnown {
 		return c.mean
@@ -42,8 +43,8 @@
 	return u.all.mean
 }
 
-func (u *usuals) add(class string, took time.Duration) {
-	u.all.add(took)
+func (u *usuals) add(class string, serviceTime time.Duration) {
+	u.all.add(serviceTime)
 	c := u.class[class]
 	if c == nil {
 		if len(u.class) >= classesKept {
@@ -52,5 +53,5 @@
 		c = &usual{}
 		u.class[class] = c
 	}
-	c.add(took)
+	c.add(serviceTime)
 }
