--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -27,9 +27,9 @@
 		rate, factor, slack float64
 		want                ColdBound
 	}{
-		{"no limit is known", 0, 1.5, 8, ColdBound{}},
+		{"no bound configured", 0, 1.5, 8, ColdBound{}},
 		{"whole requests", 3.4, 1.5, 8, ColdBound{Limited: true, Most: 13}},
-		{"less than one", 0.1, 1, 0, ColdBound{Limited: true, Most: 1}},
+		{"less than one request", 0.1, 1, 0, ColdBound{Limited: true, Most: 1}},
 	}
 	for _, tt := range tests {
 		qt.Check(t, NewColdBound(tt.rate, tt.factor, tt.slack), qt.Equals, tt.want, qt.Commentf("%s", tt.name))
--- a/pkg/quota/ration.go
+++ b/pkg/quota/ration.go
@@ -19,34 +19,34 @@
 
 // Update sets the entries that send to the target's service, which determines whether this
 // entry holds a share.
-func (r *Ration) Deal(now time.Time, senders Senders, share Share) {
-	holds := senders.Holds(r.target, share.Holders)
-	if holds && !r.holds {
-		r.since = now
+func (l *Ration) Deal(now time.Time, senders Senders, share Share) {
+	holds := senders.Holds(l.target, share.Holders)
+	if holds && !l.holds {
+		l.since = now
 	}
-	r.holds = holds
+	l.holds = holds
 }
 
 // Allows reports whether a request may be sent.
-func (r *Ration) Admits(now time.Time, share Share) bool {
-	return r.holds && now.Sub(r.since) >= share.Wait && now.Sub(r.last) >= share.Gap && r.sent.count(now) < share.Each
+func (l *Ration) Admits(now time.Time, share Share) bool {
+	return l.holds && now.Sub(l.since) >= share.Wait && now.Sub(l.last) >= share.Gap && l.sent.count(now) < share.Each
 }
 
 // RecordSent counts a request. It has to be called for unbounded requests too: a target may
 // become cold or report a limit at any time.
-func (r *Ration) Sent(now time.Time) {
-	r.last = now
-	r.sent.add(now)
+func (l *Ration) Sent(now time.Time) {
+	l.last = now
+	l.sent.add(now)
 }
 
 // NextAllowed returns when a request may be sent if none is sent until then; ok is false if
 // this entry holds no share.
-func (r *Ration) Next(now time.Time, share Share) (at time.Time, ok bool) {
-	if !r.holds {
+func (l *Ration) Next(now time.Time, share Share) (at time.Time, ok bool) {
+	if !l.holds {
 		return at, false
 	}
-	at = r.sent.free(now, share.Each)
-	for _, t := range []time.Time{r.since.Add(share.Wait), r.last.Add(share.Gap)} {
+	at = l.sent.free(now, share.Each)
+	for _, t := range []time.Time{l.since.Add(share.Wait), l.last.Add(share.Gap)} {
 		if t.After(at) {
 			at = t
 		}
--- a/pkg/quota/recent.go
+++ b/pkg/quota/recent.go
@@ -17,57 +17,57 @@
 func newRecent(span time.Duration) recent { return recent{part: span / parts} }
 
 // span returns the minimum time for which a request is counted.
-func (r *recent) span() time.Duration { return parts * r.part }
+func (s *recent) span() time.Duration { return parts * s.part }
 
 // add counts a request.
-func (r *recent) add(now time.Time) {
-	if r.epoch.IsZero() {
-		r.epoch = now
+func (s *recent) add(now time.Time) {
+	if s.epoch.IsZero() {
+		s.epoch = now
 	}
-	r.advance(now)
-	if c := &r.counts[r.last%(parts+1)]; *c < 1<<16-1 {
+	s.advance(now)
+	if c := &s.counts[s.last%(parts+1)]; *c < 1<<16-1 {
 		*c++
 	}
 }
 
 // count returns the number of requests within the span, or slightly more.
-func (r *recent) count(now time.Time) (n int) {
-	if r.epoch.IsZero() {
+func (s *recent) count(now time.Time) (n int) {
+	if s.epoch.IsZero() {
 		return 0
 	}
-	r.advance(now)
-	for _, c := range r.counts {
+	s.advance(now)
+	for _, c := range s.counts {
 		n += int(c)
 	}
 	return n
 }
 
-func (r *recent) advance(now time.Time) {
-	bucket := int64(now.Sub(r.epoch) / r.part)
-	if bucket-r.last > parts {
-		clear(r.counts[:])
-		r.last = bucket
+func (s *recent) advance(now time.Time) {
+	bucket := int64(now.Sub(s.epoch) / s.part)
+	if bucket-s.last > parts {
+		clear(s.counts[:])
+		s.last = bucket
 	}
-	for r.last < bucket {
-		r.last++
-		r.counts[r.last%(parts+1)] = 0
+	for s.last < bucket {
+		s.last++
+		s.counts[s.last%(parts+1)] = 0
 	}
 }
 
 // freeAt returns when the count falls below most if no request is added.
-func (r *recent) free(now time.Time, most int) time.Time {
-	n := r.count(now)
+func (s *recent) free(now time.Time, most int) time.Time {
+	n := s.count(now)
 	if n < most {
 		return now
 	}
-	for bucket := r.last - parts; bucket <= r.last; bucket++ {
+	for bucket := s.last - parts; bucket <= s.last; bucket++ {
 		if bucket < 0 {
 			continue
 		}
-		n -= int(r.counts[bucket%(parts+1)])
+		n -= int(s.counts[bucket%(parts+1)])
 		if n < most {
-			return r.epoch.Add(time.Duration(bucket+parts+1) * r.part)
+			return s.epoch.Add(time.Duration(bucket+parts+1) * s.part)
 		}
 	}
-	return now.Add(r.span())
+	return now.Add(s.span())
 }
--- a/pkg/slot/absent_test.go
+++ b/pkg/slot/absent_test.go
@@ -12,10 +12,10 @@
 // not apply to another incarnation.
 func TestReportsOutliveTheList(t *testing.T) {
 	tests := []struct {
-		name  string
-		away  time.Duration
-		born  int64 // of the target that is back
-		known bool
+		name    string
+		missing time.Duration
+		started int64 // of the target that is back
+		known   bool
 	}{
 		{"back at once", time.Second, 1, true},
 		{"back much later", absentKept + time.Minute, 1, false},
@@ -29,9 +29,9 @@
 			h.Targets(h.now, list, nil)
 			h.Replied(h.now, Reply{Target: "t0", Report: Report{Leaving: true, Limited: true, Limit: 2}, Well: true}, nil)
 			h.Targets(h.now, list[1:], nil)
-			h.now = h.now.Add(tt.away)
+			h.now = h.now.Add(tt.missing)
 			h.Targets(h.now, list[1:], nil)
-			list[0].Born = tt.born
+			list[0].Born = tt.started
 			h.Targets(h.now, list, nil)
 			c.Assert(h.members["t0"].leaves(), qt.Equals, tt.known)
 			c.Assert(h.members["t0"].limit.named, qt.Equals, tt.known)
@@ -71,13 +71,13 @@
 // it.
 func TestOlderRecordUndoesNoLeaving(t *testing.T) {
 	tests := []struct {
-		name   string
-		away   bool // the target is missing from the list in between
-		born   int64
-		leaves bool
+		name    string
+		missing bool // the target is missing from the list in between
+		started int64
+		leaves  bool
 	}{
-		{"the same start", false, 1, true},
-		{"the same start, away in between", true, 1, true},
+		{"same incarnation", false, 1, true},
+		{"same incarnation, missing in between", true, 1, true},
 		{"started again", false, 2, false},
 	}
 	for _, tt := range tests {
@@ -85,10 +85,10 @@
 			h := newDesk(0)
 			target := Target{ID: "t0", Slots: 2, Born: 1, Leaving: true}
 			h.Targets(h.now, []Target{target}, nil)
-			if tt.away {
+			if tt.missing {
 				h.Targets(h.now, nil, nil)
 			}
-			target.Leaving, target.Born = false, tt.born
+			target.Leaving, target.Born = false, tt.started
 			h.Targets(h.now, []Target{target}, nil)
 			qt.Assert(t, h.members["t0"].leaves(), qt.Equals, tt.leaves)
 		})
--- a/pkg/slot/book.go
+++ b/pkg/slot/book.go
@@ -44,10 +44,10 @@
 }
 
 // New returns a balancer without targets.
-func New(cfg Config, rnd *rand.Rand) *Book {
+func New(cfg Config, rng *rand.Rand) *Book {
 	cfg = cfg.withDefaults()
 	return &Book{
-		cfg: cfg, rnd: rnd, mean: 1, knee: cfg.Knee,
+		cfg: cfg, rnd: rng, mean: 1, knee: cfg.Knee,
 		members: make(map[string]*member),
 		absent:  make(absences),
 		flights: make(map[uint64]*flight),
@@ -133,9 +133,9 @@
 	m.asking = false
 	b.learn(now, m, r)
 	out = b.reported(now, m.askedAt, m, r.Report, true, out)
-	askers := m.askers
+	waiters := m.askers
 	m.askers = nil
-	for _, s := range askers {
+	for _, s := range waiters {
 		if b.seeking[s.ID] != s || s.pending == 0 {
 			continue
 		}
@@ -162,7 +162,7 @@
 
 // applyReport applies a target's report from the response to a request or a probe that was
 // sent at the time sent.
-func (b *Book) reported(now, sent time.Time, m *member, r Report, question bool, out []Action) []Action {
+func (b *Book) reported(now, sent time.Time, m *member, r Report, isProbe bool, out []Action) []Action {
 	if r.Leaving && m.left.IsZero() {
 		m.left = now
 		out = append(out, Action{Do: Leaves, Target: m.Target})
@@ -171,7 +171,7 @@
 		m.paused = later(m.paused, now.Add(r.Pause))
 		out = append(out, Action{Do: Pause, Target: m.Target, Retry: m.paused.Sub(now)})
 	}
-	if m.limit.take(now, sent, r, question) {
+	if m.limit.take(now, sent, r, isProbe) {
 		m.limit.deal(now, b.senders)
 		b.countLimited()
 		out = append(out, Action{Do: Limit, Target: m.Target, Rate: m.limit.rate, Named: m.limit.named})
@@ -198,12 +198,12 @@
 
 // Done handles the end of a request at its target.
 func (b *Book) Done(now time.Time, e End, out []Action) []Action {
-	f := b.flights[e.ID]
-	if f == nil {
+	d := b.flights[e.ID]
+	if d == nil {
 		return out
 	}
 	delete(b.flights, e.ID)
-	m := f.member
+	m := d.member
 	m.inFlight--
 	if e.Report.Loaded {
 		load := e.Report.Load
@@ -211,9 +211,9 @@
 		load.Running = max(load.Running-1, 0)
 		b.tell(now, m, load)
 	}
-	out = b.reported(now, f.sent, m, e.Report, false, out)
+	out = b.reported(now, d.sent, m, e.Report, false, out)
 	wasEjected := m.out
-	b.judge(now, f, e)
+	b.judge(now, d, e)
 	switch {
 	case m.out && !wasEjected:
 		out = append(out, Action{Do: Rest, Target: m.Target})
@@ -223,13 +223,13 @@
 	return b.serve(now, out)
 }
 
-func (b *Book) judge(now time.Time, f *flight, e End) {
-	m := f.member
-	latency := now.Sub(f.sent)
+func (b *Book) judge(now time.Time, d *flight, e End) {
+	m := d.member
+	latency := now.Sub(d.sent)
 	switch e.Kind {
 	case Served:
 		m.praise()
-		b.measure(now, f, latency)
+		b.measure(now, d, latency)
 	case Failed, Lost, TimedOut:
 		m.blame(now, failWeight, &b.cfg)
 	case Shed:
@@ -249,22 +249,22 @@
 // recordServiceTime updates the estimates from the latency of a response. Targets that were
 // slow when the request was sent tell little about the others, so the shared estimates
 // ignore them.
-func (b *Book) measure(now time.Time, f *flight, latency time.Duration) {
+func (b *Book) measure(now time.Time, d *flight, latency time.Duration) {
 	const weight = 1.0 / 32
-	wasCrowded := f.member.crowded(f.beside)
-	predicted := float64(f.usual) * f.pace
+	wasCrowded := d.member.crowded(d.beside)
+	predicted := float64(d.usual) * d.pace
 	switch {
-	case f.pace > b.cfg.Slow:
+	case d.pace > b.cfg.Slow:
 	case wasCrowded:
 		ratio := float64(latency) / predicted
 		b.knee += (min(max(ratio, 1), maxKnee) - b.knee) * weight
 	default:
-		b.usual.add(f.class, time.Duration(float64(latency)/f.pace))
+		b.usual.add(d.class, time.Duration(float64(latency)/d.pace))
 	}
 	if wasCrowded {
 		predicted *= b.knee
 	}
-	f.member.measure(now, latency, time.Duration(predicted))
+	d.member.measure(now, latency, time.Duration(predicted))
 }
 
 // maxCrowdedSample bounds the effect of one response on crowdedFactor.
@@ -307,7 +307,7 @@
 func (b *Book) Has(id string) bool { return b.members[id] != nil }
 
 // RequestCounts returns the numbers of pending requests and of requests in flight.
-func (b *Book) Len() (seeking, inFlight int) {
+func (b *Book) Len() (pending, inFlight int) {
 	return len(b.seeking), len(b.flights)
 }
 
--- a/pkg/slot/cold_test.go
+++ b/pkg/slot/cold_test.go
@@ -56,24 +56,24 @@
 	reported := func(left time.Duration) time.Duration { return left }
 	unreported := func(time.Duration) time.Duration { return -1 }
 	tests := []struct {
-		name  string
-		begin func(h *desk)                          // makes the first targets cold
-		told  func(left time.Duration) time.Duration // what they report when they are probed
+		name     string
+		makeCold func(h *desk)                          // makes the first targets cold
+		reports  func(left time.Duration) time.Duration // what they report when they are probed
 	}{
-		{"records tell", func(h *desk) {
+		{"reported by records", func(h *desk) {
 			list := targets(cold+1, 0)
 			for i := range cold {
 				list[i].Warm = h.now.Add(3 * time.Second)
 			}
 			h.Targets(h.now, list, nil)
 		}, unreported},
-		{"only answers tell", func(*desk) {}, reported},
-		{"back from an evacuation, records and answers don't tell", func(h *desk) {
+		{"reported by probe answers only", func(*desk) {}, reported},
+		{"evacuation ended, not reported", func(h *desk) {
 			h.Targets(h.now, targets(cold+1, cold), nil)
 			h.now = h.now.Add(5 * time.Second)
 			h.Targets(h.now, targets(cold+1, 0), nil)
 		}, unreported},
-		{"the same ones have started anew", func(h *desk) {
+		{"restarted under the same IDs", func(h *desk) {
 			list := targets(cold+1, 0)
 			for i := range cold {
 				list[i].Born, list[i].Warm = 7, h.now.Add(3*time.Second)
@@ -94,7 +94,7 @@
 				h.Done(h.now, End{ID: id, Kind: Cancelled}, nil)
 			}
 			h.now = h.now.Add(2 * quota.ColdSpan)
-			tt.begin(h)
+			tt.makeCold(h)
 			until := h.now.Add(3 * time.Second)
 			arrivals := make(map[string][]time.Time)
 			warm := 0
@@ -104,7 +104,7 @@
 					if id == "t4" {
 						return 0
 					}
-					return tt.told(until.Sub(h.now))
+					return tt.reports(until.Sub(h.now))
 				})
 				for _, a := range sent {
 					if a.Target.ID == "t4" {
@@ -220,9 +220,9 @@
 		after  time.Time
 		same   bool
 	}{
-		{"warm still", time.Time{}, time.Time{}, true},
+		{"still warm", time.Time{}, time.Time{}, true},
 		{"the same warm-up, read later", at, at.Add(800 * time.Millisecond), true},
-		{"it has ended", at, time.Time{}, true},
+		{"ended", at, time.Time{}, true},
 		{"cold for the first time", time.Time{}, at, false},
 		{"cold again", at, at.Add(4 * time.Second), false},
 	}
--- a/pkg/slot/event.go
+++ b/pkg/slot/event.go
@@ -6,7 +6,7 @@
 type Request struct {
 	ID        uint64    // unique in the balancer
 	Arrived   time.Time // at this entry
-	Objective time.Time // end of the time in which a response counts as prompt
+	Objective time.Time // a response has its full value until then
 	Deadline  time.Time // a response is useless after it
 	Priority  int       // 0 is the most urgent
 	Homes     []string  // regions whose targets may serve it; empty for all
@@ -69,7 +69,7 @@
 	Full            // no target could answer it in time
 	NoTarget        // no target is available
 	Cold            // all targets are cold and at the bound for cold targets
-	Paused          // all targets are at their bounds or have asked for a pause
+	Paused          // all targets are at their bounds, at least one of them has asked for a pause
 	Limited         // all targets are at their bounds, at least one of them at a limit that it reports
 )
 
--- a/pkg/slot/limit.go
+++ b/pkg/slot/limit.go
@@ -28,20 +28,20 @@
 // time sent, and reports whether the limit has changed. A response may be older than the
 // last report of a limit if its request was sent before that report; it neither raises nor
 // ends the limit.
-func (l *limit) take(now, sent time.Time, r Report, question bool) (changed bool) {
+func (l *limit) take(now, sent time.Time, r Report, isProbe bool) (changed bool) {
 	stale := sent.Before(l.at)
 	switch {
 	case r.Limited && l.named && r.Limit > l.rate && stale:
 		return false
 	case r.Limited:
-		l.asked = l.asked || question
+		l.asked = l.asked || isProbe
 		changed = !l.named || l.rate != r.Limit
 		if !l.named {
 			l.since = now
 		}
 		l.named, l.rate, l.at = true, r.Limit, now
 		return changed
-	case r.Unlimited && l.named && !stale && (!question || l.asked):
+	case r.Unlimited && l.named && !stale && (!isProbe || l.asked):
 		l.named, l.rate = false, 0
 		return true
 	}
--- a/pkg/slot/limit_test.go
+++ b/pkg/slot/limit_test.go
@@ -148,12 +148,12 @@
 		rate  float64
 	}{
 		{"sent before", -time.Millisecond, Report{Unlimited: true}, false, true, 2},
-		{"sent before, a greater one", -time.Millisecond, Report{Limited: true, Limit: 5}, false, true, 2},
-		{"sent before, a smaller one", -time.Millisecond, Report{Limited: true, Limit: 1}, false, true, 1},
+		{"sent before, higher limit", -time.Millisecond, Report{Limited: true, Limit: 5}, false, true, 2},
+		{"sent before, lower limit", -time.Millisecond, Report{Limited: true, Limit: 1}, false, true, 1},
 		{"sent after", time.Millisecond, Report{Unlimited: true}, false, false, 0},
-		{"sent after, a greater one", time.Millisecond, Report{Limited: true, Limit: 5}, false, true, 5},
+		{"sent after, higher limit", time.Millisecond, Report{Limited: true, Limit: 5}, false, true, 5},
 		{"no response", time.Millisecond, Report{}, false, true, 2},
-		{"a question, of which the answers name none", time.Millisecond, Report{Unlimited: true}, true, true, 2},
+		{"probe, answers never report the limit", time.Millisecond, Report{Unlimited: true}, true, true, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/pkg/slot/member.go
+++ b/pkg/slot/member.go
@@ -37,7 +37,7 @@
 	out    bool    // it gets trial requests only
 	rest   time.Time
 	pause  time.Duration
-	sheds  int // consecutive
+	sheds  int
 	closed time.Time
 	moved  bool // another target has answered at its address
 
@@ -64,7 +64,7 @@
 	return m.pace*weight + meanPace*(1-weight)
 }
 
-// ageWeight returns the weight of a report of this age; at the age half it is one half.
+// ageWeight returns the weight of a report of this age; at the age halfLife it is one half.
 func aged(age, halfLife time.Duration) float64 {
 	return float64(halfLife) / float64(halfLife+max(age, 0))
 }
@@ -144,7 +144,7 @@
 	return m.Leaving || !m.left.IsZero() || m.Evacuated || m.moved
 }
 
-// available reports whether the target may get a request now, apart from its load.
+// acceptsRequests reports whether the target may get a request now, apart from its load.
 func (m *member) open(now time.Time) bool {
 	if m.leaves() || now.Before(m.closed) {
 		return false
--- a/pkg/slot/queue_test.go
+++ b/pkg/slot/queue_test.go
@@ -13,10 +13,10 @@
 // follow after about the service time.
 func TestWhenToComeBack(t *testing.T) {
 	tests := []struct {
-		name    string
-		held    int // requests at each of the four targets with two slots
-		waiting int
-		soon    bool
+		name      string
+		perTarget int // requests at each of the four targets with two slots
+		waiting   int
+		immediate bool
 	}{
 		{"idle targets", 0, 0, true},
 		{"one more would crowd them", 1, 0, false},
@@ -27,12 +27,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			h := newDesk(4)
 			for i := range 4 {
-				h.says(fmt.Sprintf("t%d", i), 1, tt.held)
+				h.says(fmt.Sprintf("t%d", i), 1, tt.perTarget)
 			}
 			for range tt.waiting {
 				h.arrive()
 			}
-			qt.Assert(t, h.Back(h.now) < 10*time.Millisecond, qt.Equals, tt.soon, qt.Commentf("%v", h.Back(h.now)))
+			qt.Assert(t, h.Back(h.now) < 10*time.Millisecond, qt.Equals, tt.immediate, qt.Commentf("%v", h.Back(h.now)))
 		})
 	}
 }
--- a/pkg/slot/survey.go
+++ b/pkg/slot/survey.go
@@ -13,16 +13,16 @@
 	unknown int // targets whose current load is unknown
 }
 
-func (v *survey) add(now time.Time, m *member, c *Config) {
+func (s *survey) add(now time.Time, m *member, c *Config) {
 	if m.leaves() {
 		return
 	}
-	v.all++
+	s.all++
 	if m.busy(now, c) > 0 {
-		v.taken++
+		s.taken++
 	}
 	if m.unknown(now, c) {
-		v.unknown++
+		s.unknown++
 	}
 }
 
@@ -33,10 +33,10 @@
 }
 
 // unknownShare returns the share of targets whose load is unknown.
-func (v survey) blind() float64 { return float64(v.unknown) / float64(max(v.all, 1)) }
+func (s survey) blind() float64 { return float64(s.unknown) / float64(max(s.all, 1)) }
 
 // pressure is near 1 when nearly all targets are busy and their load is unknown.
-func (v survey) strain() float64 { return float64(v.taken) / float64(max(v.all, 1)) * v.blind() }
+func (s survey) strain() float64 { return float64(s.taken) / float64(max(s.all, 1)) * s.blind() }
 
 // Factors that raise the cost of a target.
 const (
@@ -51,11 +51,11 @@
 
 // remotePenalty returns the current cost factor of targets in another failure domain. It
 // falls as the pressure rises, since the nearby targets alone may then be too few.
-func (v survey) far() float64 { return farFactor - v.strain() }
+func (s survey) far() float64 { return farFactor - s.strain() }
 
 // crowdedPenalty returns the current cost factor of targets that one more request would
 // crowd.
-func (v survey) crowd() float64 { return 1 + crowdFactor*v.blind() }
+func (s survey) crowd() float64 { return 1 + crowdFactor*s.blind() }
 
 // maxExtraProbes is the number of extra probes at the highest pressure. The total is bounded
 // by maxCandidates.
--- a/pkg/slot/targets_test.go
+++ b/pkg/slot/targets_test.go
@@ -13,13 +13,13 @@
 // counted its failures. The new incarnation must get requests at once.
 func TestTargetStartsAgainUnderItsID(t *testing.T) {
 	tests := []struct {
-		name string
-		born int64
-		want bool // it gets requests at once
+		name    string
+		started int64
+		want    bool // it gets requests at once
 	}{
-		{"the same", 1, false},
-		{"a new one", 2, true},
-		{"a new one by a clock that was set back", -5, true},
+		{"same incarnation", 1, false},
+		{"new incarnation", 2, true},
+		{"new incarnation, clock set back", -5, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 				stuck = append(stuck, id)
 				h.now = h.now.Add(20 * time.Millisecond)
 			}
-			h.Targets(h.now, []Target{{ID: "t0", Slots: 2, Born: tt.born}, {ID: "t1", Slots: 2, Born: 1}}, nil)
+			h.Targets(h.now, []Target{{ID: "t0", Slots: 2, Born: tt.started}, {ID: "t1", Slots: 2, Born: 1}}, nil)
 			_, out := h.arrive()
 			asked := slices.ContainsFunc(pick(out, Ask), func(a Action) bool { return a.Target.ID == "t0" })
 			c.Assert(asked, qt.Equals, tt.want)
