--- a/pkg/slot/cold_test.go
+++ b/pkg/slot/cold_test.go
@@ -231,7 +231,7 @@
 	}
 }
 
-// BenchmarkArriveEvacuatedAndCold measures a decision among 300 targets: 17 us if all are
+// BenchmarkSubmitEvacuatedAndCold measures a decision among 300 targets: 17 us if all are
 // warm and in use, 14 us if 100 are evacuated and 50 cold, with 3 allocations each. Without
 // the checks of evacuations and shares, it takes 18.6 us and 3 allocations if all are in
 // use.
--- a/pkg/slot/slot_test.go
+++ b/pkg/slot/slot_test.go
@@ -318,7 +318,7 @@
 	c.Assert(count, qt.DeepEquals, map[string]int{"t0": 2, "t1": 2, "t2": 2})
 }
 
-// BenchmarkArrive measures a decision among 250 targets whose load is known. The clock has
+// BenchmarkSubmit measures a decision among 250 targets whose load is known. The clock has
 // monotonic readings as in production; without them, each comparison of times costs double.
 // It takes 12 us, and 22 to 27 us if each decision scans all targets twice and computes
 // their costs at each comparison.
