--- a/pkg/quota/limit_test.go
+++ b/pkg/quota/limit_test.go
@@ -58,8 +58,8 @@
 					continue
 				}
 				s.ration.Sent(now)
-				// Requests that were sent before the entry knew of the limit, or within 500
-				// ms after that, don't count.
+				// Requests that were sent before the entry knew of the limit, or within
+				// 500 ms after that, don't count.
 				if now.Sub(s.learns) >= 500*time.Millisecond {
 					arrivals = append(arrivals, now)
 					sent++
--- a/pkg/slot/choose.go
+++ b/pkg/slot/choose.go
@@ -12,13 +12,13 @@
 // inRegions reports whether the target may serve requests that are restricted to these
 // regions; none means no restriction. A target with an unknown region may be anywhere, so it
 // serves no restricted request.
-func (m *member) atHome(homes []string) bool {
-	return len(homes) == 0 || slices.Contains(homes, m.Region)
+func (m *member) atHome(regions []string) bool {
+	return len(regions) == 0 || slices.Contains(regions, m.Region)
 }
 
 // anyInRegions reports whether any available target may serve requests with these regions.
-func (b *Book) housed(homes []string) bool {
-	return len(homes) == 0 || slices.ContainsFunc(b.order, func(m *member) bool { return !m.leaves() && m.atHome(homes) })
+func (b *Book) housed(regions []string) bool {
+	return len(regions) == 0 || slices.ContainsFunc(b.order, func(m *member) bool { return !m.leaves() && m.atHome(regions) })
 }
 
 // usable reports whether s may be dispatched to m, by the current estimate of its load.
--- a/pkg/slot/cold_test.go
+++ b/pkg/slot/cold_test.go
@@ -11,8 +11,8 @@
 	"plumpitch.example/plumpitch/pkg/quota"
 )
 
-// newColdHarness returns a balancer for targets that can serve 3.4 requests per second for 3
-// s after a start. The bound is 13 requests within a second, and this entry is the only
+// newColdHarness returns a balancer for targets that can serve 3.4 requests per second for
+// 3 s after a start. The bound is 13 requests within a second, and this entry is the only
 // sender.
 func warmDesk(list []Target) *desk {
 	h := newDesk(0)
@@ -29,19 +29,19 @@
 // duration.
 func (h *desk) serve(cold func(id string) time.Duration) (sent, refused []Action) {
 	var out []Action
-	for id, f := range h.flights {
-		if h.now.Sub(f.sent) >= h.work {
-			out = h.Done(h.now, End{ID: id, Report: Report{Load: Load{Running: f.member.inFlight, Slots: 2, Pace: 1}, Loaded: true}}, out)
+	for id, d := range h.flights {
+		if h.now.Sub(d.sent) >= h.work {
+			out = h.Done(h.now, End{ID: id, Report: Report{Load: Load{Running: d.member.inFlight, Slots: 2, Pace: 1}, Loaded: true}}, out)
 		}
 	}
 	out = h.Tick(h.now, out)
 	_, submitted := h.arrive()
 	out = append(out, submitted...)
 	for _, a := range pick(out, Ask) {
-		left := cold(a.Target.ID)
+		remaining := cold(a.Target.ID)
 		out = append(out, h.Replied(h.now, Reply{
 			Target: a.Target.ID, Report: Report{Load: Load{Running: h.members[a.Target.ID].inFlight, Slots: 2, Pace: 1}, Loaded: true},
-			Well: true, Cold: left, Warmth: left >= 0,
+			Well: true, Cold: remaining, Warmth: remaining >= 0,
 		}, nil)...)
 	}
 	return pick(out, Send), pick(out, Refuse)
@@ -53,12 +53,12 @@
 // runs.
 func TestColdTargetsGetWhatTheyBear(t *testing.T) {
 	const most, work, cold = 13, 10 * time.Millisecond, 4
-	reported := func(left time.Duration) time.Duration { return left }
+	reported := func(remaining time.Duration) time.Duration { return remaining }
 	unreported := func(time.Duration) time.Duration { return -1 }
 	tests := []struct {
 		name     string
-		makeCold func(h *desk)                          // makes the first targets cold
-		reports  func(left time.Duration) time.Duration // what they report when they are probed
+		makeCold func(h *desk)                               // makes the first targets cold
+		reports  func(remaining time.Duration) time.Duration // what they report when they are probed
 	}{
 		{"reported by records", func(h *desk) {
 			list := targets(cold+1, 0)
@@ -148,8 +148,8 @@
 			c.Assert(a.Retry > 0 && a.Retry < 2*quota.ColdSpan, qt.IsTrue, qt.Commentf("%v", a.Retry))
 		}
 	}
-	seeking, _ := h.Len()
-	c.Assert(served+refusals+seeking, qt.Equals, 1000, qt.Commentf("each is served or refused at once"))
+	pending, _ := h.Len()
+	c.Assert(served+refusals+pending, qt.Equals, 1000, qt.Commentf("each is served or refused at once"))
 	c.Assert(served >= 80, qt.IsTrue, qt.Commentf("%d", served))
 }
 
--- a/pkg/slot/evacuated_test.go
+++ b/pkg/slot/evacuated_test.go
@@ -30,8 +30,8 @@
 			h.says(a.Target.ID, 1, 0)
 		}
 	}
-	seeking, inFlight := h.Len()
-	c.Assert(seeking, qt.Equals, 2)
+	pending, inFlight := h.Len()
+	c.Assert(pending, qt.Equals, 2)
 	out := h.Targets(h.now, targets(2, 2), nil)
 	refused := pick(out, Refuse)
 	c.Assert(refused, qt.HasLen, 2)
@@ -39,8 +39,8 @@
 	c.Assert(refused[0].Retry > 0, qt.IsTrue)
 	_, out = h.arrive()
 	c.Assert(pick(out, Refuse), qt.HasLen, 1)
-	seeking, stillInFlight := h.Len()
-	c.Assert(seeking, qt.Equals, 0)
+	pending, stillInFlight := h.Len()
+	c.Assert(pending, qt.Equals, 0)
 	c.Assert(stillInFlight, qt.Equals, inFlight, qt.Commentf("requests that run are left to end"))
 }
 
--- a/pkg/slot/limit_test.go
+++ b/pkg/slot/limit_test.go
@@ -33,9 +33,9 @@
 // step completes requests that have run for serviceTime, and answers probes.
 func (n *needy) step(out []Action) []Action {
 	n.now = n.now.Add(5 * time.Millisecond)
-	for id, f := range n.flights {
-		if n.now.Sub(f.sent) >= n.work {
-			out = n.Done(n.now, End{ID: id, Report: n.report(f.member.ID)}, out)
+	for id, d := range n.flights {
+		if n.now.Sub(d.sent) >= n.work {
+			out = n.Done(n.now, End{ID: id, Report: n.report(d.member.ID)}, out)
 		}
 	}
 	out = n.Tick(n.now, out)
--- a/pkg/slot/slot_test.go
+++ b/pkg/slot/slot_test.go
@@ -157,8 +157,8 @@
 	}
 	c.Assert(h.now.Sub(arrived) < 200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", h.now.Sub(arrived)))
 	c.Assert(pick(out, Refuse)[0].Retry > 0, qt.IsTrue)
-	seeking, _ := h.Len()
-	c.Assert(seeking, qt.Equals, 0)
+	pending, _ := h.Len()
+	c.Assert(pending, qt.Equals, 0)
 }
 
 // A target leaves while requests wait. They must be dispatched to the others or refused, and
--- a/pkg/slot/throttle.go
+++ b/pkg/slot/throttle.go
@@ -31,9 +31,9 @@
 
 // throttled reports whether all available targets for requests with these regions are at
 // their bounds.
-func (b *Book) throttled(now time.Time, homes []string) (t throttle, all bool) {
+func (b *Book) throttled(now time.Time, regions []string) (t throttle, all bool) {
 	for _, m := range b.order {
-		if m.leaves() || !m.atHome(homes) {
+		if m.leaves() || !m.atHome(regions) {
 			continue
 		}
 		if b.admits(now, m) {
@@ -88,9 +88,9 @@
 
 // capacity returns the number of requests with this service time that the targets serve at
 // once.
-func (b *Book) capacity(now time.Time, homes []string, serviceTime time.Duration) (slots float64) {
+func (b *Book) capacity(now time.Time, regions []string, serviceTime time.Duration) (slots float64) {
 	for _, m := range b.order {
-		if !m.atHome(homes) || !m.open(now) && (m.inFlight == 0 || m.leaves()) {
+		if !m.atHome(regions) || !m.open(now) && (m.inFlight == 0 || m.leaves()) {
 			continue
 		}
 		if m.limit.named {
