--- a/pkg/slot/limit_test.go
+++ b/pkg/slot/limit_test.go
@@ -40,12 +40,12 @@
 	}
 	out = n.Tick(n.now, out)
 	for {
-		asked := pick(out, Ask)
-		if len(asked) == 0 {
+		probed := pick(out, Ask)
+		if len(probed) == 0 {
 			break
 		}
 		out = slices.DeleteFunc(out, func(a Action) bool { return a.Do == Ask })
-		for _, a := range asked {
+		for _, a := range probed {
 			r := n.report(a.Target.ID)
 			if m := n.members[a.Target.ID]; m != nil {
 				r.Load.Running = m.inFlight
@@ -143,7 +143,7 @@
 		name  string
 		sent  time.Duration // relative to the last response with the limit
 		r     Report
-		asked bool // the answer to a probe
+		probe bool // the answer to a probe
 		named bool
 		rate  float64
 	}{
@@ -160,7 +160,7 @@
 			l := newLimit("t0")
 			l.take(start, start, Report{Limited: true, Limit: 2}, false)
 			sent := start.Add(tt.sent)
-			l.take(start.Add(time.Second), sent, tt.r, tt.asked)
+			l.take(start.Add(time.Second), sent, tt.r, tt.probe)
 			qt.Assert(t, l.named, qt.Equals, tt.named)
 			qt.Assert(t, l.rate, qt.Equals, tt.rate)
 		})
--- a/pkg/slot/slot_test.go
+++ b/pkg/slot/slot_test.go
@@ -204,8 +204,8 @@
 			h.now = h.now.Add(time.Second)
 			h.Targets(h.now, tt.list, nil)
 			_, out := h.arrive()
-			asked := slices.ContainsFunc(pick(out, Ask), func(a Action) bool { return a.Target.ID == "t0" })
-			qt.Assert(t, asked, qt.Equals, tt.want)
+			probed := slices.ContainsFunc(pick(out, Ask), func(a Action) bool { return a.Target.ID == "t0" })
+			qt.Assert(t, probed, qt.Equals, tt.want)
 		})
 	}
 }
@@ -301,12 +301,12 @@
 func TestTargetsThatTellNothing(t *testing.T) {
 	c := qt.New(t)
 	h := newDesk(3)
-	asked := 0
+	probed := 0
 	count := map[string]int{}
 	for range 9 {
 		_, out := h.arrive()
 		for _, a := range pick(out, Ask) {
-			asked++
+			probed++
 			out = append(out, h.Replied(h.now, Reply{Target: a.Target.ID, Well: true}, nil)...)
 		}
 		for _, a := range pick(out, Send) {
@@ -314,7 +314,7 @@
 		}
 		h.now = h.now.Add(time.Millisecond)
 	}
-	c.Assert(asked, qt.Equals, 3)
+	c.Assert(probed, qt.Equals, 3)
 	c.Assert(count, qt.DeepEquals, map[string]int{"t0": 2, "t1": 2, "t2": 2})
 }
 
--- a/pkg/slot/targets_test.go
+++ b/pkg/slot/targets_test.go
@@ -37,8 +37,8 @@
 			}
 			h.Targets(h.now, []Target{{ID: "t0", Slots: 2, Born: tt.started}, {ID: "t1", Slots: 2, Born: 1}}, nil)
 			_, out := h.arrive()
-			asked := slices.ContainsFunc(pick(out, Ask), func(a Action) bool { return a.Target.ID == "t0" })
-			c.Assert(asked, qt.Equals, tt.want)
+			probed := slices.ContainsFunc(pick(out, Ask), func(a Action) bool { return a.Target.ID == "t0" })
+			c.Assert(probed, qt.Equals, tt.want)
 			out = append(out, h.says("t0", 1, 0)...)
 			c.Assert(len(pick(out, Send)) == 1, qt.Equals, tt.want)
 			for _, id := range stuck {
@@ -71,7 +71,7 @@
 		after func(h *desk) []Action
 		sent  bool // to the other one
 	}{
-		{"asked for its load", func(h *desk) { h.arrive() }, func(h *desk) []Action {
+		{"probed", func(h *desk) { h.arrive() }, func(h *desk) []Action {
 			return append(h.says("left", 1, 0), h.says("other", 1, 0)...)
 		}, true},
 		{"in the queue", func(h *desk) {
@@ -110,8 +110,8 @@
 					qt.Assert(t, a.Target.ID, qt.Equals, "other")
 				}
 				qt.Assert(t, len(sent) > 0, qt.Equals, tt.sent)
-				asked := pick(out, Ask)
-				qt.Assert(t, slices.ContainsFunc(asked, func(a Action) bool { return a.Target.ID == "left" }), qt.IsFalse)
+				probed := pick(out, Ask)
+				qt.Assert(t, slices.ContainsFunc(probed, func(a Action) bool { return a.Target.ID == "left" }), qt.IsFalse)
 			})
 		}
 	}
