--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -15,27 +15,29 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// maxInbox bounds the messages that wait for the control loop.
+// inboxSize is how many messages can be queued for the control loop.
 const maxInbox = 256
 
-// message is something that the control loop has to know. The set is closed.
+// message changes the state of the control loop. All its types are in
+// message.go.
 type message interface {
 	apply(now time.Time, c *control)
 }
 
-// control is the one owner of what the traffic side reads as a site. Workers
-// send it typed messages; after each batch it replaces the snapshot.
+// control is the control loop, the only owner of the state that the traffic side
+// reads as a snapshot. Workers send it typed messages; after each batch it
+// publishes a new snapshot.
 type control struct {
 	entry    *Entry
 	inbox    chan message
 	site     *atomic.Pointer[site]
 	document tree.Document
 	vms      []store.VM
-	listed   bool // vms is known
+	listed   bool // the VM list has been read
 	live     []member.Entry
-	drained  drained // by operators
+	drained  drained
 	services map[string]*service
-	leaving  bool // this entry stops: locate no longer names it
+	leaving  bool // this entry is stopping and is omitted from locate
 }
 
 func newControl(e *Entry) *control {
@@ -48,8 +50,8 @@
 	}
 }
 
-// tell hands a message to the control loop and tells whether it was taken. It
-// waits while the inbox is full and gives up when ctx ends.
+// enqueue puts a message into the inbox and reports whether it succeeded. It
+// blocks while the inbox is full, until ctx ends.
 func (c *control) tell(ctx context.Context, m message) bool {
 	select {
 	case c.inbox <- m:
@@ -59,7 +61,7 @@
 	}
 }
 
-// Serve runs until ctx ends. Its state outlives a restart by the supervisor.
+// Serve runs until ctx ends. The state survives a restart by the supervisor.
 func (c *control) Serve(ctx context.Context) error {
 	for {
 		select {
@@ -71,7 +73,7 @@
 	}
 }
 
-// take applies a message and all that wait behind it, then publishes once.
+// applyBatch applies a message and all queued ones, then publishes once.
 func (c *control) take(m message) {
 	now := time.Now()
 	m.apply(now, c)
@@ -81,15 +83,15 @@
 			m.apply(now, c)
 		default:
 			if err := c.publish(now); err != nil {
-				c.entry.log.WithError(err).Error("settings not applied")
+				c.entry.log.WithError(err).Error("cannot apply the settings; the previous snapshot stays in force")
 			}
 			return
 		}
 	}
 }
 
-// publish brings the services in line with what is known and replaces the
-// snapshot.
+// publish updates the services to the current settings, VMs and live entries,
+// and replaces the snapshot.
 func (c *control) publish(now time.Time) (err error) {
 	defer func() { err = errors.WithMessage(err, "control") }()
 	services := make(map[string]*service)
@@ -112,47 +114,50 @@
 	return nil
 }
 
-// share is this entry's part among the home entries of a service. An entry that
-// serves it only by a stale locate answer probes nothing.
+// share returns this entry's share of the probes of a service, which its
+// preferred entries divide by rank. Any other entry receives requests for the
+// service only through stale locate responses and doesn't probe.
 func (c *control) share(want tree.Service) probe.Share {
-	homes := member.Homes(c.named(), want.Name, want.Policy.Entries)
-	for rank, m := range homes {
+	preferred := member.Homes(c.named(), want.Name, want.Policy.Entries)
+	for rank, m := range preferred {
 		if m.ID.Name == c.entry.cfg.File.Name {
-			return probe.Share{Rank: rank, Of: len(homes)}
+			return probe.Share{Rank: rank, Of: len(preferred)}
 		}
 	}
 	return probe.Share{}
 }
 
-// named are the entries that locate may name: those that are ready, while one
-// of them is live. An entry that boots while the platform is down knows no target
-// and would refuse every caller that is sent to it.
-func (c *control) named() (named []member.Entry) {
+// locatable returns the entries that locate may return: the live entries that
+// are ready or, if none is ready, all live entries. An entry that starts while
+// the platform is down knows no targets and would refuse every request.
+func (c *control) named() (ready []member.Entry) {
 	for _, m := range c.others() {
 		if m.Ready {
-			named = append(named, m)
+			ready = append(ready, m)
 		}
 	}
-	if len(named) == 0 {
+	if len(ready) == 0 {
 		return c.others()
 	}
-	return named
+	return ready
 }
 
-// others are the live entries, but for this one when it is leaving.
+// remaining returns the live entries, without this one while it is leaving.
 func (c *control) others() []member.Entry {
 	if !c.leaving {
 		return c.live
 	}
-	var others []member.Entry
+	var remaining []member.Entry
 	for _, m := range c.live {
 		if m.ID.Name != c.entry.cfg.File.Name {
-			others = append(others, m)
+			remaining = append(remaining, m)
 		}
 	}
-	return others
+	return remaining
 }
 
+// ensureService returns the service of a name, configured by the given settings.
+// It creates the service if it is new.
 func (c *control) service(now time.Time, want tree.Service) (s *service, err error) {
 	if s = c.services[want.Name]; s != nil {
 		return s, s.configure(now, want.Policy)
@@ -166,7 +171,8 @@
 	})
 }
 
-// targetsOf picks the VMs of a service in its places.
+// targetsOf returns the VMs of a service that are in its places, as targets. A
+// VM that is drained by operators counts as leaving.
 func (c *control) targetsOf(want tree.Service) (list []pool.Target) {
 	for _, vm := range c.vms {
 		if vm.Service != want.Name || !inPlaces(want.Policy.Places, vm.Place) {
--- a/internal/entry/drive.go
+++ b/internal/entry/drive.go
@@ -14,27 +14,27 @@
 	"plumpitch.example/plumpitch/pkg/pool"
 )
 
-// drive carries out what the lifecycle of one request decides. It runs in the
-// goroutine of the request; only a request that may be hedged dispatches in
-// goroutines of its own.
+// runner executes the actions that the state machine of one request, call.Call,
+// decides on. It runs in the goroutine of the request. Only a request that may
+// be hedged sends its dispatches in separate goroutines.
 type drive struct {
 	entry   *Entry
 	q       *request
 	ctx     context.Context
 	call    call.Call
-	seek    ticket // waits for the pool while seeking
-	seeking bool
-	wait    trace.Span // of seeking
+	seek    ticket // latest acquisition of a target
+	seeking bool   // the balancer hasn't decided on it yet
+	wait    trace.Span
 	tries   [call.MaxTries]flight
-	results chan result // from dispatches in goroutines
-	flying  int         // of these, not yet received
+	results chan result // from separate goroutines; nil if the request may not be hedged
+	flying  int         // dispatches whose result is still to come through results
 	hedge   <-chan time.Time
 	timer   *time.Timer
 	won     *passing
 	refused bool
 }
 
-// flight is one dispatch.
+// dispatch is one attempt to have the request served by a target.
 type flight struct {
 	ticket ticket
 	action pool.Action
@@ -43,7 +43,7 @@
 	answer *forward.Answer
 }
 
-// result is how a dispatch ended, or the head of its answer.
+// dispatchResult is the failure of a dispatch or the head of its response.
 type result struct {
 	try      int
 	answer   *forward.Answer
@@ -61,11 +61,12 @@
 	return d
 }
 
-// run ends with an answer to pass on, or with what to tell the caller.
+// run executes the request. It returns the response to copy to the caller, or
+// nil and the final response.
 func (d *drive) run() (p *passing, final call.Final) {
-	whole := false
+	finished := false
 	defer func() {
-		if !whole {
+		if !finished {
 			d.abandon()
 		}
 	}()
@@ -76,7 +77,7 @@
 	if d.timer != nil {
 		d.timer.Stop()
 	}
-	whole = true
+	finished = true
 	if d.flying > 0 {
 		go d.reap()
 	}
@@ -99,19 +100,20 @@
 	return a
 }
 
-// next waits for the next event and gives it to the lifecycle.
+// nextEvent waits for the next event and passes it to the state machine. A
+// decision of the balancer that is available already takes precedence.
 func (d *drive) next() call.Actions {
-	var answer chan pool.Action
+	var decision chan pool.Action
 	if d.seeking {
-		answer = d.seek.answer
+		decision = d.seek.answer
 	}
 	select {
-	case a := <-answer:
+	case a := <-decision:
 		return d.chosen(a)
 	default:
 	}
 	select {
-	case a := <-answer:
+	case a := <-decision:
 		return d.chosen(a)
 	case r := <-d.results:
 		d.flying--
@@ -127,7 +129,8 @@
 	}
 }
 
-// chosen takes the pool's answer.
+// handleDecision passes the balancer's decision, a target or a refusal, to the
+// state machine.
 func (d *drive) chosen(a pool.Action) call.Actions {
 	d.seeking = false
 	if a.Kind == pool.Refuse {
@@ -139,7 +142,8 @@
 	return d.call.Choose(time.Now(), call.Choice{Target: a.Addr})
 }
 
-// free is the index that the lifecycle gives to the next dispatch.
+// nextIndex returns the index that the state machine assigns to the next
+// dispatch: the first unused one.
 func (d *drive) free() (n int) {
 	for n = range d.tries {
 		if d.tries[n].cancel == nil {
@@ -149,7 +153,8 @@
 	return n
 }
 
-// perform carries out actions. An inline dispatch leads to further ones.
+// perform executes actions. A dispatch in the request's own goroutine returns
+// with its result, which leads to further actions.
 func (d *drive) perform(acts call.Actions) {
 	for _, a := range acts.All() {
 		switch a.Do {
@@ -179,6 +184,7 @@
 	}
 }
 
+// acquire asks the balancer for a target other than that of the latest dispatch.
 func (d *drive) enter() {
 	avoid := ""
 	for i := range d.tries {
@@ -191,8 +197,8 @@
 	d.seek = d.q.service.enter(time.Now(), pool.Arrival{Deadline: d.q.deadline, Idempotent: d.q.idempotent(), Avoid: avoid})
 }
 
-// enterHedge takes a slot that is free at once. A hedge that queues would take
-// the place of a first dispatch.
+// acquireHedge acquires a target for a hedge only if a slot is free at once. A
+// queued hedge would delay the first dispatch of another request.
 func (d *drive) enterHedge() {
 	d.enter()
 	select {
@@ -219,7 +225,7 @@
 	go d.sendApart(ctx, a, f.action)
 }
 
-// send dispatches the request to one target, in a span of its own.
+// send dispatches the request to one target, within its own span.
 func (d *drive) send(ctx context.Context, a call.Action, to pool.Action) (r result) {
 	e, q := d.entry, d.q
 	ctx, span := e.tracing.start(ctx, "dispatch")
@@ -242,7 +248,8 @@
 	return r
 }
 
-// describe tells of a dispatch on its span.
+// setDispatchAttributes records the target and the result of a dispatch on its
+// span.
 func describe(span trace.Span, target string, attempt int, r result) {
 	span.SetAttributes(attribute.String("target", target), attribute.Int("attempt", attempt))
 	switch {
@@ -253,7 +260,7 @@
 	}
 }
 
-// took gives a dispatch's result to the lifecycle.
+// handleResult passes the result of a dispatch to the state machine.
 func (d *drive) took(r result) call.Actions {
 	if r.panicked != nil {
 		panic(r.panicked)
@@ -276,8 +283,9 @@
 	return d.call.Head(now, call.Head{Try: r.try, Status: r.answer.Status, Shed: r.answer.Load.Shed, Replay: replay})
 }
 
-// kindOf is how a failed dispatch counts for its target, which can't answer in
-// time while the caller holds back the body.
+// outcomeOfFailure returns the outcome that a failed dispatch counts as for its
+// target. A timeout while the caller is still sending the body isn't the
+// target's fault and counts as cancelled.
 func (d *drive) kindOf(s call.Stage) pool.Kind {
 	if s == call.StageTimeout && d.q.uploading() {
 		return pool.Cancelled
@@ -285,11 +293,13 @@
 	return kindOfStage(s)
 }
 
+// recordCrash records a failure that may be a crash of the target, announces it
+// to the peers and reports whether the request is quarantined.
 func (d *drive) crashed(now time.Time, f *forward.Failure, began time.Time) bool {
 	if !f.Stage.Crash() {
 		return false
 	}
-	held := d.entry.suspects.Crashed(now, d.q.fingerprint(), f.Target, began)
+	quarantined := d.entry.suspects.Crashed(now, d.q.fingerprint(), f.Target, began)
 	go d.entry.tellSuspect(d.q.fingerprint())
-	return held
+	return quarantined
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,8 +1,9 @@
-// Package entry is the long-running process: the callers', peers' and
-// operators' listeners, the control loop and the path of a request.
+// Package entry implements the long-running entry process: the listeners for
+// callers, peers and operators, the control loop and the handling of requests.
 //
-// A supervisor tree restarts what dies. The control loop is the one owner of
-// control state; traffic reads the snapshots that it publishes.
+// A supervisor tree restarts workers that fail. The control loop is the only
+// owner of control state; the traffic side reads the snapshots that it
+// publishes.
 package entry
 
 import (
@@ -29,30 +30,30 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// Rates at which one entry may read the store.
+// Limits on one entry's reads of the store.
 const (
 	readRate  = 4
 	readBurst = 8
 )
 
-// storeConns is how many idle connections to the store are kept.
+// maxIdleStoreConns limits the idle connections to the store.
 const storeConns = 4
 
-// Config builds an Entry.
+// Config configures an Entry.
 type Config struct {
 	File File
 	Boot uint64 // incarnation; grows with each start
 	Log  log.Interface
-	Out  io.Writer // of traces
+	Out  io.Writer // for spans, with the stdout exporter
 }
 
 // Entry is one entry process.
 type Entry struct {
 	cfg      Config
 	log      log.Interface
-	quiet    bool // answers that targets gave are not logged
-	stop     chan struct{}
-	stopping atomic.Bool // the entry is on its way out
+	quiet    bool          // don't log requests that a target responded to
+	stop     chan struct{} // signals that a later incarnation is running
+	stopping atomic.Bool
 
 	site     atomic.Pointer[site]
 	forward  *forward.Forwarder
@@ -70,15 +71,15 @@
 	claims   *claims.Claims
 	relay    *relay
 
-	claimRate *rate.Limiter // of this entry's part of claimWrites
+	claimRate *rate.Limiter // this entry's share of claimWritesPerSecond
 
 	callers   net.Listener
 	peers     net.Listener
 	operators net.Listener
 }
 
-// New opens the listeners, so that a taken address is told before anything
-// starts.
+// New builds an entry and opens its listeners, so that an address in use is
+// reported before anything starts.
 func New(cfg Config) (e *Entry, err error) {
 	defer func() { err = errors.WithMessage(err, "entry "+cfg.File.Name) }()
 	e = &Entry{
@@ -109,7 +110,7 @@
 	return &http.Client{Transport: tracedCalls{&e.tracing, "store", t}}
 }
 
-// listen opens the three listeners, or none.
+// listen opens all three listeners. On an error it closes those already open.
 func (e *Entry) listen() (err error) {
 	f := e.cfg.File
 	for _, l := range []struct {
@@ -137,26 +138,26 @@
 	}
 }
 
-// Ready tells whether settings are in force and targets are known.
+// Ready reports whether settings are in force and the VM list is known.
 func (e *Entry) Ready() bool {
 	s := e.site.Load()
 	return s.revision > 0 && s.listed
 }
 
-// Addresses are where the entry listens, which differs from its file where
-// that names port 0.
+// Addresses holds the host:port of each listener. They differ from the settings
+// file where it specifies port 0.
 type Addresses struct {
 	Callers   string
 	Peers     string
 	Operators string
 }
 
-// Addresses returns where the entry listens.
+// Addresses returns the addresses that the entry listens on.
 func (e *Entry) Addresses() Addresses {
 	return Addresses{Callers: e.callers.Addr().String(), Peers: e.peers.Addr().String(), Operators: e.operators.Addr().String()}
 }
 
-// self is this incarnation as other entries know it.
+// self returns this incarnation as gossiped to other entries.
 func (e *Entry) self() member.Entry {
 	f := e.cfg.File
 	return member.Entry{
@@ -165,34 +166,35 @@
 	}
 }
 
-// Serve runs the entry until ctx ends, then takes it out of locate, lets every
-// answer that named it expire, and stops between requests.
+// Serve runs the entry until ctx ends or a later incarnation of it is running.
+// It then removes the entry from locate, waits until every locate response that
+// contained it has expired, and lets the requests in flight finish.
 //
-// Traffic ends before control: a request in flight still needs claims, which
+// Traffic stops before control, since a request in flight still needs claims to
 // record its outcome.
 func (e *Entry) Serve(ctx context.Context) (err error) {
 	defer e.close()
-	control, stopControl := context.WithCancel(context.Background())
+	controlCtx, stopControl := context.WithCancel(context.Background())
 	defer stopControl()
-	traffic, stopTraffic := context.WithCancel(context.Background())
+	trafficCtx, stopTraffic := context.WithCancel(context.Background())
 	defer stopTraffic()
-	below := e.controlSupervisor().ServeBackground(control)
-	above := e.trafficSupervisor().ServeBackground(traffic)
+	controlDone := e.controlSupervisor().ServeBackground(controlCtx)
+	trafficDone := e.trafficSupervisor().ServeBackground(trafficCtx)
 	select {
 	case <-ctx.Done():
 	case <-e.stop:
 		err = errSuperseded
-	case err = <-below:
+	case err = <-controlDone:
 		return errors.WithMessage(err, "control")
-	case err = <-above:
+	case err = <-trafficDone:
 		return errors.WithMessage(err, "traffic")
 	}
 	e.leave()
 	stopTraffic()
-	<-above
+	<-trafficDone
 	e.depart()
 	stopControl()
-	<-below
+	<-controlDone
 	return err
 }
 
@@ -204,10 +206,9 @@
 	e.metrics.Close()
 }
 
-// errSuperseded says that a later start of this entry's name is up.
-var errSuperseded = errors.New("a later start of this entry is up")
+var errSuperseded = errors.New("a later incarnation of this entry is running")
 
-// superseded stops this incarnation.
+// superseded stops this incarnation because a later one is running.
 func (e *Entry) superseded() {
 	select {
 	case e.stop <- struct{}{}:
@@ -215,8 +216,8 @@
 	}
 }
 
-// controlSupervisor restarts a control worker that dies without touching the
-// others. What they know outlives their restart.
+// controlSupervisor runs the control workers. It restarts one that fails without
+// affecting the others; a worker keeps its state across the restart.
 func (e *Entry) controlSupervisor() *suture.Supervisor {
 	s := suture.New("control", suture.Spec{EventHook: e.supervised, Timeout: graceTime})
 	s.Add(e.control)
@@ -232,7 +233,7 @@
 	return s
 }
 
-// trafficSupervisor holds the listeners of callers and operators.
+// trafficSupervisor runs the servers for callers and operators.
 func (e *Entry) trafficSupervisor() *suture.Supervisor {
 	s := suture.New("traffic", suture.Spec{EventHook: e.supervised, Timeout: graceTime})
 	s.Add(newServer("callers", e.callers, e.callerHandler()))
@@ -251,7 +252,8 @@
 	http *http.Server
 }
 
-// newServer bounds what a slow or greedy client can hold.
+// newServer returns a server whose time and size limits bound the resources that
+// a slow client can hold.
 func newServer(name string, on net.Listener, h http.Handler) *server {
 	return &server{name: name, on: on, http: &http.Server{
 		Handler:           h,
@@ -261,10 +263,10 @@
 	}}
 }
 
-// graceTime bounds a graceful stop.
+// graceTime limits each step of a graceful stop.
 const graceTime = time.Minute
 
-// closing is the context of what has to end during a stop.
+// shutdownContext returns a context for one step of a stop, limited to graceTime.
 func closing() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), graceTime)
 	time.AfterFunc(graceTime, cancel)
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -14,13 +14,14 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// headerID is the request's id: the caller's own or a new one.
+// headerRequestID carries the caller's request id, or a generated one if the
+// caller sent none or one longer than maxRequestIDBytes.
 const headerID = "X-Request-Id"
 
-// maxID bounds a caller's request id, in bytes.
+// maxRequestIDBytes is the longest request id that is accepted from a caller.
 const maxID = 128
 
-// callerHandler is what callers reach: locate and requests, nothing else.
+// callerHandler serves the callers' listener: locate and requests only.
 func (e *Entry) callerHandler() http.Handler {
 	options := []kithttp.ServerOption{kithttp.ServerErrorEncoder(encodeError)}
 	return e.observed(route{
@@ -29,9 +30,9 @@
 	})
 }
 
-// route picks by the path. A http.ServeMux would redirect a path that holds
-// "//" or "..", which are the target's to understand, and a client follows the
-// redirect of a POST with a GET.
+// callerRouter selects a handler by path. It replaces http.ServeMux, which
+// redirects paths that contain "//" or "..". Such paths must reach the target
+// unchanged, and a client follows the redirect of a POST with a GET.
 type route struct {
 	locate http.Handler
 	call   http.Handler
@@ -39,7 +40,7 @@
 
 const locatePath = "/v1/locate"
 
-// ServeHTTP serves the two paths that callers have.
+// ServeHTTP serves locate and requests, and rejects every other path.
 func (m route) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case strings.HasPrefix(r.URL.EscapedPath(), callPrefix):
@@ -54,8 +55,8 @@
 	}
 }
 
-// observed gives each request an id and a span, counts and logs its outcome,
-// and answers for a request whose handling panics.
+// instrument wraps a handler: each request gets an id and a span, its outcome is
+// counted and logged, and a panic of its handler becomes a final response.
 func (e *Entry) observed(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began := time.Now()
@@ -79,9 +80,11 @@
 	})
 }
 
-// guard turns a panic of one request into its final answer. Whether the
-// request ran can't be told any more, so it claims nothing. An abort is how a
-// cut answer is kept from looking whole, and goes on to the server.
+// recoverPanic turns a panic of a request's handler into a final response with
+// outcome Unknown, since the request may or may not have run. It passes
+// http.ErrAbortHandler on to the server, which then closes the connection: the
+// caller must not take a truncated response for a complete one. A panic after
+// the response has started aborts the connection for the same reason.
 func (e *Entry) guard(w *outcomeWriter, id string) {
 	r := recover()
 	if r == nil {
@@ -93,10 +96,10 @@
 	if w.begun || r == any(http.ErrAbortHandler) {
 		panic(http.ErrAbortHandler)
 	}
-	forward.Refuse(w, call.Final{Outcome: call.Unknown, Reason: call.ReasonPanic, Detail: "a fault in plumpitch itself"})
+	forward.Refuse(w, call.Final{Outcome: call.Unknown, Reason: call.ReasonPanic, Detail: "internal error in plumpitch"})
 }
 
-// observe counts and logs a request's outcome.
+// recordOutcome counts and logs the outcome of a request.
 func (e *Entry) observe(w *outcomeWriter, r *http.Request, id string, span trace.Span, began time.Time) {
 	name, _ := splitPath(r.URL.EscapedPath())
 	outcome := w.Header().Get(call.HeaderOutcome)
@@ -112,13 +115,13 @@
 		"status": w.status, "took": time.Since(began).String(),
 	})
 	if outcome == "" {
-		l.Debug("answered")
+		l.Debug("request completed")
 		return
 	}
 	l = l.WithFields(log.Fields{"outcome": outcome, "reason": w.Header().Get(call.HeaderReason)})
 	if outcome == call.Unknown.String() {
-		l.Warn("final answer")
+		l.Warn("request ended without a target response")
 		return
 	}
-	l.Info("final answer")
+	l.Info("request ended without a target response")
 }
--- a/internal/entry/plane.go
+++ b/internal/entry/plane.go
@@ -16,8 +16,8 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// build makes the parts that entries share state by: membership and settings,
-// over one client of peers, and claims in the store.
+// build creates the components that share state between entries: membership and
+// settings, which use one peer client, and claims, which use the store.
 func (e *Entry) build() {
 	f := e.cfg.File
 	e.counters = &peer.Counters{}
@@ -41,12 +41,12 @@
 	e.relay = newRelay(e)
 }
 
-// claimWrites is how many writes a second all entries together may spend on
-// claims: a keyed request takes two, and the platform takes several hundred.
+// claimWritesPerSecond limits the claim writes of all entries together. A keyed
+// request takes two writes, and the platform handles several hundred a second.
 const claimWrites = 300
 
-// claimStore is a client of its own: claims must not wait behind other calls,
-// nor hold them up.
+// claimStore returns a separate store client for claims, so that claims and
+// other store calls don't delay each other.
 func (e *Entry) claimStore() *store.Client {
 	e.claimRate = rate.NewLimiter(claimWrites, claimWrites/10)
 	return store.New(store.Config{
@@ -54,8 +54,8 @@
 	})
 }
 
-// sweeps tells whether this entry removes expired claims: the first of all by
-// name does.
+// sweepsClaims reports whether this entry removes expired claims. The live entry
+// with the lowest name does so for all.
 func (e *Entry) sweeps() bool {
 	for _, m := range e.members.Serving() {
 		if m.ID.Name < e.cfg.File.Name {
@@ -65,12 +65,12 @@
 	return true
 }
 
-// documents are what peers hand on.
+// settingsSync returns the exchange of settings with peers.
 func (e *Entry) documents() documents {
 	return documents{settings: e.settings, client: e.client}
 }
 
-// peerServer answers other entries.
+// peerServer returns the server for other entries.
 func (e *Entry) peerServer() *server {
 	return &server{
 		name: "peers",
@@ -84,7 +84,8 @@
 	}
 }
 
-// learned takes rumours that are new here.
+// receiveRumours applies rumours that are new to this entry: leaving targets and
+// requests that crash targets.
 func (e *Entry) learned(r member.Rumours) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -97,7 +98,7 @@
 	}
 }
 
-// left spreads that a target is leaving.
+// announceLeaving marks a target as leaving and spreads that to all entries.
 func (e *Entry) left(target string, boot uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -105,48 +106,50 @@
 	_ = e.members.Tell(ctx, member.Rumours{Stopping: []member.Stopping{{Target: target, Boot: boot, At: time.Now()}}})
 }
 
-// tellSuspect spreads a request that crashed a target.
-func (e *Entry) tellSuspect(fp uint64) {
+// announceSuspect spreads the crash count of a request that crashed a target.
+func (e *Entry) tellSuspect(fingerprint uint64) {
 	now := time.Now()
 	for _, s := range e.suspects.Export(now, maxSuspects) {
-		if s.Print != fp {
+		if s.Print != fingerprint {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		_ = e.members.Tell(ctx, member.Rumours{Crashers: []member.Crasher{{
-			Print: fp, Crashes: uint32(s.Crashes), At: now.Add(-s.Age),
+			Print: fingerprint, Crashes: uint32(s.Crashes), At: now.Add(-s.Age),
 		}}})
 		cancel()
 	}
 }
 
-// maxSuspects is how many suspects are looked through for one to be spread.
+// maxExportedSuspects limits the suspects that are searched for the one to
+// spread.
 const maxSuspects = 64
 
-// firstPeer asks a live peer for the settings, for an entry that starts while
-// the store is down.
+// peerSettings pulls the settings from a live peer, for an entry that starts
+// while the store is down.
 type firstPeer struct{ entry *Entry }
 
-// Settings asks one live peer, another one at each call.
+// Settings pulls the changes after a revision from a live peer, chosen at random
+// at each call.
 func (p firstPeer) Settings(ctx context.Context, since uint64) (c settings.Change, err error) {
 	address, ok := p.entry.anyPeer()
 	if !ok {
 		return c, errNoPeer
 	}
-	ch, err := p.entry.client.Settings(ctx, address, since)
-	return settings.Change{Revision: ch.Revision, Document: ch.Document, Edits: ch.Edits}, err
+	change, err := p.entry.client.Settings(ctx, address, since)
+	return settings.Change{Revision: change.Revision, Document: change.Document, Edits: change.Edits}, err
 }
 
-// anyPeer picks a live entry other than this one.
+// randomPeer returns the peer address of a random live entry other than this one.
 func (e *Entry) anyPeer() (address string, ok bool) {
-	var others []string
+	var addresses []string
 	for _, m := range e.members.Serving() {
 		if m.ID.Name != e.cfg.File.Name {
-			others = append(others, m.Peer)
+			addresses = append(addresses, m.Peer)
 		}
 	}
-	if len(others) == 0 {
+	if len(addresses) == 0 {
 		return "", false
 	}
-	return others[rand.IntN(len(others))], true
+	return addresses[rand.IntN(len(addresses))], true
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -11,25 +11,25 @@
 
 var errNoPeer = errors.New("no live peer is known")
 
-// relay carries changes between the workers: settings in force and members to
-// the control loop, revisions to membership, and documents that peers have and
-// this entry lacks.
+// relay propagates changes between the workers: the settings in force and the
+// live entries to the control loop, and this entry's settings revision and
+// readiness to membership. It also pulls newer settings from peers.
 type relay struct {
 	entry *Entry
-	fetch chan string // peers with newer documents
+	fetch chan string // address of a peer with newer settings
 	marks member.Marks
-	ready bool // which membership has been told
+	ready bool
 }
 
-// readyPeriod is how often the entry looks whether it is ready.
+// readyPeriod is how often the entry checks whether it is ready.
 const readyPeriod = 200 * time.Millisecond
 
 func newRelay(e *Entry) *relay { return &relay{entry: e, fetch: make(chan string, 1)} }
 
 func (r *relay) String() string { return "relay" }
 
-// behind notes that the peer at an address has newer documents. While a fetch
-// waits another is not needed: rounds repeat the word.
+// requestPull requests a pull from the peer at an address, which has newer
+// settings. It drops the request if another is queued: gossip rounds repeat it.
 func (r *relay) behind(address string) {
 	select {
 	case r.fetch <- address:
@@ -54,7 +54,7 @@
 			r.membership(ctx)
 		case address := <-r.fetch:
 			if err := e.documents().fetch(ctx, address); err != nil {
-				e.log.WithError(err).Warn("documents of a peer")
+				e.log.WithError(err).Warn("cannot pull newer settings from a peer")
 			}
 		case <-tick.C:
 		}
@@ -70,13 +70,13 @@
 	r.entry.control.tell(ctx, membersChanged{r.entry.members.Serving()})
 }
 
-// revised tells membership of what is new of this entry, so that others hear of
-// it in its rounds.
+// advertise passes a new settings revision and the change to ready to membership,
+// which gossips them.
 func (r *relay) revised(ctx context.Context) {
 	e := r.entry
-	marks := member.Marks{Settings: e.settings.Document().Revision}
-	if marks != r.marks && e.members.Revised(ctx, marks) == nil {
-		r.marks = marks
+	revisions := member.Marks{Settings: e.settings.Document().Revision}
+	if revisions != r.marks && e.members.Revised(ctx, revisions) == nil {
+		r.marks = revisions
 	}
 	if !r.ready && e.Ready() && e.members.Ready(ctx) == nil {
 		r.ready = true
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -23,15 +23,15 @@
 	in       *http.Request
 	service  *service
 	policy   *tree.Policy
-	path     string // escaped, at the target
+	path     string // sent to the target, escaped
 	arrived  time.Time
 	deadline time.Time
 	body     []byte
-	stream   io.Reader // instead of body
+	stream   io.Reader // set instead of body if the body is streamed
 	upload   *callerBody
 	header   call.Header
 	key      string // of a non-idempotent request
-	print    uint64 // fingerprint, once it was needed
+	print    uint64 // computed on first use; 0 is not computed
 }
 
 func (e *Entry) decodeRequest(_ context.Context, r *http.Request) (any, error) {
@@ -54,14 +54,15 @@
 	return q, nil
 }
 
-// splitPath cuts /v1/call/service/rest into the service and /rest.
+// splitPath splits /v1/call/service/rest into the service and /rest.
 func splitPath(escaped string) (service, path string) {
 	service, path, _ = strings.Cut(strings.TrimPrefix(escaped, callPrefix), "/")
 	return service, "/" + path
 }
 
-// fingerprint tells whether two requests are the same. A streamed body is not
-// known and counts as none, unless a key needs its beginning.
+// fingerprint returns a hash that identifies equal requests. It ignores a
+// streamed body, which isn't buffered, except for a keyed request, whose body
+// prefix and length are included.
 func (q *request) fingerprint() uint64 {
 	if q.print == 0 {
 		q.print = q.printOf(call.BodyHash(q.body))
@@ -92,7 +93,7 @@
 	}
 }
 
-// serve finds a target, dispatches the request there and returns the answer.
+// serve runs the request and returns the target's response or a finalError.
 func (e *Entry) serve(ctx context.Context, q *request) (*passing, error) {
 	p, final := e.drive(ctx, q)
 	if p == nil {
@@ -101,8 +102,8 @@
 	return p, nil
 }
 
-// drive runs the request until its deadline. The answer's release ends the
-// context of its dispatch.
+// run executes the request until its deadline. The context of a returned
+// response is cancelled by its release.
 func (e *Entry) drive(ctx context.Context, q *request) (p *passing, final call.Final) {
 	ctx, cancel := context.WithDeadline(ctx, q.deadline)
 	defer func() {
@@ -117,15 +118,16 @@
 	return p, final
 }
 
-// passing is an answer on its way to the caller.
+// openResponse is a response that is being copied to the caller and still holds
+// its target's slot.
 type passing struct {
-	drive  *drive    // that brought it
-	began  time.Time // of its dispatch
+	drive  *drive
+	began  time.Time
 	answer *forward.Answer
 	ticket ticket
 	cancel context.CancelFunc
 	ended  bool
-	replay *claim.Answer // instead of the others
+	replay *claim.Answer // recorded response; the other fields are unset
 }
 
 func encodeAnswer(_ context.Context, w http.ResponseWriter, response any) error {
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -14,34 +14,34 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// service is the traffic side of one service: its pool of targets under a
-// lock, and the requests that wait for the pool's word. The lock is held for
-// one decision at a time, a few microseconds.
+// service is the traffic side of one service: its balancer, which is guarded by a
+// lock, and the requests that wait for a decision. The lock is held for one
+// decision at a time, a few microseconds.
 type service struct {
 	name    string
 	metrics serviceMetrics
 	policy  atomic.Pointer[tree.Policy]
-	budget  atomic.Pointer[call.Budget] // of second dispatches; nil allows none
+	budget  atomic.Pointer[call.Budget] // of retries and hedges; nil allows none
 	probe   func(s *service, a pool.Action)
 	left    func(target string, boot uint64)
 
 	mu      sync.Mutex
-	probes  *probe.Budget // also held by the chooser
-	granted probe.Config  // of probes
+	probes  *probe.Budget // shared with the balancer
+	granted probe.Config  // in force in it
 	chooser pool.Chooser
-	retired []pool.Chooser // replaced, with requests that still have to end
+	retired []pool.Chooser // replaced balancers that still have requests
 	waiting map[uint64]chan pool.Action
 	list    []pool.Target
 	scratch []pool.Action
-	last    uint64       // id of the last arrival
-	alarm   *alarm.Alarm // for the timers of the pools
+	last    uint64       // id of the last request
+	alarm   *alarm.Alarm // for the balancers' ticks
 	closed  bool
 }
 
-// retiredTick is how often replaced pools are looked after.
+// retiredTickPeriod is how often replaced balancers are ticked.
 const retiredTick = 2 * time.Millisecond
 
-// serviceConfig builds a service.
+// serviceConfig configures a service.
 type serviceConfig struct {
 	Name    string
 	Policy  tree.Policy
@@ -94,9 +94,9 @@
 	}
 }
 
-// configure puts a new policy in force. The pool is replaced only when its
-// limits change; requests in flight end with the pool that dispatched them, and
-// the leaving words that it holds go to the new one.
+// configure puts a new policy in force. It replaces the balancer only if its
+// type or limits change. Requests stay with the balancer that received them, and
+// the new one inherits its leaving notices.
 func (s *service) configure(now time.Time, p tree.Policy) (err error) {
 	old := *s.policy.Load()
 	s.policy.Store(&p)
@@ -112,17 +112,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.chooser.Held(now)
+	notices := s.chooser.Held(now)
 	s.retired = append(s.retired, s.chooser)
 	s.chooser = c
-	for _, h := range held {
-		s.act(now, c.Leave(now, h.Target, h.Boot, s.scratch[:0]))
+	for _, n := range notices {
+		s.act(now, c.Leave(now, n.Target, n.Boot, s.scratch[:0]))
 	}
 	s.act(now, c.Targets(now, s.list, s.scratch[:0]))
 	return nil
 }
 
-// targets takes the whole list of the service's targets.
+// setTargets replaces the list of the service's targets.
 func (s *service) targets(now time.Time, list []pool.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,22 +130,24 @@
 	s.act(now, s.chooser.Targets(now, list, s.scratch[:0]))
 }
 
-// leave takes word that a target is leaving.
+// markLeaving notes that an incarnation of a target is leaving.
 func (s *service) leave(now time.Time, target string, boot uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.act(now, s.chooser.Leave(now, target, boot, s.scratch[:0]))
 }
 
-// ticket is one request's wait for a target, and its slot once it has one.
+// ticket identifies a request at the balancer: its place in the queue, and its
+// slot once it is dispatched.
 type ticket struct {
 	service *service
-	chooser pool.Chooser // the pool that took the request
+	chooser pool.Chooser // that received the request
 	id      uint64
-	answer  chan pool.Action // brings one Dispatch or Refuse
+	answer  chan pool.Action // receives one Dispatch or Refuse
 }
 
-// enter asks the pool for a target. The answer may be there at once.
+// acquire submits a request to the balancer. The decision may be available when
+// it returns.
 func (s *service) enter(now time.Time, a pool.Arrival) ticket {
 	t := ticket{service: s, answer: make(chan pool.Action, 1)}
 	s.mu.Lock()
@@ -158,7 +160,7 @@
 	return t
 }
 
-// cancel takes the request back, queued or dispatched.
+// cancel withdraws the request, whether it is queued or dispatched.
 func (t ticket) cancel(now time.Time) {
 	s := t.service
 	s.mu.Lock()
@@ -167,7 +169,7 @@
 	s.act(now, t.chooser.Cancel(now, t.id, s.scratch[:0]))
 }
 
-// done ends a dispatched request.
+// done reports the outcome of a dispatched request and frees its slot.
 func (t ticket) done(now time.Time, kind pool.Kind, load pool.Load) {
 	s := t.service
 	s.mu.Lock()
@@ -175,7 +177,8 @@
 	s.act(now, t.chooser.Done(now, pool.Answer{ID: t.id, Kind: kind, Load: load}, s.scratch[:0]))
 }
 
-// act does what the pool decided. The lock is held: nothing here blocks.
+// perform executes the balancer's actions. The caller holds the lock, so nothing
+// here may block.
 func (s *service) act(now time.Time, actions []pool.Action) {
 	for _, a := range actions {
 		switch a.Kind {
@@ -194,7 +197,7 @@
 	s.arm(now)
 }
 
-// arm sets the alarm to the pools' next wish.
+// scheduleTick sets the alarm to the next tick that a balancer needs.
 func (s *service) arm(now time.Time) {
 	next := s.chooser.Next()
 	if len(s.retired) > 0 {
@@ -218,7 +221,8 @@
 	s.tickRetired(now)
 }
 
-// tickRetired serves the queues of replaced pools until they are empty.
+// tickRetired ticks the replaced balancers and drops those that have no requests
+// left.
 func (s *service) tickRetired(now time.Time) {
 	kept := s.retired[:0]
 	for _, c := range s.retired {
