--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -13,34 +13,35 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// maxHeld is the longest request body that is held in memory, in bytes, so
-// that it can be sent again. A longer one is streamed and sent once.
+// maxBufferedBody is the longest request body, in bytes, that is buffered so that
+// it can be sent again by a retry or hedge. A longer one is streamed and sent
+// once.
 const maxHeld = 64 << 10
 
-// linger is how long the rest of a caller's body is read after its answer. A
-// connection that is closed with bytes unread is reset, and the caller, still
-// writing, would lose the answer.
+// lingerTime is how long the rest of a caller's body is read after the response.
+// Closing a connection with unread bytes resets it, and a caller that is still
+// writing would lose the response.
 const linger = 500 * time.Millisecond
 
-// errTooLong is the end of a streamed body that is over the limit.
+// errTooLong is returned by a read that passes the body limit.
 var errTooLong = errors.New("body: too long")
 
-// callerBody is the body of a caller's request. It knows whether its end was
-// seen and whether it went over the limit.
+// callerBody is the body of a caller's request. It enforces the body limit and
+// records whether the whole body was read.
 type callerBody struct {
 	io.Closer
 	src   io.Reader
 	conn  *http.ResponseController
-	left  int64       // bytes that may still come; negative is no limit
-	ended atomic.Bool // all of it was read
-	over  atomic.Bool // it is longer than the limit
+	left  int64       // bytes up to the limit; negative is no limit
+	ended atomic.Bool // the whole body was read
+	over  atomic.Bool // the body exceeds the limit
 }
 
 func newCallerBody(w http.ResponseWriter, r *http.Request) *callerBody {
 	return &callerBody{Closer: r.Body, src: r.Body, conn: http.NewResponseController(w), left: -1}
 }
 
-// Read fails where the body goes over the limit.
+// Read returns errTooLong once the body exceeds the limit.
 func (b *callerBody) Read(p []byte) (n int, err error) {
 	if b.left >= 0 && int64(len(p)) > b.left {
 		p = p[:b.left+1]
@@ -59,17 +60,17 @@
 	return n, err
 }
 
-// hold reads up to len(p) bytes by a time. A caller that sends no more would
-// otherwise hold a connection of the entry for as long as it likes.
-func (b *callerBody) hold(p []byte, by time.Time) (n int, err error) {
-	_ = b.conn.SetReadDeadline(by)
+// readBefore reads len(p) bytes or up to the end of the body, until a deadline.
+// Without one a caller that stops sending would occupy a connection indefinitely.
+func (b *callerBody) hold(p []byte, deadline time.Time) (n int, err error) {
+	_ = b.conn.SetReadDeadline(deadline)
 	n, err = io.ReadFull(b, p)
 	_ = b.conn.SetReadDeadline(time.Time{})
 	return n, err
 }
 
-// leave bounds what is read after the request has ended. The read of a dispatch
-// that waits for the caller ends with it.
+// limitLinger limits reads of the rest of the body to lingerTime, after the
+// request has ended. It also ends a dispatch's read that waits for the caller.
 func (b *callerBody) leave() {
 	if !b.ended.Load() {
 		_ = b.conn.SetReadDeadline(time.Now().Add(linger))
@@ -77,16 +78,16 @@
 }
 
 // interrupt ends a read that waits for the caller. The transport waits for the
-// read of a cancelled dispatch, so without it a caller that holds back the body
-// would keep its target's slot past every deadline.
+// read of a cancelled dispatch: without the interrupt, a caller that stops sending
+// would occupy the target's slot past the deadline.
 func (b *callerBody) interrupt() {
 	if !b.ended.Load() {
 		_ = b.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// readBody holds a short body in memory and leaves a longer one to be
-// streamed.
+// readBody buffers a body of at most maxBufferedBody bytes and sets up a longer
+// one, or one of unknown length, to be streamed.
 func (q *request) readBody() error {
 	n := q.in.ContentLength
 	if n == 0 {
@@ -116,13 +117,13 @@
 	return nil
 }
 
-// holdHead reads the beginning of a keyed request's body before anything is
-// decided, all of it if it is short: the key's fingerprint has to tell it from
-// another request.
+// bufferPrefix buffers the first maxBufferedBody bytes of a keyed request's body,
+// which the fingerprint needs to detect a key that is reused for another request.
+// If the body is longer, the rest is streamed.
 func (q *request) holdHead(n int64) error {
-	head := make([]byte, maxHeld)
-	got, err := q.upload.hold(head, q.deadline)
-	q.body = head[:got]
+	prefix := make([]byte, maxHeld)
+	read, err := q.upload.hold(prefix, q.deadline)
+	q.body = prefix[:read]
 	switch err {
 	case io.EOF, io.ErrUnexpectedEOF:
 		return nil
@@ -134,8 +135,8 @@
 	return q.notHeld(err)
 }
 
-// notHeld is the answer to a request whose body didn't come. Nothing was
-// dispatched yet.
+// bodyReadError returns the final error for a body that couldn't be buffered. The
+// request wasn't dispatched yet.
 func (q *request) notHeld(err error) error {
 	if errors.Is(err, errTooLong) {
 		return finalError{q.tooLong(call.NotRun, "more")}
@@ -156,12 +157,14 @@
 	}
 }
 
-// uploading reports whether the caller still has to send some of the body.
+// uploading reports whether part of a streamed body is still to be read from the
+// caller.
 func (q *request) uploading() bool {
 	return q.stream != nil && !q.upload.ended.Load()
 }
 
-// explain says what was wrong with the body where that ended the request.
+// withBodyError replaces a final response by one about the body limit if the
+// streamed body exceeded it, unless the request ran.
 func (q *request) explain(f call.Final) call.Final {
 	if q.stream == nil || !q.upload.over.Load() || f.Outcome == call.Ran {
 		return f
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -12,21 +12,23 @@
 	"plumpitch.example/plumpitch/internal/store"
 )
 
-// drainKind is the kind of the store's objects that drain a target, named as it and
-// with its incarnation, or evacuate a place, named as that and with placeValue. Both
-// are read by one call.
+// drainKind is the kind of the store's drain objects. One that drains a target has
+// the target's name, and its incarnation as the value. One that evacuates a place
+// has the place's name, and evacuationValue as the value. The shared kind allows
+// one call to list both.
 const drainKind = "drain"
 
-// placeValue is the value of an object that evacuates a place.
+// evacuationValue is the value of an object that evacuates a place.
 const placeValue = "place"
 
-// drained is what operators want no new work for.
+// drainState holds the targets and places that operators excluded from new work.
 type drained struct {
-	targets map[string]uint64 // with the incarnation that is meant
-	places  map[string]bool
+	targets map[string]uint64 // incarnations of drained targets, by name
+	places  map[string]bool   // evacuated places
 }
 
-// has reports whether a VM itself is to get no new work.
+// includes reports whether a VM is drained. A later incarnation of a drained
+// target isn't.
 func (d drained) has(vm store.VM) bool {
 	boot, ok := d.targets[vm.ID]
 	return ok && boot == vm.Boot
@@ -36,7 +38,7 @@
 	return maps.Equal(d.targets, o.targets) && maps.Equal(d.places, o.places)
 }
 
-// drains decodes the drain objects; one that can't be read drains nothing.
+// parseDrains decodes drain objects. It ignores those with an invalid value.
 func drains(objects []store.Object) drained {
 	d := drained{targets: make(map[string]uint64), places: make(map[string]bool)}
 	for _, o := range objects {
@@ -49,7 +51,7 @@
 	return d
 }
 
-// drainAnswer confirms a drain or its end.
+// drainResponse reports whether a target is drained.
 type drainAnswer struct {
 	Target  string `json:"target"`
 	Boot    uint64 `json:"boot"`
@@ -71,9 +73,9 @@
 	}
 }
 
-// drain records in the store that operators drain a target, and takes it out
-// here at once. The incarnation is written, so that a restarted target is not
-// drained by an old order.
+// drain writes a drain object for a target, and marks the target as leaving
+// without waiting for the next read of the store. The object contains the
+// incarnation, so that it doesn't drain the target after a restart.
 func (e *Entry) drain(ctx context.Context, vm store.VM) (err error) {
 	defer func() { err = errors.WithMessage(err, "drain "+vm.ID) }()
 	if err := e.putDrain(ctx, vm.ID, strconv.FormatUint(vm.Boot, 10)); err != nil {
@@ -88,7 +90,7 @@
 	return e.dropDrain(ctx, vm.ID)
 }
 
-// evacuateAnswer confirms an evacuation or its end.
+// evacuateResponse reports whether a place is evacuated.
 type evacuateAnswer struct {
 	Place     string `json:"place"`
 	Evacuated bool   `json:"evacuated"`
@@ -116,9 +118,10 @@
 	}
 }
 
-// evacuate records in the store that no target of a place gets new work until it is
-// restored. All entries go by it within a second or so. A place that no target is in is
-// refused: it would be a typing error, and the place that was meant would go on.
+// evacuate writes a drain object that excludes all targets of a place from new work
+// until the place is restored. All entries apply it within about a second. It
+// rejects a place without targets: the name is probably misspelled, and the
+// intended place would stay in use.
 func (e *Entry) evacuate(ctx context.Context, place string, targets int) (err error) {
 	defer func() { err = errors.WithMessage(err, "evacuate "+place) }()
 	if targets == 0 {
@@ -127,13 +130,13 @@
 	return e.putDrain(ctx, place, placeValue)
 }
 
-// restore takes an evacuation back.
+// restore ends an evacuation.
 func (e *Entry) restore(ctx context.Context, place string, _ int) (err error) {
 	defer func() { err = errors.WithMessage(err, "restore "+place) }()
 	return e.dropDrain(ctx, place)
 }
 
-// putDrain writes a drain object unless it says so already.
+// putDrain writes a drain object unless it already has the value.
 func (e *Entry) putDrain(ctx context.Context, name, value string) error {
 	o, err := e.store.Get(ctx, drainKind, name)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -146,7 +149,7 @@
 	return err
 }
 
-// dropDrain removes a drain object if there is one.
+// deleteDrain deletes a drain object if it exists.
 func (e *Entry) dropDrain(ctx context.Context, name string) error {
 	o, err := e.store.Get(ctx, drainKind, name)
 	if errors.Is(err, store.ErrNotFound) {
--- a/internal/entry/file.go
+++ b/internal/entry/file.go
@@ -11,8 +11,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// File is an entry VM's own settings: what it can't learn from the platform.
-// It is read once, at the start, from JSON with comments.
+// File holds the settings of one entry process, which it can't get from the
+// platform. It is read once at the start, from JSON with comments.
 type File struct {
 	Name      string   // unique among entries
 	Region    string   // region of the VM
@@ -21,12 +21,12 @@
 	Peers     string   // host:port of the peers' listener
 	Operators string   // host:port of the operators' listener
 	Platform  string   // base URL of the platform's object store
-	Seeds     []string // peers' host:port of other entries, asked at the start
+	Seeds     []string // host:port of other entries' peer listeners, for joining
 	Trace     string   // "off" or "stdout"
 	Level     string   // least severe log level: debug, info, warn, error
 }
 
-// fileWire is the form of File on disk.
+// fileWire is the JSON encoding of File.
 type fileWire struct {
 	Name      string   `json:"name"`
 	Region    string   `json:"region"`
@@ -40,7 +40,7 @@
 	Level     string   `json:"level"`
 }
 
-// ReadFile reads and checks an entry's own settings file.
+// ReadFile reads, decodes and checks a settings file.
 func ReadFile(path string) (f File, err error) {
 	defer func() { err = errors.WithMessage(err, path) }()
 	data, err := os.ReadFile(path)
@@ -50,7 +50,7 @@
 	return ParseFile(data)
 }
 
-// ParseFile decodes and checks an entry's own settings.
+// ParseFile decodes and checks the content of a settings file.
 func ParseFile(data []byte) (f File, err error) {
 	std, err := hujson.Standardize(data)
 	if err != nil {
@@ -67,6 +67,7 @@
 	return f, f.check()
 }
 
+// line returns the number of the line that contains an offset.
 func line(data []byte, offset int64) int {
 	return 1 + bytes.Count(data[:min(int(offset), len(data))], []byte("\n"))
 }
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// checkAddress wants an IP address and a port: processes talk by IP numbers.
+// checkAddress rejects an address that isn't an IP address with a port. Host names
+// aren't resolved.
 func checkAddress(field, value string) error {
 	host, _, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil {
--- a/internal/entry/final.go
+++ b/internal/entry/final.go
@@ -11,7 +11,8 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// finalError is an answer that plumpitch makes itself.
+// finalError is a final response: one that plumpitch generates itself in place of
+// a target's.
 type finalError struct {
 	final call.Final
 }
@@ -45,8 +46,8 @@
 	}}
 }
 
-// encodeError writes what an endpoint failed with. An error that is no final
-// answer claims nothing about the execution.
+// encodeError writes an endpoint's error as a final response. An error of another
+// type gets outcome Unknown, since it may have occurred after a dispatch.
 func encodeError(_ context.Context, err error, w http.ResponseWriter) {
 	var fe finalError
 	if !errors.As(err, &fe) {
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -6,8 +6,8 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// readHeaders takes the time remaining, the attempt and the depth from the
-// caller's headers.
+// readHeaders reads plumpitch's headers from the request and sets the deadline:
+// the caller's timeout, limited by that of the policy.
 func (q *request) readHeaders(now time.Time) (err error) {
 	if q.header, err = call.ParseHeader(q.in.Header); err != nil {
 		return malformed(err.Error())
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -10,13 +10,14 @@
 	"plumpitch.example/plumpitch/pkg/claim"
 )
 
-// maxKey bounds an idempotency key, in bytes.
+// maxKeyBytes is the longest idempotency key that is accepted.
 const maxKey = 255
 
-// headerReplay marks a recorded answer of an earlier send.
+// headerReplay marks a response that was recorded for an earlier request with the
+// same key.
 const headerReplay = "Plumpitch-Replay"
 
-// readKey takes and checks the idempotency key of a request that needs one.
+// readKey reads and checks the idempotency key of a non-idempotent request.
 func (q *request) readKey() error {
 	if q.idempotent() {
 		return nil
@@ -49,9 +50,9 @@
 	return true
 }
 
-// serveKeyed runs a keyed non-idempotent request at most once. Once the claim
-// is granted the run goes on though its caller leaves: its answer is recorded,
-// and the caller's resend gets it instead of an unknown outcome.
+// serveKeyed runs a keyed non-idempotent request at most once. Once the claim is
+// granted, the run continues even if the caller disconnects: its response is
+// recorded, and the caller's retry gets it instead of an unknown outcome.
 func (e *Entry) serveKeyed(ctx context.Context, q *request) (*passing, error) {
 	ctx, span := e.tracing.start(ctx, "claim")
 	defer span.End()
@@ -69,21 +70,21 @@
 	return nil, finalError{q.explain(finalOf(result))}
 }
 
-// keyedRun is the run of a keyed request. Its answer is released unless it is
-// taken to be passed on.
+// keyedRun is the run of a keyed request. release closes its response unless
+// takeResponse has returned it for copying to the caller.
 type keyedRun struct {
 	entry *Entry
 	q     *request
 	own   *passing
 }
 
-// run drives the request. A panic counts as an outcome: without one the key's
-// record would say for as long as it is kept that the request is in progress.
-func (r *keyedRun) run(ctx context.Context) (ended claim.Ended) {
+// run executes the request. It returns a panic as an outcome: without one, the
+// key's record would show the request as in progress until it expires.
+func (r *keyedRun) run(ctx context.Context) (result claim.Ended) {
 	defer func() {
 		if v := recover(); v != nil {
 			r.entry.logPanic(r.q.in.Header.Get(headerID), v)
-			ended = claim.Ended{Outcome: call.Unknown, Reason: claim.Reason(call.ReasonPanic)}
+			result = claim.Ended{Outcome: call.Unknown, Reason: claim.Reason(call.ReasonPanic)}
 		}
 	}()
 	p, final := r.entry.drive(ctx, r.q)
@@ -105,7 +106,8 @@
 	}
 }
 
-// finalOf is what the caller is told when there is no answer to pass on.
+// finalOf returns the final response for a claim's result that has no response to
+// copy.
 func finalOf(r claim.Result) call.Final {
 	f := call.Final{Outcome: call.Unknown, Reason: call.Reason(r.Reason), Retry: r.RetryAfter}
 	switch r.Kind {
@@ -116,13 +118,13 @@
 		f.Detail = call.HeaderKey + ": found a key that belongs to another request, expected a key of its own"
 	case claim.Replay:
 		f.Outcome, f.Status = call.Ran, http.StatusConflict
-		f.Detail = "the request ran; its answer was not kept, being too long or cut"
+		f.Detail = "the request ran; its response was not recorded because it was too long or truncated"
 	}
 	return f
 }
 
-// recorded is an answer as it is kept for resends. One that is streamed is not
-// kept.
+// recordedResponse converts a response to the form in which a claim records it.
+// The body of a streamed response isn't recorded.
 func recorded(a *forward.Answer) claim.Answer {
 	out := claim.Answer{Outcome: call.Ran, Status: a.Status, Whole: a.Body == nil, Body: a.Whole}
 	for name, values := range a.Header {
@@ -133,7 +135,7 @@
 	return out
 }
 
-// writeReplay gives a recorded answer.
+// writeReplay writes a recorded response.
 func writeReplay(w http.ResponseWriter, a *claim.Answer) {
 	h := w.Header()
 	for _, f := range a.Header {
--- a/internal/entry/kind.go
+++ b/internal/entry/kind.go
@@ -8,7 +8,8 @@
 	"plumpitch.example/plumpitch/pkg/pool"
 )
 
-// kindOf is how a whole answer counts for its target.
+// outcomeOfStatus returns the outcome that a complete response counts as for its
+// target.
 func kindOf(status int) pool.Kind {
 	if status >= http.StatusInternalServerError {
 		return pool.Failed
@@ -16,7 +17,8 @@
 	return pool.Served
 }
 
-// kindOfStage is how a failed dispatch counts for its target.
+// outcomeOfStage returns the outcome that a failed dispatch counts as for its
+// target.
 func kindOfStage(s call.Stage) pool.Kind {
 	switch s {
 	case call.StageConnect, call.StageRefused, call.StageUnsent:
@@ -33,7 +35,7 @@
 	return pool.Load{InFlight: max(l.Inflight, 0), Known: l.Inflight >= 0, Leaving: l.Leaving}
 }
 
-// reasonOf is what a caller is told of a pool's refusal.
+// refusalReason returns the reason that a caller gets for a balancer's refusal.
 func reasonOf(r pool.Reason) call.Reason {
 	switch r {
 	case pool.QueueFull:
--- a/internal/entry/locate.go
+++ b/internal/entry/locate.go
@@ -11,12 +11,11 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// locateRequest asks which entries to use for a service.
+// locateRequest asks for the entries that serve a service.
 type locateRequest struct {
 	service string
 }
 
-// locateAnswer is the answer to it.
 type locateAnswer struct {
 	service   string
 	addresses []string // host:port, the preferred one first
--- a/internal/entry/message.go
+++ b/internal/entry/message.go
@@ -10,7 +10,7 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// documentChanged brings the settings in force.
+// documentChanged carries the settings in force. An older revision is ignored.
 type documentChanged struct{ document tree.Document }
 
 func (m documentChanged) apply(_ time.Time, c *control) {
@@ -20,17 +20,17 @@
 	c.document = m.document
 }
 
-// vmsListed brings the platform's list of VMs.
+// vmsListed carries the platform's list of VMs.
 type vmsListed struct{ list []store.VM }
 
 func (m vmsListed) apply(_ time.Time, c *control) { c.vms, c.listed = m.list, true }
 
-// drainsListed brings what operators drain.
+// drainsListed carries the targets and places that operators drain.
 type drainsListed struct{ drains drained }
 
 func (m drainsListed) apply(_ time.Time, c *control) { c.drained = m.drains }
 
-// membersChanged brings the entries that are live, this one included.
+// membersChanged carries the live entries, including this one.
 type membersChanged struct{ live []member.Entry }
 
 func (m membersChanged) apply(_ time.Time, c *control) {
@@ -38,8 +38,8 @@
 	c.entry.claimRate.SetLimit(claimWrites / rate.Limit(max(len(m.live), 1)))
 }
 
-// targetLeaves says that an incarnation of a target is leaving. It may name a
-// target that no list has shown yet.
+// targetLeaving reports that an incarnation of a target is leaving. The VM list
+// may not contain the target yet.
 type targetLeaves struct {
 	target string
 	boot   uint64
@@ -51,7 +51,7 @@
 	}
 }
 
-// stopping takes this entry out of locate.
+// entryLeaving removes this entry from locate.
 type stopping struct{}
 
 func (stopping) apply(_ time.Time, c *control) { c.leaving = true }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -7,17 +7,17 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// serviceMetrics are the instruments of one service, made once so that the
-// request path looks nothing up.
+// serviceMetrics holds the instruments of one service. They are created once, so
+// that the request path needs no lookups.
 type serviceMetrics struct {
 	latency  tally.Histogram
 	ran      tally.Counter
 	notRun   tally.Counter
 	unknown  tally.Counter
-	firsts   tally.Counter // first dispatches, which retries and hedges are a share of
+	firsts   tally.Counter // the retry budget is a share of these
 	retries  tally.Counter
 	hedges   tally.Counter
-	share    tally.Gauge // most retries and hedges for each first dispatch
+	share    tally.Gauge // limit of retries and hedges, per first dispatch
 	probes   tally.Counter
 	inflight tally.Gauge
 	queue    tally.Gauge
@@ -45,21 +45,21 @@
 	}
 }
 
-// dispatched counts one dispatch of a request: its first, a hedge beside
-// another that flies, or a retry.
-func (m serviceMetrics) dispatched(try, flying int) {
+// dispatched counts a dispatch as a first dispatch, as a hedge if others of its
+// request are in flight, or as a retry.
+func (m serviceMetrics) dispatched(index, inFlight int) {
 	switch {
-	case try == 0:
+	case index == 0:
 		m.firsts.Inc(1)
-	case flying > 0:
+	case inFlight > 0:
 		m.hedges.Inc(1)
 	default:
 		m.retries.Inc(1)
 	}
 }
 
-// count adds one request with the value of its outcome header, which is empty
-// on a target's own answer.
+// count counts a request by the value of its outcome header, which a target's
+// response doesn't have.
 func (m serviceMetrics) count(outcome string) {
 	switch outcome {
 	case call.NotRun.String():
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -14,7 +14,7 @@
 	"plumpitch.example/plumpitch/internal/store"
 )
 
-// operatorHandler is what operators reach.
+// operatorHandler serves the operators' listener.
 func (e *Entry) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -30,13 +30,13 @@
 	return mux
 }
 
-// operation serves an endpoint whose request is named by ?name=.
+// operatorEndpoint serves an endpoint whose request is the value of ?name=.
 func operation(ep endpoint.Endpoint) http.Handler {
 	decode := func(_ context.Context, r *http.Request) (any, error) { return r.URL.Query().Get("name"), nil }
 	return kithttp.NewServer(ep, decode, kithttp.EncodeJSONResponse, kithttp.ServerErrorEncoder(encodeOperatorError))
 }
 
-// operatorError is an error with the status that operators get.
+// operatorError is an error with the HTTP status of its response.
 type operatorError struct {
 	status int
 	err    error
@@ -57,19 +57,19 @@
 	}{err.Error()})
 }
 
-// serveReady is 200 while the entry is ready and isn't leaving.
+// serveReady responds with status 200 while the entry is ready and isn't leaving.
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case e.stopping.Load():
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 	case !e.Ready():
-		http.Error(w, "no settings or no ring yet", http.StatusServiceUnavailable)
+		http.Error(w, "no settings or no VM list yet", http.StatusServiceUnavailable)
 	default:
 		w.WriteHeader(http.StatusOK)
 	}
 }
 
-// explainRow tells of one target why it would or would not be chosen.
+// explainRow explains why the balancer would or wouldn't choose a target.
 type explainRow struct {
 	Target   string  `json:"target"`
 	Chosen   bool    `json:"chosen"`
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -11,25 +11,25 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// documents answers and asks for what peers hand on: the settings.
+// settingsSync exchanges settings with peers.
 type documents struct {
 	settings *settings.Settings
 	client   *peer.Client
 }
 
-// Since gives what a peer lacks.
-func (d documents) Since(_ context.Context, revision uint64) (ch peer.Change, err error) {
+// Since returns the changes after a revision, for a peer that has that revision.
+func (d documents) Since(_ context.Context, revision uint64) (change peer.Change, err error) {
 	s := d.settings.Since(revision)
 	return peer.Change{Revision: s.Revision, Document: s.Document, Edits: s.Edits}, nil
 }
 
-// fetchTime bounds the fetch of what this entry lacks.
+// pullTimeout limits one pull.
 const fetchTime = 3 * time.Second
 
-// fetch takes from a peer what this entry lacks. A gap in the edits is closed
-// by the whole document.
+// pull gets newer settings from a peer. If the peer's edits don't connect to this
+// entry's revision, it pulls the whole document.
 func (d documents) fetch(ctx context.Context, address string) (err error) {
-	defer func() { err = errors.WithMessagef(err, "fetch from %s", address) }()
+	defer func() { err = errors.WithMessagef(err, "pull settings from %s", address) }()
 	ctx, cancel := context.WithTimeout(ctx, fetchTime)
 	defer cancel()
 	err = d.fetchSince(ctx, address, d.settings.Document().Revision)
@@ -40,9 +40,9 @@
 }
 
 func (d documents) fetchSince(ctx context.Context, address string, revision uint64) error {
-	ch, err := d.client.Settings(ctx, address, revision)
+	change, err := d.client.Settings(ctx, address, revision)
 	if err != nil {
 		return err
 	}
-	return d.settings.Offer(ctx, settings.Change{Revision: ch.Revision, Document: ch.Document, Edits: ch.Edits})
+	return d.settings.Offer(ctx, settings.Change{Revision: change.Revision, Document: change.Document, Edits: change.Edits})
 }
--- a/internal/entry/platform.go
+++ b/internal/entry/platform.go
@@ -8,18 +8,20 @@
 	"plumpitch.example/plumpitch/internal/store"
 )
 
-// platformPeriod is the pause between reads of the VM list and the drains. At
-// two reads a second 300 entries stay at 600 of the store's 2,000.
+// platformPeriod is the interval between reads of the VM list and the drains. At
+// two reads a second each, 300 entries make 600 of the 2,000 reads a second that
+// the store handles.
 const platformPeriod = time.Second
 
-// platformWorker reads the platform's lists and tells the control loop. While
-// the platform is down the last lists stay in force.
+// platformWorker reads the VM list and the drains from the platform and sends
+// changes to the control loop. While the platform is down, the last lists stay in
+// force.
 type platformWorker struct {
 	store   *store.Client
 	control *control
 	vms     []store.VM
 	drained drained
-	known   bool // drained has been read
+	known   bool // drains have been read at least once
 }
 
 // Serve runs until ctx ends.
@@ -45,7 +47,8 @@
 		p.readDrains(ctx, drains(objects))
 	}
 	if !p.known {
-		// An entry that starts must not send to a place that the others have left.
+		// Without the drains, a starting entry would send requests to an
+		// evacuated place.
 		return
 	}
 	if list, err := p.store.VMs(ctx); err == nil && !slices.Equal(list, p.vms) && p.control.tell(ctx, vmsListed{list}) {
--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -13,24 +13,25 @@
 	"plumpitch.example/plumpitch/pkg/probe"
 )
 
-// prober sends probes. Whether one may be sent is the pool's decision, within
-// the budget.
+// prober sends probes. The balancer decides when to send one, within the probe
+// budget.
 type prober struct {
 	client *http.Client
 	sent   atomic.Uint64
-	spent  atomic.Int64 // nanoseconds that probes took
+	spent  atomic.Int64 // total duration of the probes, in nanoseconds
 }
 
-// Windows of the probe budget.
+// Times of the probe budget.
 const (
 	probeWindow = 100 * time.Millisecond
-	probeSettle = 5 * time.Second // until all entries know of a change of members
+	probeSettle = 5 * time.Second // until all entries have learned of a membership change
 )
 
-// grant sets what the service's probes may cost: a share of the time of all its
-// slots in any window, dealt out by rank among its home entries. A new budget
-// starts without a share and gets one only after the others have surely given
-// theirs up, so a change of settings or targets never pays twice.
+// setProbeShare sets the probe budget of the service: a share of the time of all
+// its slots in any window, divided by rank between its preferred entries. A new
+// budget starts without a share and gets one only after probeSettleTime, when the
+// other entries have given up theirs. A change of settings or targets therefore
+// never exceeds the total budget.
 func (s *service) grant(now time.Time, share probe.Share) {
 	p := s.policy.Load()
 	s.mu.Lock()
@@ -56,20 +57,20 @@
 	s.probes.Share(now, share)
 }
 
-// maxProbeBody bounds what is read of a probe's answer, in bytes.
+// maxProbeBody is how much of a probe's response body is read, in bytes.
 const maxProbeBody = 4 << 10
 
 func newProber() *prober {
 	return &prober{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Second}}}
 }
 
-// Probes returns how many probes the entry has sent and what they took.
+// Probes returns how many probes the entry has sent and their total duration.
 func (e *Entry) Probes() (sent uint64, took time.Duration) {
 	return e.prober.sent.Load(), time.Duration(e.prober.spent.Load())
 }
 
-// probe asks a target for its health and tells the pool. The time limit is
-// what the budget has paid for.
+// probe sends a health probe to a target and reports the result to the balancer.
+// Its time limit is the cost that was charged to the probe budget.
 func (e *Entry) probe(s *service, a pool.Action) {
 	p := s.policy.Load()
 	ctx, cancel := context.WithTimeout(context.Background(), p.ProbeCost)
--- a/internal/entry/release.go
+++ b/internal/entry/release.go
@@ -12,8 +12,8 @@
 	"plumpitch.example/plumpitch/pkg/pool"
 )
 
-// cancel ends a dispatch whose answer is not wanted. One that still flies in a
-// goroutine is cleared away when its result comes.
+// cancel ends a dispatch whose response isn't needed. If the dispatch is still in
+// flight in its goroutine, discardLateResults frees its slot later.
 func (d *drive) cancel(try int) {
 	f := &d.tries[try]
 	f.cancel()
@@ -28,7 +28,8 @@
 	f.ticket.done(time.Now(), kind, loadOf(f.answer.Load))
 }
 
-// reap clears away the results that come after the request has ended.
+// discardLateResults receives the results that arrive after the request has ended
+// and frees their slots.
 func (d *drive) reap() {
 	for ; d.flying > 0; d.flying-- {
 		r := <-d.results
@@ -41,10 +42,10 @@
 	}
 }
 
-// abandon gives back all that the request holds when its handling panics. A
-// slot that stayed taken would count against its target for as long as the
-// entry runs, and a few such requests would leave the service without slots.
-// The pool ignores the end of a request that has ended before.
+// releaseAll releases everything that the request holds when its handler panics.
+// A slot that isn't freed would stay occupied for as long as the entry runs, and a
+// few such requests would leave the service without slots. The balancer ignores
+// the cancellation of a request that has already ended.
 func (d *drive) abandon() {
 	now := time.Now()
 	d.seek.drop(now)
@@ -64,15 +65,16 @@
 	}
 }
 
-// drop gives a ticket back, if there is one.
+// cancelIfSet cancels the ticket unless it is the zero value.
 func (t ticket) drop(now time.Time) {
 	if t.service != nil {
 		t.cancel(now)
 	}
 }
 
-// sendApart dispatches in a goroutine of its own. A panic there would end the
-// process with all its requests, so it goes on in the request's goroutine.
+// sendAsync sends a dispatch from a separate goroutine. An unrecovered panic there
+// would end the process with all its requests, so it is passed as a result and
+// raised again in the request's goroutine.
 func (d *drive) sendApart(ctx context.Context, a call.Action, to pool.Action) {
 	r := result{try: a.Try}
 	defer func() {
@@ -85,7 +87,7 @@
 	r = d.send(ctx, a, to)
 }
 
-// end gives the slot back once the whole answer is passed on, or cut.
+// finish frees the slot once the response is copied completely or has failed.
 func (p *passing) end(f *forward.Failure) {
 	now := time.Now()
 	kind := kindOf(p.answer.Status)
@@ -99,8 +101,8 @@
 	p.ticket.done(now, kind, loadOf(p.answer.Load))
 }
 
-// release ends an answer that was not passed on to its end. A panic on the way
-// would keep the slot otherwise.
+// release closes a response that wasn't finished, so that a panic while it is
+// copied doesn't leave the slot occupied.
 func (p *passing) release() {
 	p.cancel()
 	if p.ended {
@@ -111,7 +113,7 @@
 	p.ticket.done(time.Now(), pool.Broken, pool.Load{})
 }
 
-// logPanic logs a recovered panic of a request.
+// logPanic logs a panic in the handling of a request, with the stack.
 func (e *Entry) logPanic(id string, v any) {
 	e.log.WithFields(log.Fields{"request": id, "stack": string(debug.Stack())}).Errorf("panic: %v", v)
 }
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -10,11 +10,11 @@
 	"plumpitch.example/plumpitch/pkg/pool"
 )
 
-// gaugePeriod is how often gauges are set.
+// gaugePeriod is how often the gauges are updated.
 const gaugePeriod = time.Second
 
-// reporter sets the gauges of control state and hands counters of others on to
-// tally.
+// reporter updates the gauges of control state and copies the counters of the
+// store and peer clients to tally.
 type reporter struct {
 	entry *Entry
 	store store.Counts
@@ -50,8 +50,8 @@
 	r.peerBytes(scope)
 }
 
-// look reads the pool under its lock, which a panic must not keep: all requests
-// of the service would wait for it.
+// poolStatus reads the balancer's state under the lock. It unlocks with defer: a
+// panic that left the service locked would block all its requests.
 func (s *service) look(now time.Time) (queued, inFlight int, rows []pool.Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,15 +61,15 @@
 
 func (s *service) gauges(now time.Time) {
 	queued, inFlight, rows := s.look(now)
-	out := 0
+	ejected := 0
 	for _, row := range rows {
 		if !row.Until.IsZero() {
-			out++
+			ejected++
 		}
 	}
 	s.metrics.queue.Update(float64(queued))
 	s.metrics.inflight.Update(float64(inFlight))
-	s.metrics.ejected.Update(float64(out))
+	s.metrics.ejected.Update(float64(ejected))
 	s.metrics.share.Update(s.policy.Load().RetryShare)
 }
 
@@ -90,7 +90,8 @@
 	r.store = now
 }
 
-// peerBytes sets what peers have said and heard since the start.
+// peerBytes updates the gauges of calls and bytes exchanged with peers since the
+// start.
 func (r *reporter) peerBytes(scope tally.Scope) {
 	c := r.entry.counters
 	for _, k := range c.Counts() {
--- a/internal/entry/site.go
+++ b/internal/entry/site.go
@@ -6,17 +6,17 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// site is what the traffic side knows of the whole system: one immutable
-// snapshot, replaced by the control loop.
+// snapshot is the traffic side's immutable view of the system. The control loop
+// replaces it.
 type site struct {
 	revision uint64 // of the settings in force
 	services map[string]*service
-	live     []member.Entry // entries that callers may be sent to
-	listed   bool           // whether the VM list is known
+	live     []member.Entry // entries that locate may return
+	listed   bool           // the VM list has been read
 }
 
-// locate names the addresses at which callers reach a service, the preferred
-// one first, and for how long they may keep the answer.
+// locate returns the addresses of the entries that serve a service, the preferred
+// one first, and how long callers may cache them.
 func (s *site) locate(name string) (addrs []string, ttl time.Duration, ok bool) {
 	sv, ok := s.services[name]
 	if !ok {
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -7,7 +7,7 @@
 	"github.com/go-kit/kit/endpoint"
 )
 
-// statusJSON is the operators' picture of the system as this entry sees it.
+// statusJSON is this entry's view of the system, for operators.
 type statusJSON struct {
 	Entry    string          `json:"entry"`
 	Settings uint64          `json:"settings"`
@@ -62,9 +62,9 @@
 	return list
 }
 
-func (s *service) status(homes []string) statusService {
+func (s *service) status(preferred []string) statusService {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	queued, inFlight := s.chooser.Len()
-	return statusService{Name: s.name, Homes: homes, Targets: len(s.list), Queued: queued, InFlight: inFlight}
+	return statusService{Name: s.name, Homes: preferred, Targets: len(s.list), Queued: queued, InFlight: inFlight}
 }
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// stopMargin is added to the time for which a leaving entry serves on: a locate
-// answer may be under way when the entry begins to leave.
+// stopMargin extends the time for which a leaving entry still serves requests: a
+// locate response that contains it may be in transit when it starts to leave.
 const stopMargin = time.Second
 
-// leave takes the entry out of locate everywhere and goes on serving until
-// every answer that named it has expired. A caller that keeps its locate
-// answer to its end would otherwise find a closed port.
+// leave removes the entry from locate on all entries and waits until every locate
+// response that contained it has expired. Otherwise a caller with a cached
+// response would connect to a closed port.
 func (e *Entry) leave() {
 	e.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), graceTime)
 	defer cancel()
-	e.log.Info("leaving")
+	e.log.Info("leaving: serving requests until locate responses have expired")
 	e.control.tell(ctx, stopping{})
 	if err := e.members.Leave(ctx); err != nil {
-		e.log.WithError(err).Warn("leave not announced")
+		e.log.WithError(err).Warn("cannot announce to peers that this entry is leaving")
 	}
 	select {
 	case <-time.After(e.longestHold() + stopMargin):
@@ -27,21 +27,22 @@
 	}
 }
 
-// depart ends what others count on: the store gets the outcomes that are still
-// on their way, then membership is told that this entry is gone.
+// announceDeparture writes the remaining claim outcomes to the store, then
+// announces to the other entries that this one has left.
 func (e *Entry) depart() {
 	ctx, cancel := context.WithTimeout(context.Background(), graceTime)
 	defer cancel()
 	if err := e.claims.Flush(ctx); err != nil {
-		e.log.WithError(err).Warn("stopped before the store had all outcomes")
+		e.log.WithError(err).Warn("stopping with claim outcomes not written to the store")
 	}
 	if err := e.members.Depart(ctx); err != nil {
-		e.log.WithError(err).Warn("departure not announced")
+		e.log.WithError(err).Warn("cannot announce to peers that this entry has left")
 	}
 }
 
-// longestHold is the longest time for which services want a leaving entry to
-// serve on. The settings keep it at least as long as callers keep an answer.
+// longestDrainHold returns the longest DrainHold of all services: how long a
+// leaving entry still serves requests. The settings require it to be at least as
+// long as callers cache a locate response.
 func (e *Entry) longestHold() (hold time.Duration) {
 	for _, sv := range e.site.Load().services {
 		hold = max(hold, sv.policy.Load().DrainHold)
--- a/internal/entry/trace.go
+++ b/internal/entry/trace.go
@@ -16,16 +16,16 @@
 	"plumpitch.example/plumpitch/internal/claims"
 )
 
-// Exporters that the settings file may name.
+// Span exporters, as in the settings file.
 const (
 	traceOff    = "off"
 	traceStdout = "stdout"
 )
 
-// tracing makes spans and carries their context in W3C headers.
+// tracing creates spans and propagates their context in W3C headers.
 //
-// While it is off the request path makes no span and reads no context: the
-// caller's own trace headers reach the target as any other header does.
+// While it is off, the request path creates no spans, and the caller's trace
+// headers are forwarded to the target like any other header.
 type tracing struct {
 	on     bool
 	tracer trace.Tracer
@@ -33,7 +33,7 @@
 	close  func()
 }
 
-// start begins a span of one hop, or none while tracing is off.
+// start starts a span, or returns noSpan while tracing is off.
 func (t tracing) start(ctx context.Context, name string) (context.Context, trace.Span) {
 	if !t.on {
 		return ctx, noSpan
@@ -41,10 +41,11 @@
 	return t.tracer.Start(ctx, name)
 }
 
-// noSpan stands for all spans while tracing is off.
+// noSpan is used for all spans while tracing is off.
 var noSpan trace.Span = noop.Span{}
 
-// received begins the span of a caller's request, below the caller's own.
+// startRequest starts the span of a caller's request, as a child of the caller's
+// span.
 func (t tracing) received(r *http.Request, id string) (context.Context, trace.Span) {
 	if !t.on {
 		return r.Context(), noSpan
@@ -53,7 +54,8 @@
 	return t.tracer.Start(ctx, r.Method, trace.WithAttributes(attribute.String("request", id)))
 }
 
-// id is the trace that a request belongs to, its caller's while tracing is off.
+// traceID returns the trace id of a request, which is the caller's while tracing
+// is off.
 func (t tracing) id(r *http.Request, span trace.Span) string {
 	if t.on {
 		return span.SpanContext().TraceID().String()
@@ -62,7 +64,7 @@
 	return trace.SpanContextFromContext(ctx).TraceID().String()
 }
 
-// ended ends a span, with the failure if there is one.
+// endSpan ends a span and records the failure, if any.
 func ended(span trace.Span, failure string) {
 	if failure != "" {
 		span.SetAttributes(attribute.String("failure", failure))
@@ -70,14 +72,15 @@
 	span.End()
 }
 
-// tracedCalls makes a span of each HTTP call and hands the context on.
+// tracedTransport creates a span for each HTTP request and injects its context into
+// the headers.
 type tracedCalls struct {
 	tracing *tracing
 	name    string
 	next    http.RoundTripper
 }
 
-// RoundTrip calls next.
+// RoundTrip implements http.RoundTripper.
 func (c tracedCalls) RoundTrip(r *http.Request) (res *http.Response, err error) {
 	if !c.tracing.on {
 		return c.next.RoundTrip(r)
@@ -101,13 +104,13 @@
 	return err.Error()
 }
 
-// tracedClaims makes a span of each claim that the store is asked for.
+// tracedClaims creates a span for each claim written to the store.
 type tracedClaims struct {
 	claims.Store
 	tracing *tracing
 }
 
-// Put writes a record.
+// Put writes a claim record.
 func (t tracedClaims) Put(ctx context.Context, kind, name string, expected uint64, value []byte) (version uint64, err error) {
 	ctx, span := t.tracing.start(ctx, "claim write")
 	defer func() { ended(span, problem(err)) }()
--- a/internal/entry/writer.go
+++ b/internal/entry/writer.go
@@ -2,18 +2,18 @@
 
 import "net/http"
 
-// outcomeWriter remembers whether an answer has begun and with which status.
+// outcomeWriter records whether the response has started, and its status.
 type outcomeWriter struct {
 	http.ResponseWriter
-	body   *callerBody // nil for none
+	body   *callerBody // nil if the request has no body
 	begun  bool
 	status int
 }
 
-// begin notes the status of the answer. One that begins before the whole body
-// was read closes the connection after it: what comes of the body could
-// otherwise be taken for the next request, and the server would read on before
-// it sends the answer.
+// start records the status of the response. If the request body wasn't read
+// completely, the connection is closed after the response. Otherwise the rest of
+// the body could be parsed as the next request, and the server would read it
+// before it sends the response.
 func (w *outcomeWriter) begin(status int) {
 	if w.begun || status < http.StatusOK {
 		return
@@ -24,17 +24,17 @@
 	}
 }
 
-// WriteHeader notes the status.
+// WriteHeader records the status and writes the header.
 func (w *outcomeWriter) WriteHeader(status int) {
 	w.begin(status)
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write notes that the answer has begun.
+// Write records that the response has started and writes to it.
 func (w *outcomeWriter) Write(p []byte) (int, error) {
 	w.begin(http.StatusOK)
 	return w.ResponseWriter.Write(p)
 }
 
-// Unwrap lets http.ResponseController flush.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (w *outcomeWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
