--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -21,13 +21,13 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// bound is the longest that a test waits for a condition.
+// waitTimeout is how long a test waits for a condition.
 const bound = 20 * time.Second
 
-// base are the settings of every test: a short wait at the stop.
+// baseSettings are in force in every test. They keep the stop of an entry short.
 const base = `"timeout": "5s", "locatettl": "100ms", "drainhold": "100ms"`
 
-// world is one entry between a platform's stand-in and targets of the test.
+// testEntry is an entry with a stand-in for the platform and targets of the test.
 type world struct {
 	*Entry
 	t        *testing.T
@@ -36,15 +36,14 @@
 	url      string // of the callers' listener
 }
 
-// served is a service of the test: its settings beside base, and its targets'
-// addresses.
+// testService is a service of a test.
 type served struct {
 	name    string
-	set     string
-	targets []string
+	set     string   // in addition to baseSettings
+	targets []string // addresses
 }
 
-// start brings an entry up and waits until it knows every target.
+// start runs an entry and waits until it has the targets of every service.
 func start(t *testing.T, services ...served) *world {
 	t.Helper()
 	w := prepare(t, services...)
@@ -52,7 +51,7 @@
 	return w
 }
 
-// prepare builds the entry, so that a test may change it before it serves.
+// prepare builds an entry without running it, so that a test can modify it first.
 func prepare(t *testing.T, services ...served) *world {
 	t.Helper()
 	t.Parallel()
@@ -81,7 +80,7 @@
 	return w
 }
 
-// in is the world for a subtest.
+// subtest returns the entry for use in a subtest.
 func (w *world) in(t *testing.T) *world {
 	sub := *w
 	sub.t, sub.c = t, qt.New(t)
@@ -122,7 +121,7 @@
 	w.until("the entry to be ready", func() bool { return w.Ready() && w.listed() })
 }
 
-// listed tells whether the VM list has reached the services.
+// targetsKnown reports whether every service has targets.
 func (w *world) listed() bool {
 	for _, sv := range w.site.Load().services {
 		sv.mu.Lock()
@@ -137,14 +136,15 @@
 
 func (w *world) until(what string, ok func() bool) {
 	w.t.Helper()
-	for end := time.Now().Add(bound); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			w.t.Fatalf("waited in vain for %s", what)
+	for deadline := time.Now().Add(bound); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			w.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// inFlight counts the requests of a service that hold a slot or wait for one.
+// inFlight returns the number of requests of a service that hold a slot or wait
+// for one.
 func (w *world) inFlight(name string) int {
 	sv := w.site.Load().services[name]
 	sv.mu.Lock()
@@ -153,24 +153,25 @@
 	return queued + inFlight
 }
 
-// idle waits until no request of a service holds a slot.
+// waitIdle waits until no request of a service holds a slot or waits for one.
 func (w *world) idle(name string) {
 	w.t.Helper()
 	w.until("the slots of "+name+" to be free", func() bool { return w.inFlight(name) == 0 })
 }
 
-// said is an answer, read to its end.
+// testResponse is a response with its body.
 type said struct {
 	*http.Response
 	body string
 }
 
-// outcome is what plumpitch says of the execution, with its reason.
+// outcome returns the values of the outcome and reason headers.
 func (s said) outcome() string {
 	return strings.TrimSpace(s.Header.Get(call.HeaderOutcome) + " " + s.Header.Get(call.HeaderReason))
 }
 
-// ask sends a request and reads the answer to its end.
+// request sends a request and reads the response to its end. header holds names
+// and values in turn.
 func (w *world) ask(method, path string, body io.Reader, header ...string) said {
 	w.t.Helper()
 	r, err := http.NewRequest(method, w.url+path, body)
@@ -186,14 +187,14 @@
 	return said{res, string(b)}
 }
 
-// client follows no redirect: what the entry answers is what is looked at.
+// client follows no redirects, so that a test sees the entry's own response.
 var client = &http.Client{
 	Transport:     &http.Transport{MaxIdleConnsPerHost: 8},
 	Timeout:       bound,
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// target serves a handler and gives its address.
+// serveTarget runs a target with a handler and returns its address.
 func target(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(h)
@@ -201,7 +202,8 @@
 	return s.Listener.Addr().String()
 }
 
-// raw serves each connection by f, for answers that net/http wouldn't write.
+// serveRawTarget runs a target that serves each connection with f, for responses
+// that net/http refuses to write. It returns the target's address.
 func raw(t *testing.T, f func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/entry/http_test.go
+++ b/internal/entry/http_test.go
@@ -17,8 +17,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A target sends events and a caller reads each as it comes, then both talk at
-// once: the target answers a line as soon as it has read it.
+// The entry must not buffer streams. The caller must receive each event as soon as
+// the target sends it, also while the caller is still sending its body.
 func TestStreamingBothWays(t *testing.T) {
 	next := make(chan string)
 	events := target(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -84,7 +84,7 @@
 	w.idle("echo")
 }
 
-// Trailers go both ways, and those of plumpitch's own name go neither.
+// Trailers are forwarded in both directions, except for plumpitch's own.
 func TestTrailersBothWays(t *testing.T) {
 	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -109,9 +109,9 @@
 	}
 }
 
-// A caller leaves while its request runs. A request without a key is cancelled
-// at the target and its slot is free; one with a key goes on, and the resend
-// gets its answer.
+// A caller disconnects while its request runs. A request without a key is
+// cancelled at the target and its slot is freed. One with a key continues, and
+// another request with the key gets the recorded response.
 func TestCallerLeaves(t *testing.T) {
 	began, cancelled, release := make(chan bool, 1), make(chan bool, 1), make(chan bool)
 	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
@@ -154,7 +154,8 @@
 	w.idle("plain")
 }
 
-// Headers of one connection stay there, and the target learns of the caller.
+// Hop-by-hop headers aren't forwarded in either direction, and the X-Forwarded
+// headers identify the caller to the target.
 func TestHeadersOfTheHop(t *testing.T) {
 	var seen atomic.Pointer[http.Request]
 	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
@@ -169,11 +170,11 @@
 		"GET", "/v1/call/plain/", nil, "Connection", "X-Hop", "X-Hop", "1", "Proxy-Connection", "x", "Keep-Alive", "x", "Te", "gzip",
 		"Upgrade", "websocket", "Proxy-Authorization", "secret", "X-Forwarded-For", "10.1.1.1", "X-End", "1", "X-Request-Id", "r1",
 	)
-	for _, gone := range []string{"X-Hop", "Proxy-Connection", "Keep-Alive", "Te", "Upgrade", "Proxy-Authorization"} {
-		w.c.Check(seen.Load().Header.Values(gone), qt.HasLen, 0, qt.Commentf("%s", gone))
+	for _, name := range []string{"X-Hop", "Proxy-Connection", "Keep-Alive", "Te", "Upgrade", "Proxy-Authorization"} {
+		w.c.Check(seen.Load().Header.Values(name), qt.HasLen, 0, qt.Commentf("%s", name))
 	}
-	for _, gone := range []string{"X-Private", "Keep-Alive"} {
-		w.c.Check(got.Header.Values(gone), qt.HasLen, 0, qt.Commentf("%s", gone))
+	for _, name := range []string{"X-Private", "Keep-Alive"} {
+		w.c.Check(got.Header.Values(name), qt.HasLen, 0, qt.Commentf("%s", name))
 	}
 	h := seen.Load().Header
 	w.c.Assert(h.Get("X-End"), qt.Equals, "1")
@@ -184,8 +185,8 @@
 	w.c.Assert(got.Header.Get("X-Kept"), qt.Equals, "1")
 }
 
-// Answers without a body keep their status and headers, and the connection
-// goes on to serve the next request.
+// Responses without a body keep their status and headers, and the connection
+// serves the next request.
 func TestAnswersWithoutBody(t *testing.T) {
 	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Etag", `"1"`)
@@ -213,32 +214,33 @@
 	w.idle("plain")
 }
 
-// A caller waits for leave to send its body. It gets leave where the request is
-// taken, and a final answer without sending anything where it isn't.
+// A caller sends Expect: 100-continue. It gets the status 100 if the request is
+// accepted, and a final response without sending the body otherwise.
 func TestExpectContinue(t *testing.T) {
 	w := start(t, served{name: "plain", set: `"maxbody": "1KB"`, targets: []string{counted(t, new(atomic.Int64))}})
 	for _, tt := range []struct {
 		size, status int
-		leave        bool
+		continued    bool
 	}{{4, 200, true}, {4 << 10, 413, false}} {
-		var leave atomic.Bool
+		var continued atomic.Bool
 		ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{
 			Got1xxResponse: func(int, textproto.MIMEHeader) error { return nil },
-			Got100Continue: func() { leave.Store(true) },
+			Got100Continue: func() { continued.Store(true) },
 		})
 		r, err := http.NewRequestWithContext(ctx, "POST", w.url+"/v1/call/plain/", strings.NewReader(strings.Repeat("x", tt.size)))
 		w.c.Assert(err, qt.IsNil)
 		r.Header.Set("Expect", "100-continue")
-		patient := &http.Client{Transport: &http.Transport{ExpectContinueTimeout: bound, DisableKeepAlives: true}}
-		res, err := patient.Do(r)
+		waiting := &http.Client{Transport: &http.Transport{ExpectContinueTimeout: bound, DisableKeepAlives: true}}
+		res, err := waiting.Do(r)
 		w.c.Assert(err, qt.IsNil)
 		res.Body.Close()
 		w.c.Assert(res.StatusCode, qt.Equals, tt.status)
-		w.c.Assert(leave.Load(), qt.Equals, tt.leave)
+		w.c.Assert(continued.Load(), qt.Equals, tt.continued)
 	}
 }
 
-// Large bodies arrive whole both ways, with a length and without.
+// Large bodies are forwarded completely in both directions, with and without
+// Content-Length.
 func TestLargeBodies(t *testing.T) {
 	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength > 0 {
--- a/internal/entry/key_test.go
+++ b/internal/entry/key_test.go
@@ -11,10 +11,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A caller sends a keyed request, then the same key again: the same request
-// gets the recorded answer, another one is told that it did not run. Neither
-// reaches the target, whether the body came with a length, in chunks, or longer
-// than what is held in memory.
+// A key is used for a second request. If it is the same request, it gets the
+// recorded response, otherwise a final response with outcome not-run. Neither
+// reaches the target, also if the body is chunked or longer than
+// maxBufferedBody.
 func TestKeySentAgain(t *testing.T) {
 	var runs atomic.Int64
 	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/entry/malformed_test.go
+++ b/internal/entry/malformed_test.go
@@ -13,10 +13,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// chunks hides the length of a body, so that it is sent in chunks.
+// chunkedBody hides the length of a body, so that it is sent in chunks.
 type chunks struct{ io.Reader }
 
-// counted is a target that counts what it began.
+// countingTarget runs a target that counts the requests that it starts to serve.
 func counted(t *testing.T, began *atomic.Int64) string {
 	return target(t, func(w http.ResponseWriter, r *http.Request) {
 		began.Add(1)
@@ -25,9 +25,9 @@
 	})
 }
 
-// A caller sends what can't be served. Each such request gets a final answer
-// that says truthfully whether it ran, names what is wrong, and reaches no
-// target unless part of it was under way already.
+// Each invalid request gets a final response with the correct outcome and a detail
+// that describes the error. It reaches no target, unless the error appears in a
+// body that is already being streamed.
 func TestBadRequests(t *testing.T) {
 	var began atomic.Int64
 	addr := counted(t, &began)
@@ -43,7 +43,7 @@
 		header             []string
 		status             int
 		outcome            string
-		detail             string // in the answer's body
+		detail             string // in the response body
 		begins             bool
 	}{
 		{name: "unknown service", path: "/v1/call/nosuch/", status: 404, outcome: "not-run malformed", detail: "service: found"},
@@ -88,7 +88,7 @@
 	}
 }
 
-// A path that holds "//" or ".." is the target's to understand. A redirect to
+// A path that contains "//" or ".." reaches the target unchanged. A redirect to
 // the cleaned path would make a client send a GET in place of its POST.
 func TestPathReachesTargetAsSent(t *testing.T) {
 	addr := target(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.Method+" "+r.RequestURI) })
@@ -98,7 +98,7 @@
 	}
 }
 
-// dial opens a connection to the entry and sends the beginning of a request.
+// dial opens a connection to the entry and sends the start of a request.
 func (w *world) dial(text string) net.Conn {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", w.Addresses().Callers)
@@ -110,29 +110,29 @@
 	return conn
 }
 
-// A caller sends a part of its body and then nothing. By its deadline it gets
-// a final answer, the target's slot is free and not held against the target,
-// and the connection ends, however long the caller stays.
+// A caller stops sending in the middle of its body. At the deadline it gets a final
+// response, the target's slot is freed, the failure doesn't count against the
+// target, and the entry closes the connection.
 func TestSlowBody(t *testing.T) {
 	var began atomic.Int64
 	w := start(t, served{name: "plain", targets: []string{counted(t, &began)}})
 	for _, tt := range []struct {
 		name, method, path, framing, sent string
 		header                            string
-		answer                            []string
+		response                          []string // parts of it
 	}{
-		{name: "short", path: "/v1/call/plain/", framing: "Content-Length: 10", sent: "veil", answer: []string{"408", "not-run", "body: found no end by the deadline"}},
-		{name: "long", path: "/v1/call/plain/", framing: "Content-Length: 100000", sent: "veil", answer: []string{"504", "unknown", "timeout"}},
-		{name: "in chunks", path: "/v1/call/plain/", framing: "Transfer-Encoding: chunked", sent: "4\r\nveil\r\n", answer: []string{"504", "unknown", "timeout"}},
-		{name: "in chunks with a key", path: "/v1/call/plain/", framing: "Transfer-Encoding: chunked", header: "Idempotency-Key: slow\r\n", sent: "4\r\nveil\r\n", answer: []string{"408", "not-run", "body: found no end by the deadline"}},
-		{name: "of an unknown service", path: "/v1/call/nosuch/", framing: "Content-Length: 10", sent: "veil", answer: []string{"404", "not-run"}},
+		{name: "short", path: "/v1/call/plain/", framing: "Content-Length: 10", sent: "veil", response: []string{"408", "not-run", "body: found no end by the deadline"}},
+		{name: "long", path: "/v1/call/plain/", framing: "Content-Length: 100000", sent: "veil", response: []string{"504", "unknown", "timeout"}},
+		{name: "in chunks", path: "/v1/call/plain/", framing: "Transfer-Encoding: chunked", sent: "4\r\nveil\r\n", response: []string{"504", "unknown", "timeout"}},
+		{name: "in chunks with a key", path: "/v1/call/plain/", framing: "Transfer-Encoding: chunked", header: "Idempotency-Key: slow\r\n", sent: "4\r\nveil\r\n", response: []string{"408", "not-run", "body: found no end by the deadline"}},
+		{name: "of an unknown service", path: "/v1/call/nosuch/", framing: "Content-Length: 10", sent: "veil", response: []string{"404", "not-run"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			w := w.in(t)
 			conn := w.dial("POST " + tt.path + " HTTP/1.1\r\nHost: h\r\nPlumpitch-Timeout: 300ms\r\n" + tt.header + tt.framing + "\r\n\r\n" + tt.sent)
 			b, err := io.ReadAll(conn)
 			w.c.Assert(err, qt.IsNil)
-			for _, part := range tt.answer {
+			for _, part := range tt.response {
 				w.c.Assert(string(b), qt.Contains, part)
 			}
 			w.idle("plain")
@@ -144,8 +144,8 @@
 	}
 }
 
-// A caller sends its request's head so slowly that it never ends. The entry
-// closes the connection.
+// A caller never completes the head of its request. The entry closes the
+// connection.
 func TestSlowHeader(t *testing.T) {
 	w := start(t, served{name: "plain", targets: []string{counted(t, new(atomic.Int64))}})
 	began := time.Now()
--- a/internal/entry/metrics_test.go
+++ b/internal/entry/metrics_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// scrape reads the values of a service's metrics by name.
+// scrape returns the values of a service's metrics, by name.
 func (w *world) scrape(service string) map[string]string {
 	w.t.Helper()
 	res, err := client.Get("http://" + w.Addresses().Operators + "/metrics")
@@ -29,8 +29,8 @@
 	return values
 }
 
-// An operator reads how many retries and hedges a service had, beside the first
-// dispatches and the share of these that is their budget.
+// The metrics show the first dispatches, retries and hedges of a service, and the
+// share that limits retries and hedges.
 func TestRetriesAndHedgesAreCounted(t *testing.T) {
 	var bad, slow atomic.Int64
 	retried := target(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/entry/panic_test.go
+++ b/internal/entry/panic_test.go
@@ -13,8 +13,8 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// bomb is a tracer that panics at the start of the span "dispatch" while it is
-// armed: a fault of plumpitch itself in the midst of a dispatch.
+// panickingTracer panics at the start of the span "dispatch" while it is armed. It
+// simulates an internal error during a dispatch.
 type bomb struct {
 	noop.Tracer
 	armed atomic.Bool
@@ -22,15 +22,15 @@
 
 func (b *bomb) Start(ctx context.Context, name string, o ...trace.SpanStartOption) (context.Context, trace.Span) {
 	if name == "dispatch" && b.armed.Load() {
-		panic("bomb")
+		panic("panic in a dispatch")
 	}
 	return b.Tracer.Start(ctx, name, o...)
 }
 
-// A fault in plumpitch itself strikes while a request is dispatched. Its caller
-// is told that nothing is known, its slot comes back, and the next request is
-// served as if nothing had been. A panic in the goroutine of a dispatch that
-// may be hedged would end the process with all its requests.
+// A panic during a dispatch ends only its own request: the caller gets the outcome
+// unknown, the slot is freed, and the next request is served normally. An
+// unrecovered panic in the goroutine of a dispatch that may be hedged would end
+// the process with all its requests.
 func TestPanicEndsOneRequestOnly(t *testing.T) {
 	addr := target(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "fine") })
 	w := prepare(t, served{name: "plain", targets: []string{addr}}, served{name: "hedged", set: `"hedge": true`, targets: []string{addr}})
@@ -40,12 +40,12 @@
 	for _, tt := range []struct {
 		name, method, service string
 		key                   string
-		resent                string // outcome of the same key again
+		repeated              string // outcome of a second request with the key
 	}{
 		{name: "in the request's goroutine", method: "GET", service: "plain"},
 		{name: "in a goroutine of its own", method: "GET", service: "hedged"},
 		{name: "not idempotent", method: "POST", service: "plain"},
-		{name: "keyed", method: "POST", service: "plain", key: "k1", resent: "unknown run-unknown"},
+		{name: "keyed", method: "POST", service: "plain", key: "k1", repeated: "unknown run-unknown"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			w := w.in(t)
@@ -58,7 +58,7 @@
 			b.armed.Store(false)
 			w.idle(tt.service)
 			if tt.key != "" {
-				c.Assert(ask(tt.key).outcome(), qt.Equals, tt.resent)
+				c.Assert(ask(tt.key).outcome(), qt.Equals, tt.repeated)
 			}
 			c.Assert(ask("").body, qt.Equals, "fine")
 		})
--- a/internal/entry/policy_test.go
+++ b/internal/entry/policy_test.go
@@ -15,20 +15,21 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// The settings name policies by words of their own package. A word that the
-// pool doesn't know would keep the whole settings from coming into force.
+// Package tree defines the policy names of the settings separately from package
+// pool. A name that pool doesn't have would prevent the settings from being
+// applied at all.
 func TestEveryPolicyOfTheSettingsIsAPools(t *testing.T) {
-	words := []string{tree.FreeSlot, tree.LeastInFlight, tree.TwoChoices, tree.RoundRobin, tree.Random}
-	qt.Assert(t, words, qt.ContentEquals, pool.Names())
-	for _, w := range words {
-		_, err := newChooser(tree.Policy{Policy: w}, probe.New(probe.Config{}))
-		qt.Check(t, err, qt.IsNil, qt.Commentf("%s", w))
+	names := []string{tree.FreeSlot, tree.LeastInFlight, tree.TwoChoices, tree.RoundRobin, tree.Random}
+	qt.Assert(t, names, qt.ContentEquals, pool.Names())
+	for _, name := range names {
+		_, err := newChooser(tree.Policy{Policy: name}, probe.New(probe.Config{}))
+		qt.Check(t, err, qt.IsNil, qt.Commentf("%s", name))
 	}
 }
 
-// A target has said on an answer that it is leaving, and the lists don't know
-// yet. An operator changes a limit, so the pool is replaced. The target must not
-// get new work again: its word goes to the new pool.
+// A target reports in a response that it is leaving, and the VM list doesn't show
+// that yet. A changed limit then replaces the balancer. The target must get no new
+// work from the new balancer, which inherits the leaving notice.
 func TestLeavingWordOutlivesItsPool(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
@@ -44,12 +45,12 @@
 	c.Assert(s.explain(now)[0].Why, qt.Equals, "leaving")
 }
 
-// A request makes its target die in the middle of a long answer. Its head had
-// come, which must not clear the request: sent again and again it would take
-// one target after the other.
+// A request crashes its target in the middle of a streamed response. The received
+// head must not clear the request from suspicion: repeated, it would crash one
+// target after another.
 func TestCrashInAStreamedAnswerCounts(t *testing.T) {
 	var runs atomic.Int64
-	dying := func() string {
+	crashing := func() string {
 		return target(t, func(w http.ResponseWriter, _ *http.Request) {
 			runs.Add(1)
 			_, _ = io.WriteString(w, strings.Repeat("x", 100_000))
@@ -57,7 +58,7 @@
 			panic(http.ErrAbortHandler)
 		})
 	}
-	w := start(t, served{name: "crash", targets: []string{dying(), dying(), dying(), dying()}})
+	w := start(t, served{name: "crash", targets: []string{crashing(), crashing(), crashing(), crashing()}})
 	for range 20 {
 		res, err := http.Get(w.url + "/v1/call/crash/")
 		w.c.Assert(err, qt.IsNil)
--- a/internal/entry/report_test.go
+++ b/internal/entry/report_test.go
@@ -11,13 +11,13 @@
 	"plumpitch.example/plumpitch/pkg/pool"
 )
 
-// brokenChooser panics where the gauges read it.
+// panickingBalancer panics when its status is read for the gauges.
 type brokenChooser struct{ pool.Chooser }
 
 func (brokenChooser) Explain(time.Time) []pool.Row { panic("broken") }
 
-// The worker that sets the gauges dies at every turn. Requests must not wait
-// for a lock that it took with it.
+// The reporter panics while it reads a balancer under the service's lock. Requests
+// must not block on that lock afterwards.
 func TestPanicOfReporterKeepsTraffic(t *testing.T) {
 	addr := target(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "fine") })
 	w := start(t, served{name: "plain", targets: []string{addr}})
--- a/internal/entry/slot_test.go
+++ b/internal/entry/slot_test.go
@@ -10,11 +10,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A target answers with a status that net/http refuses to write. The caller
-// must get a final answer, and the slot must come back: without that each such
-// answer takes a slot away for ever, until the target gets no work at all.
+// A target responds with a status that net/http refuses to write. The caller must
+// get a final response and the slot must be freed. Otherwise each such response
+// would occupy a slot permanently, until the target gets no work at all.
 func TestOddStatusFreesTheSlot(t *testing.T) {
-	odd := raw(t, func(c net.Conn) {
+	addr := raw(t, func(c net.Conn) {
 		defer c.Close()
 		in := bufio.NewReader(c)
 		for {
@@ -26,7 +26,7 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 099 Odd\r\nContent-Length: 2\r\n\r\nok")
 		}
 	})
-	w := start(t, served{name: "odd", targets: []string{odd}})
+	w := start(t, served{name: "odd", targets: []string{addr}})
 	for range 4 {
 		w.c.Assert(w.ask("GET", "/v1/call/odd/", nil).outcome(), qt.Equals, "unknown panic")
 	}
--- a/internal/entry/supervisor_test.go
+++ b/internal/entry/supervisor_test.go
@@ -11,17 +11,17 @@
 	"plumpitch.example/plumpitch/internal/standin/platform"
 )
 
-// poison kills the control loop.
+// panicMessage makes the control loop panic.
 type poison struct{ taken *atomic.Int64 }
 
 func (p poison) apply(time.Time, *control) {
 	p.taken.Add(1)
-	panic("poison")
+	panic("panic in the control loop")
 }
 
-// The control loop dies. Requests go on meanwhile, the supervisor starts it
-// again, and it still knows its services: a target that the platform lists
-// afterwards is taken in beside the old one.
+// The control loop panics. Requests continue meanwhile, the supervisor restarts the
+// loop, and it still has its services: a target that the platform lists afterwards
+// is added to the existing service.
 func TestControlLoopIsRestarted(t *testing.T) {
 	var began, taken atomic.Int64
 	addr := counted(t, &began)
@@ -30,7 +30,7 @@
 	for range 2 {
 		w.control.tell(t.Context(), poison{&taken})
 	}
-	w.until("the control loop to die twice", func() bool { return taken.Load() == 2 })
+	w.until("the control loop to panic twice", func() bool { return taken.Load() == 2 })
 	w.c.Assert(w.ask("GET", "/v1/call/plain/", nil).StatusCode, qt.Equals, http.StatusOK)
 	w.platform.PutVM(platform.VM{
 		ID: "new", Addr: counted(t, &began), Place: "fremantle-hall", Service: "plain", Slots: 2, Boot: 1, State: platform.Live,
--- a/internal/entry/trace_test.go
+++ b/internal/entry/trace_test.go
@@ -11,8 +11,8 @@
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 )
 
-// A caller's trace goes on through the entry to the target, with a span for
-// each hop below the caller's own.
+// A caller's trace continues through the entry to the target: the span of the
+// request is a child of the caller's, and its steps have spans in the same trace.
 func TestSpansOfEachHop(t *testing.T) {
 	addr := target(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.Header.Get("Traceparent")) })
 	w := prepare(t, served{name: "plain", targets: []string{addr}})
@@ -22,7 +22,7 @@
 	w.serve()
 	for _, tt := range []struct {
 		name, method, path, key string
-		spans                   []string // beside the request's own
+		spans                   []string // in addition to the request's own
 	}{
 		{name: "locate", method: "GET", path: "/v1/locate?service=plain", spans: []string{"locate"}},
 		{name: "request", method: "GET", path: "/v1/call/plain/", spans: []string{"queue", "dispatch"}},
@@ -56,7 +56,7 @@
 	})
 }
 
-// of gives a trace's ended spans by name.
+// spansOfTrace returns the ended spans of a trace, by name.
 func of(r *tracetest.SpanRecorder, trace string) map[string]sdk.ReadOnlySpan {
 	spans := map[string]sdk.ReadOnlySpan{}
 	for _, s := range r.Ended() {
@@ -75,8 +75,7 @@
 	return all
 }
 
-// The caller of a request sends a trace header while tracing is off. It reaches
-// the target as it is, and no span is made.
+// While tracing is off, a caller's trace header reaches the target unchanged.
 func TestTraceHeaderPassesWhileOff(t *testing.T) {
 	addr := target(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.Header.Get("Traceparent")) })
 	w := start(t, served{name: "plain", targets: []string{addr}})
--- a/internal/entry/trust_test.go
+++ b/internal/entry/trust_test.go
@@ -16,8 +16,8 @@
 	"plumpitch.example/plumpitch/internal/store"
 )
 
-// A caller tries the operators' and the peers' calls on the callers' listener.
-// None is there, and no answer names an address of another listener.
+// The callers' listener serves none of the operators' and peers' paths, and no
+// response discloses an address of another listener.
 func TestCallerReachesCallersCallsOnly(t *testing.T) {
 	w := start(t, served{name: "plain", targets: []string{counted(t, new(atomic.Int64))}})
 	for _, path := range []string{
@@ -42,9 +42,8 @@
 	}
 }
 
-// A caller sets plumpitch's own headers, and a target sets them on its answer.
-// The target sees only what the entry says of the request, and the caller takes
-// nothing that a target claims for plumpitch's word.
+// Callers and targets can't forge plumpitch's own headers. The target receives only
+// those that the entry sets, and the caller receives none that the target set.
 func TestOwnHeadersAreOurs(t *testing.T) {
 	var seen atomic.Pointer[http.Header]
 	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
@@ -66,9 +65,9 @@
 			own[name] = values
 		}
 	}
-	left, err := time.ParseDuration(seen.Load().Get("Plumpitch-Timeout"))
+	remaining, err := time.ParseDuration(seen.Load().Get("Plumpitch-Timeout"))
 	w.c.Assert(err, qt.IsNil)
-	w.c.Assert(left > 0 && left <= 700*time.Millisecond, qt.IsTrue)
+	w.c.Assert(remaining > 0 && remaining <= 700*time.Millisecond, qt.IsTrue)
 	delete(own, "Plumpitch-Timeout")
 	w.c.Assert(own["Plumpitch-Request"], qt.HasLen, 1)
 	w.c.Assert(own["Plumpitch-Request"][0], qt.Not(qt.Equals), "forged")
@@ -79,8 +78,8 @@
 	}
 }
 
-// A peer's port gets what no peer says. Each message gets an error of the
-// protocol, and the entry goes on.
+// Invalid messages at the peers' listener get a protocol error, and the entry keeps
+// serving.
 func TestMalformedPeerMessages(t *testing.T) {
 	w := start(t, served{name: "plain", targets: []string{counted(t, new(atomic.Int64))}})
 	const json, proto = "application/json", "application/protobuf"
@@ -114,8 +113,8 @@
 	w.c.Assert(w.ask("GET", "/v1/call/plain/", nil).StatusCode, qt.Equals, http.StatusOK)
 }
 
-// The store's settings are overwritten by something else while the entry runs.
-// The good ones stay in force, requests go on, and the next good ones are taken.
+// The settings in the store are overwritten with invalid data while the entry runs.
+// The valid settings stay in force and requests continue.
 func TestCorruptSettingsDisplaceNothing(t *testing.T) {
 	w := start(t, served{name: "plain", targets: []string{counted(t, new(atomic.Int64))}})
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
@@ -132,7 +131,7 @@
 	} {
 		version, err = s.Put(ctx, settings.Kind, settings.Name, version, bad)
 		w.c.Assert(err, qt.IsNil)
-		time.Sleep(20 * time.Millisecond) // for the watch to bring it
+		time.Sleep(20 * time.Millisecond) // until the watch delivers it
 		w.c.Assert(w.site.Load().revision, qt.Equals, revision)
 		w.c.Assert(w.ask("GET", "/v1/call/plain/", nil).StatusCode, qt.Equals, http.StatusOK)
 	}
