--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -86,8 +86,9 @@
 	}
 }
 
-// readBody buffers a body of at most maxBufferedBody bytes and sets up a longer
-// one, or one of unknown length, to be streamed.
+// readBody buffers a body of at most maxBufferedBody bytes. A longer body, or one
+// of unknown length, is streamed; if the request has a key, its start is buffered
+// first.
 func (q *request) readBody() error {
 	n := q.in.ContentLength
 	if n == 0 {
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// applyBatch applies a message and all queued ones, then publishes once.
+// processMessages applies a message and all queued ones, then publishes once.
 func (c *control) take(m message) {
 	now := time.Now()
 	m.apply(now, c)
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// share returns this entry's share of the probes of a service, which its
+// probeShare returns this entry's share of the probes of a service, which its
 // preferred entries divide by rank. Any other entry receives requests for the
 // service only through stale locate responses and doesn't probe.
 func (c *control) share(want tree.Service) probe.Share {
--- a/internal/entry/drive.go
+++ b/internal/entry/drive.go
@@ -14,9 +14,9 @@
 	"plumpitch.example/plumpitch/pkg/pool"
 )
 
-// runner executes the actions that the state machine of one request, call.Call,
-// decides on. It runs in the goroutine of the request. Only a request that may
-// be hedged sends its dispatches in separate goroutines.
+// dispatcher executes the actions that the state machine of one request,
+// call.Call, decides on. It runs in the goroutine of the request. Only a request
+// that may be hedged sends its dispatches in separate goroutines.
 type drive struct {
 	entry   *Entry
 	q       *request
@@ -176,8 +176,8 @@
 		case call.DoCancel:
 			d.cancel(a.Try)
 		case call.DoAnswer:
-			f := &d.tries[a.Try]
-			d.won = &passing{answer: f.answer, ticket: f.ticket, drive: d, began: f.began}
+			sent := &d.tries[a.Try]
+			d.won = &passing{answer: sent.answer, ticket: sent.ticket, drive: d, began: sent.began}
 		case call.DoRefuse:
 			d.refused = true
 		}
@@ -213,16 +213,16 @@
 }
 
 func (d *drive) dispatch(a call.Action) {
-	f := &d.tries[a.Try]
+	sent := &d.tries[a.Try]
 	ctx, cancel := context.WithCancel(d.ctx)
-	f.cancel, f.began = cancel, time.Now()
+	sent.cancel, sent.began = cancel, time.Now()
 	d.q.service.metrics.dispatched(a.Try, d.flying)
 	if d.results == nil {
-		d.perform(d.took(d.send(ctx, a, f.action)))
+		d.perform(d.took(d.send(ctx, a, sent.action)))
 		return
 	}
 	d.flying++
-	go d.sendApart(ctx, a, f.action)
+	go d.sendApart(ctx, a, sent.action)
 }
 
 // send dispatches the request to one target, within its own span.
@@ -266,17 +266,17 @@
 		panic(r.panicked)
 	}
 	now := time.Now()
-	f := &d.tries[r.try]
+	sent := &d.tries[r.try]
 	replay := d.q.stream == nil
 	if r.failure != nil {
-		f.cancel()
-		f.ticket.done(now, d.kindOf(r.failure.Stage), pool.Load{})
+		sent.cancel()
+		sent.ticket.done(now, d.kindOf(r.failure.Stage), pool.Load{})
 		return d.call.Fail(now, call.Failed{
 			Try: r.try, Stage: r.failure.Stage, Ran: r.failure.Ran, Replay: replay,
-			Quarantined: d.crashed(now, r.failure, f.began),
+			Quarantined: d.crashed(now, r.failure, sent.began),
 		})
 	}
-	f.answer = r.answer
+	sent.answer = r.answer
 	if r.answer.Body == nil {
 		d.entry.suspects.Answered(now, d.q.fingerprint())
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -263,10 +263,11 @@
 	}}
 }
 
-// graceTime limits each step of a graceful stop.
+// stopTimeout limits each step of a graceful stop.
 const graceTime = time.Minute
 
-// shutdownContext returns a context for one step of a stop, limited to graceTime.
+// shutdownContext returns a context for one step of a stop, which is limited to
+// stopTimeout.
 func closing() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), graceTime)
 	time.AfterFunc(graceTime, cancel)
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -41,17 +41,17 @@
 const locatePath = "/v1/locate"
 
 // ServeHTTP serves locate and requests, and rejects every other path.
-func (m route) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c route) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case strings.HasPrefix(r.URL.EscapedPath(), callPrefix):
-		m.call.ServeHTTP(w, r)
+		c.call.ServeHTTP(w, r)
 	case r.URL.Path != locatePath:
 		encodeError(r.Context(), noSuchPath(r.URL.Path), w)
 	case r.Method != http.MethodGet && r.Method != http.MethodHead:
 		w.Header().Set("Allow", "GET, HEAD")
 		encodeError(r.Context(), badMethod(r.Method), w)
 	default:
-		m.locate.ServeHTTP(w, r)
+		c.locate.ServeHTTP(w, r)
 	}
 }
 
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -21,7 +21,7 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// waitTimeout is how long a test waits for a condition.
+// waitLimit is how long a test waits for a condition.
 const bound = 20 * time.Second
 
 // baseSettings are in force in every test. They keep the stop of an entry short.
@@ -194,7 +194,7 @@
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// serveTarget runs a target with a handler and returns its address.
+// startTarget runs a target with a handler and returns its address.
 func target(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(h)
@@ -202,7 +202,7 @@
 	return s.Listener.Addr().String()
 }
 
-// serveRawTarget runs a target that serves each connection with f, for responses
+// startRawTarget runs a target that serves each connection with f, for responses
 // that net/http refuses to write. It returns the target's address.
 func raw(t *testing.T, f func(net.Conn)) string {
 	t.Helper()
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// finalOf returns the final response for a claim's result that has no response to
-// copy.
+// finalOfClaim returns the final response for a claim's result that has no
+// response to copy.
 func finalOf(r claim.Result) call.Final {
 	f := call.Final{Outcome: call.Unknown, Reason: call.Reason(r.Reason), Retry: r.RetryAfter}
 	switch r.Kind {
--- a/internal/entry/malformed_test.go
+++ b/internal/entry/malformed_test.go
@@ -16,7 +16,8 @@
 // chunkedBody hides the length of a body, so that it is sent in chunks.
 type chunks struct{ io.Reader }
 
-// countingTarget runs a target that counts the requests that it starts to serve.
+// startCountingTarget runs a target that counts the requests that it starts to
+// serve.
 func counted(t *testing.T, began *atomic.Int64) string {
 	return target(t, func(w http.ResponseWriter, r *http.Request) {
 		began.Add(1)
--- a/internal/entry/release.go
+++ b/internal/entry/release.go
@@ -15,17 +15,17 @@
 // cancel ends a dispatch whose response isn't needed. If the dispatch is still in
 // flight in its goroutine, discardLateResults frees its slot later.
 func (d *drive) cancel(try int) {
-	f := &d.tries[try]
-	f.cancel()
-	if f.answer == nil {
+	sent := &d.tries[try]
+	sent.cancel()
+	if sent.answer == nil {
 		return
 	}
-	f.answer.Close()
-	kind := kindOf(f.answer.Status)
-	if f.answer.Load.Shed {
-		kind = pool.Shed
+	sent.answer.Close()
+	outcome := kindOf(sent.answer.Status)
+	if sent.answer.Load.Shed {
+		outcome = pool.Shed
 	}
-	f.ticket.done(time.Now(), kind, loadOf(f.answer.Load))
+	sent.ticket.done(time.Now(), outcome, loadOf(sent.answer.Load))
 }
 
 // discardLateResults receives the results that arrive after the request has ended
@@ -33,12 +33,12 @@
 func (d *drive) reap() {
 	for ; d.flying > 0; d.flying-- {
 		r := <-d.results
-		f := &d.tries[r.try]
-		f.cancel()
+		sent := &d.tries[r.try]
+		sent.cancel()
 		if r.answer != nil {
 			r.answer.Close()
 		}
-		f.ticket.done(time.Now(), pool.Cancelled, pool.Load{})
+		sent.ticket.done(time.Now(), pool.Cancelled, pool.Load{})
 	}
 }
 
@@ -51,14 +51,14 @@
 	d.seek.drop(now)
 	d.wait.End()
 	for i := range d.tries {
-		f := &d.tries[i]
-		if f.cancel != nil {
-			f.cancel()
+		sent := &d.tries[i]
+		if sent.cancel != nil {
+			sent.cancel()
 		}
-		if f.answer != nil {
-			f.answer.Close()
+		if sent.answer != nil {
+			sent.answer.Close()
 		}
-		f.ticket.drop(now)
+		sent.ticket.drop(now)
 	}
 	if d.flying > 0 {
 		go d.reap()
@@ -88,29 +88,29 @@
 }
 
 // finish frees the slot once the response is copied completely or has failed.
-func (p *passing) end(f *forward.Failure) {
+func (o *passing) end(f *forward.Failure) {
 	now := time.Now()
-	kind := kindOf(p.answer.Status)
+	outcome := kindOf(o.answer.Status)
 	if f != nil {
-		kind = kindOfStage(f.Stage)
-		p.drive.crashed(now, f, p.began)
-	} else if p.answer.Body != nil {
-		p.drive.entry.suspects.Answered(now, p.drive.q.fingerprint())
+		outcome = kindOfStage(f.Stage)
+		o.drive.crashed(now, f, o.began)
+	} else if o.answer.Body != nil {
+		o.drive.entry.suspects.Answered(now, o.drive.q.fingerprint())
 	}
-	p.ended = true
-	p.ticket.done(now, kind, loadOf(p.answer.Load))
+	o.ended = true
+	o.ticket.done(now, outcome, loadOf(o.answer.Load))
 }
 
 // release closes a response that wasn't finished, so that a panic while it is
 // copied doesn't leave the slot occupied.
-func (p *passing) release() {
-	p.cancel()
-	if p.ended {
+func (o *passing) release() {
+	o.cancel()
+	if o.ended {
 		return
 	}
-	p.ended = true
-	p.answer.Close()
-	p.ticket.done(time.Now(), pool.Broken, pool.Load{})
+	o.ended = true
+	o.answer.Close()
+	o.ticket.done(time.Now(), pool.Broken, pool.Load{})
 }
 
 // logPanic logs a panic in the handling of a request, with the stack.
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -18,7 +18,7 @@
 // callPrefix starts the path of a request: /v1/call/{service}/{path at the target}.
 const callPrefix = "/v1/call/"
 
-// request is a caller's request on its way through the entry.
+// request is a caller's request while the entry handles it.
 type request struct {
 	in       *http.Request
 	service  *service
@@ -34,6 +34,8 @@
 	print    uint64 // computed on first use; 0 is not computed
 }
 
+// decodeRequest reads a request for a service: its headers, its key and, if it is
+// short, its body.
 func (e *Entry) decodeRequest(_ context.Context, r *http.Request) (any, error) {
 	now := time.Now()
 	name, path := splitPath(r.URL.EscapedPath())
@@ -74,6 +76,7 @@
 	return call.Print(q.service.name, q.in.Method, q.path, q.in.URL.RawQuery, body)
 }
 
+// idempotent reports whether the policy declares the method idempotent.
 func (q *request) idempotent() bool {
 	for _, m := range q.policy.Idempotent {
 		if m == q.in.Method {
@@ -131,12 +134,12 @@
 }
 
 func encodeAnswer(_ context.Context, w http.ResponseWriter, response any) error {
-	p := response.(*passing)
-	if p.replay != nil {
-		writeReplay(w, p.replay)
+	o := response.(*passing)
+	if o.replay != nil {
+		writeReplay(w, o.replay)
 		return nil
 	}
-	defer p.release()
-	forward.Copy(w, p.answer, p.end)
+	defer o.release()
+	forward.Copy(w, o.answer, o.end)
 	return nil
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -27,7 +27,7 @@
 
 	mu      sync.Mutex
 	probes  *probe.Budget // shared with the balancer
-	granted probe.Config  // in force in it
+	granted probe.Config  // of the probe budget
 	chooser pool.Chooser
 	retired []pool.Chooser // replaced balancers that still have requests
 	waiting map[uint64]chan pool.Action
@@ -66,13 +66,16 @@
 	return s, err
 }
 
-func newChooser(p tree.Policy, probes *probe.Budget) (c pool.Chooser, err error) {
-	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+// newBalancer returns a balancer of the type that the policy names.
+func newChooser(p tree.Policy, budget *probe.Budget) (b pool.Chooser, err error) {
+	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	cfg := poolConfig(p)
-	cfg.Budget = probes
-	return pool.ByName(p.Policy, cfg, rnd)
+	cfg.Budget = budget
+	return pool.ByName(p.Policy, cfg, rng)
 }
 
+// newRetryBudget returns the budget of retries and hedges, or nil if the policy
+// allows none.
 func newBudget(p tree.Policy) *call.Budget {
 	if p.RetryShare == 0 {
 		return nil
@@ -106,7 +109,7 @@
 	if p.Policy == old.Policy && reflect.DeepEqual(poolConfig(p), poolConfig(old)) {
 		return nil
 	}
-	c, err := newChooser(p, s.probes)
+	b, err := newChooser(p, s.probes)
 	if err != nil {
 		return err
 	}
@@ -114,11 +117,11 @@
 	defer s.mu.Unlock()
 	notices := s.chooser.Held(now)
 	s.retired = append(s.retired, s.chooser)
-	s.chooser = c
+	s.chooser = b
 	for _, n := range notices {
-		s.act(now, c.Leave(now, n.Target, n.Boot, s.scratch[:0]))
+		s.act(now, b.Leave(now, n.Target, n.Boot, s.scratch[:0]))
 	}
-	s.act(now, c.Targets(now, s.list, s.scratch[:0]))
+	s.act(now, b.Targets(now, s.list, s.scratch[:0]))
 	return nil
 }
 
@@ -170,11 +173,11 @@
 }
 
 // done reports the outcome of a dispatched request and frees its slot.
-func (t ticket) done(now time.Time, kind pool.Kind, load pool.Load) {
+func (t ticket) done(now time.Time, outcome pool.Kind, load pool.Load) {
 	s := t.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, t.chooser.Done(now, pool.Answer{ID: t.id, Kind: kind, Load: load}, s.scratch[:0]))
+	s.act(now, t.chooser.Done(now, pool.Answer{ID: t.id, Kind: outcome, Load: load}, s.scratch[:0]))
 }
 
 // perform executes the balancer's actions. The caller holds the lock, so nothing
@@ -183,9 +186,9 @@
 	for _, a := range actions {
 		switch a.Kind {
 		case pool.Dispatch, pool.Refuse:
-			if c, ok := s.waiting[a.ID]; ok {
+			if decision, ok := s.waiting[a.ID]; ok {
 				delete(s.waiting, a.ID)
-				c <- a
+				decision <- a
 			}
 		case pool.Probe:
 			go s.probe(s, a)
@@ -225,22 +228,23 @@
 // left.
 func (s *service) tickRetired(now time.Time) {
 	kept := s.retired[:0]
-	for _, c := range s.retired {
-		s.act(now, c.Tick(now, s.scratch[:0]))
-		if queued, inFlight := c.Len(); queued+inFlight > 0 {
-			kept = append(kept, c)
+	for _, b := range s.retired {
+		s.act(now, b.Tick(now, s.scratch[:0]))
+		if queued, inFlight := b.Len(); queued+inFlight > 0 {
+			kept = append(kept, b)
 		}
 	}
 	s.retired = kept
 }
 
+// probeDone passes the result of a probe to the balancer.
 func (s *service) probed(now time.Time, p pool.Probed) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.act(now, s.chooser.Probed(now, p, s.scratch[:0]))
 }
 
-// close stops the timer; requests in flight end as usual.
+// close stops the alarm. Requests in flight end as usual.
 func (s *service) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
