--- a/internal/entry/drive.go
+++ b/internal/entry/drive.go
@@ -101,7 +101,7 @@
 }
 
 // nextEvent waits for the next event and passes it to the state machine. A
-// decision of the balancer that is available already takes precedence.
+// decision of the balancer takes precedence over other events.
 func (d *drive) next() call.Actions {
 	var decision chan pool.Action
 	if d.seeking {
@@ -212,6 +212,8 @@
 	}
 }
 
+// dispatch sends the request to the target that the balancer chose, in a separate
+// goroutine if the request may be hedged.
 func (d *drive) dispatch(a call.Action) {
 	sent := &d.tries[a.Try]
 	ctx, cancel := context.WithCancel(d.ctx)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -114,15 +114,15 @@
 func (e *Entry) listen() (err error) {
 	f := e.cfg.File
 	for _, l := range []struct {
-		field string
-		on    *net.Listener
-		addr  string
+		field    string
+		listener *net.Listener
+		addr     string
 	}{
 		{"callers", &e.callers, f.Callers},
 		{"peers", &e.peers, f.Peers},
 		{"operators", &e.operators, f.Operators},
 	} {
-		if *l.on, err = net.Listen("tcp", l.addr); err != nil {
+		if *l.listener, err = net.Listen("tcp", l.addr); err != nil {
 			e.unlisten()
 			return errors.WithMessage(err, l.field)
 		}
@@ -254,8 +254,8 @@
 
 // newServer returns a server whose time and size limits bound the resources that
 // a slow client can hold.
-func newServer(name string, on net.Listener, h http.Handler) *server {
-	return &server{name: name, on: on, http: &http.Server{
+func newServer(name string, listener net.Listener, h http.Handler) *server {
+	return &server{name: name, on: listener, http: &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: 5 * time.Second,
 		IdleTimeout:       time.Minute,
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -70,7 +70,7 @@
 	return nil, finalError{q.explain(finalOf(result))}
 }
 
-// keyedRun is the run of a keyed request. release closes its response unless
+// keyedRun is the run of a keyed request. Its response is closed by release unless
 // takeResponse has returned it for copying to the caller.
 type keyedRun struct {
 	entry *Entry
@@ -95,6 +95,7 @@
 	return claim.Ended{Outcome: call.Ran, Answer: recorded(p.answer)}
 }
 
+// takeResponse returns the response, which release then no longer closes.
 func (r *keyedRun) take() (p *passing) {
 	p, r.own = r.own, nil
 	return p
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -72,6 +72,7 @@
 	return q.print
 }
 
+// computeFingerprint hashes the request with the given hash of its body.
 func (q *request) printOf(body uint64) uint64 {
 	return call.Print(q.service.name, q.in.Method, q.path, q.in.URL.RawQuery, body)
 }
