--- a/internal/entry/release.go
+++ b/internal/entry/release.go
@@ -12,67 +12,69 @@
 	"plumpitch.example/plumpitch/pkg/pool"
 )
 
-// cancel ends a dispatch whose answer is not wanted. One that still flies in a
-// goroutine is cleared away when its result comes.
+// cancel ends a dispatch whose response isn't needed. If the dispatch is still in
+// flight in its goroutine, discardLateResults frees its slot later.
 func (d *drive) cancel(try int) {
-	f := &d.tries[try]
-	f.cancel()
-	if f.answer == nil {
+	sent := &d.tries[try]
+	sent.cancel()
+	if sent.answer == nil {
 		return
 	}
-	f.answer.Close()
-	kind := kindOf(f.answer.Status)
-	if f.answer.Load.Shed {
-		kind = pool.Shed
+	sent.answer.Close()
+	outcome := kindOf(sent.answer.Status)
+	if sent.answer.Load.Shed {
+		outcome = pool.Shed
 	}
-	f.ticket.done(time.Now(), kind, loadOf(f.answer.Load))
+	sent.ticket.done(time.Now(), outcome, loadOf(sent.answer.Load))
 }
 
-// reap clears away the results that come after the request has ended.
+// discardLateResults receives the results that arrive after the request has ended
+// and frees their slots.
 func (d *drive) reap() {
 	for ; d.flying > 0; d.flying-- {
 		r := <-d.results
-		f := &d.tries[r.try]
-		f.cancel()
+		sent := &d.tries[r.try]
+		sent.cancel()
 		if r.answer != nil {
 			r.answer.Close()
 		}
-		f.ticket.done(time.Now(), pool.Cancelled, pool.Load{})
+		sent.ticket.done(time.Now(), pool.Cancelled, pool.Load{})
 	}
 }
 
-// abandon gives back all that the request holds when its handling panics. A
-// slot that stayed taken would count against its target for as long as the
-// entry runs, and a few such requests would leave the service without slots.
-// The pool ignores the end of a request that has ended before.
+// releaseAll releases everything that the request holds when its handler panics.
+// A slot that isn't freed would stay occupied for as long as the entry runs, and a
+// few such requests would leave the service without slots. The balancer ignores
+// the cancellation of a request that has already ended.
 func (d *drive) abandon() {
 	now := time.Now()
 	d.seek.drop(now)
 	d.wait.End()
 	for i := range d.tries {
-		f := &d.tries[i]
-		if f.cancel != nil {
-			f.cancel()
+		sent := &d.tries[i]
+		if sent.cancel != nil {
+			sent.cancel()
 		}
-		if f.answer != nil {
-			f.answer.Close()
+		if sent.answer != nil {
+			sent.answer.Close()
 		}
-		f.ticket.drop(now)
+		sent.ticket.drop(now)
 	}
 	if d.flying > 0 {
 		go d.reap()
 	}
 }
 
-// drop gives a ticket back, if there is one.
+// cancelIfSet cancels the ticket unless it is the zero value.
 func (t ticket) drop(now time.Time) {
 	if t.service != nil {
 		t.cancel(now)
 	}
 }
 
-// sendApart dispatches in a goroutine of its own. A panic there would end the
-// process with all its requests, so it goes on in the request's goroutine.
+// sendAsync sends a dispatch from a separate goroutine. An unrecovered panic there
+// would end the process with all its requests, so it is passed as a result and
+// raised again in the request's goroutine.
 func (d *drive) sendApart(ctx context.Context, a call.Action, to pool.Action) {
 	r := result{try: a.Try}
 	defer func() {
@@ -85,33 +87,33 @@
 	r = d.send(ctx, a, to)
 }
 
-// end gives the slot back once the whole answer is passed on, or cut.
-func (p *passing) end(f *forward.Failure) {
+// finish frees the slot once the response is copied completely or has failed.
+func (o *passing) end(f *forward.Failure) {
 	now := time.Now()
-	kind := kindOf(p.answer.Status)
+	outcome := kindOf(o.answer.Status)
 	if f != nil {
-		kind = kindOfStage(f.Stage)
-		p.drive.crashed(now, f, p.began)
-	} else if p.answer.Body != nil {
-		p.drive.entry.suspects.Answered(now, p.drive.q.fingerprint())
+		outcome = kindOfStage(f.Stage)
+		o.drive.crashed(now, f, o.began)
+	} else if o.answer.Body != nil {
+		o.drive.entry.suspects.Answered(now, o.drive.q.fingerprint())
 	}
-	p.ended = true
-	p.ticket.done(now, kind, loadOf(p.answer.Load))
+	o.ended = true
+	o.ticket.done(now, outcome, loadOf(o.answer.Load))
 }
 
-// release ends an answer that was not passed on to its end. A panic on the way
-// would keep the slot otherwise.
-func (p *passing) release() {
-	p.cancel()
-	if p.ended {
+// release closes a response that wasn't finished, so that a panic while it is
+// copied doesn't leave the slot occupied.
+func (o *passing) release() {
+	o.cancel()
+	if o.ended {
 		return
 	}
-	p.ended = true
-	p.answer.Close()
-	p.ticket.done(time.Now(), pool.Broken, pool.Load{})
+	o.ended = true
+	o.answer.Close()
+	o.ticket.done(time.Now(), pool.Broken, pool.Load{})
 }
 
-// logPanic logs a recovered panic of a request.
+// logPanic logs a panic in the handling of a request, with the stack.
 func (e *Entry) logPanic(id string, v any) {
 	e.log.WithFields(log.Fields{"request": id, "stack": string(debug.Stack())}).Errorf("panic: %v", v)
 }
