--- a/internal/relay/codec.go
+++ b/internal/relay/codec.go
@@ -19,17 +19,17 @@
 )
 
 func millis(d time.Duration) uint32 {
-	const most = 1 << 31
-	return uint32(min(max(d.Milliseconds(), 0), most))
+	const maxMillis = 1 << 31
+	return uint32(min(max(d.Milliseconds(), 0), maxMillis))
 }
 
 func span(ms uint32) time.Duration {
 	return time.Duration(ms) * time.Millisecond
 }
 
-// known reads an age that is told with one added. An entry of a release that knows
-// nothing of a kind doesn't tell its age: taken for 0, it would confirm that there is
-// nothing.
+// optionalAge decodes an age that is encoded as 1 more than its milliseconds. A
+// release without that kind of data omits the field: decoded as age 0, that would
+// confirm that no such data exists.
 func known(ms uint32) time.Duration {
 	if ms == 0 {
 		return math.MaxInt64
@@ -37,18 +37,19 @@
 	return span(ms - 1)
 }
 
-// Formats of what entries say to each other.
+// Formats of a PullReply. Each one includes the features of those before.
 const (
-	// formatWhole is that of entries that name no format: news are whole lists.
+	// formatLists has full, uncompressed lists. Entries that send no format understand
+	// only this one.
 	formatWhole = 0
-	// formatBrief has changes in place of lists, and compressed configurations.
+	// formatChanges has changes in place of full lists, and compressed configurations.
 	formatBrief = 1
-	// formatPacked has compressed lists of targets and entries.
+	// formatCompressed has compressed lists of targets and entries.
 	formatPacked = 2
 )
 
-// packLists compresses the lists of an answer where that pays: 720 targets take
-// 54 KB, and 472 entries 47.
+// compressLists compresses the lists of a reply if they are large: uncompressed, 720
+// targets take 54 KB and 472 entries take 47 KB.
 func packLists(w *wire.PullReply) (err error) {
 	lists := &wire.PullReply{Targets: w.Targets, Entries: w.Entries}
 	if proto.Size(lists) < packFrom {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// packFrom is the size in bytes from which a configuration is compressed.
+// minCompressBytes is the size from which a configuration or the lists are compressed.
 const packFrom = 1 << 10
 
 func encodeNews(now time.Time, n News) *wire.PullReply {
@@ -151,27 +152,27 @@
 	return n, nil
 }
 
-// packer compresses a configuration once for all that ask for it.
+// configCompressor caches the compressed form of the last configuration.
 type packer struct {
 	mu     sync.Mutex
 	plain  []byte
 	packed []byte
 }
 
-func (p *packer) pack(data []byte) (packed []byte, err error) {
+func (p *packer) pack(data []byte) (compressed []byte, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if bytes.Equal(p.plain, data) {
 		return p.packed, nil
 	}
-	if packed, err = pack(data); err != nil {
+	if compressed, err = pack(data); err != nil {
 		return nil, err
 	}
-	p.plain, p.packed = data, packed
-	return packed, nil
+	p.plain, p.packed = data, compressed
+	return compressed, nil
 }
 
-func pack(data []byte) (packed []byte, err error) {
+func pack(data []byte) (compressed []byte, err error) {
 	var b bytes.Buffer
 	z, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
 	if err != nil {
@@ -186,18 +187,18 @@
 	return b.Bytes(), nil
 }
 
-// maxUnpacked bounds a configuration, in bytes. The store holds objects of at
-// most a megabyte.
+// maxDecompressedBytes limits decompressed data. Objects in the store have at most
+// 1 MB.
 const maxUnpacked = 4 << 20
 
-func unpack(packed []byte) (data []byte, err error) {
-	z, err := gzip.NewReader(bytes.NewReader(packed))
+func unpack(compressed []byte) (data []byte, err error) {
+	z, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
 	data, err = io.ReadAll(io.LimitReader(z, maxUnpacked+1))
 	if err == nil && len(data) > maxUnpacked {
-		err = errors.Errorf("found more than %d bytes", maxUnpacked)
+		err = errors.Errorf("decompressed data exceeds %d bytes", maxUnpacked)
 	}
 	return data, err
 }
--- a/internal/relay/packet.go
+++ b/internal/relay/packet.go
@@ -16,63 +16,63 @@
 	"plumpitch.example/plumpitch/pkg/route"
 )
 
-// Kind tells what a packet is for.
+// Kind is the type of a packet.
 type Kind uint8
 
-// The kinds. Ping and Pong pass between relays alone.
+// Types of packets. Relays handle ping and pong themselves.
 const (
-	Ask      Kind = iota + 1 // of membership; an Answer follows
-	Answer                   // to an Ask, with its number
-	Reach                    // asks to ping Target; Reached follows
-	ping                     // for the entry at Target
-	pong                     // the same, back
-	Reached                  // Target of a Reach has answered
-	Tell                     // knowledge alone
-	Loads                    // what the sender gets of each host
-	Suspects                 // requests that broke the connections of targets
+	Ask      Kind = iota + 1 // membership message; answered by a GossipResponse
+	Answer                   // to a GossipRequest, with the same exchange ID
+	Reach                    // asks the receiver to ping Address; answered by an IndirectAck
+	ping                     // sent on behalf of the entry at Address
+	pong                     // answer to a ping, with the same Address
+	Reached                  // the entry that an IndirectPing names has answered
+	Tell                     // Knowledge without a membership message
+	Loads                    // request rate of each host at the sender
+	Suspects                 // requests under which connections to targets broke
 )
 
-// Knowledge is what an entry has in force, and how old that is.
+// Knowledge is the revisions and ages of the store data that an entry has in force.
 type Knowledge struct {
 	Config  route.Version   // in force
 	Targets roster.Revision // of the last change of targets
 	// Evacuations is the revision of the last change of evacuations.
 	Evacuations roster.Revision
-	// The ages are the times since the store last confirmed that there is nothing
-	// newer.
+	// The ages are the times since the store last confirmed that the data is current.
 	ConfigAge      time.Duration
 	TargetsAge     time.Duration
 	EvacuationsAge time.Duration
 }
 
-// Load is what an entry gets of one host's requests.
+// HostLoad is the request rate of one host at an entry.
 type Load struct {
-	Host uint32  // of owner.HostID
+	Host uint32  // hash, from owner.HostID
 	Rate float64 // requests a second
 }
 
-// Packet is what one entry says to another at a time.
+// Packet is the content of one datagram.
 type Packet struct {
 	Kind      Kind
-	Exchange  uint64         // number that an answer repeats
-	Message   member.Message // of Ask and Answer
-	Knowledge Knowledge      // of Ask, Answer and Tell
-	Numbers   []owner.Number // of Ask and Answer
-	Loads     []Load         // of Loads
-	Suspects  []call.Suspect // of Suspects
-	ID        member.ID      // who answered a ping, or who reports its load
-	Target    string         // whom to ping, or whom to tell of it
+	Exchange  uint64         // identifies the request that a response belongs to
+	Message   member.Message // of GossipRequest and GossipResponse
+	Knowledge Knowledge      // of GossipRequest, GossipResponse and Announcement
+	Numbers   []owner.Number // of GossipRequest and GossipResponse
+	Loads     []Load         // of LoadReport
+	Suspects  []call.Suspect // of SuspectReport
+	ID        member.ID      // entry that answered a ping or sends a report
+	Target    string         // entry to ping, or the one to send the acknowledgement to
 }
 
-// maxLoads and maxSuspects keep a packet within maxPacket.
+// maxLoads and maxSuspects keep a packet within maxPacketBytes. maxLoads also limits the
+// owner counts.
 const (
 	maxLoads    = 32
 	maxSuspects = 32
 )
 
-// encodePacket leaves out entries of a message that doesn't fit into one packet:
-// the digests find them again. Rumours and names that a message asks for have no
-// bound of their own in bytes.
+// encodePacket drops entries from a message that doesn't fit into one packet, since
+// rumours and MissingAddresses have no size limit of their own. A later comparison
+// of digests finds the dropped entries.
 func encodePacket(now time.Time, p Packet) (data []byte, err error) {
 	for {
 		data, err = marshal(now, p)
@@ -81,7 +81,7 @@
 			return data, err
 		}
 		if p.Message.Ask != 0 {
-			// Half a list would be taken for the lack of the rest.
+			// The receiver would take entries cut from a bucket as missing at the sender.
 			p.Message.Ask, n = 0, 0
 		}
 		p.Message.Entries = p.Message.Entries[:n/2]
--- a/internal/relay/recent.go
+++ b/internal/relay/recent.go
@@ -7,9 +7,10 @@
 	"plumpitch.example/plumpitch/internal/relay/wire"
 )
 
-// recent keeps the answer to those that know nothing. When hundreds start at
-// once they ask the few that have read the store, and with an answer made for each
-// half of them waited for 0.28 s, as three of 0.8 cores worked on it.
+// replyCache caches the reply to pulls by entries that have no data yet. When
+// hundreds of entries start at once, they all pull from the few that have read the
+// store. With a reply built for each pull, half of them waited 0.28 s for three
+// entries of 0.8 cores each.
 type recent struct {
 	mu     sync.Mutex
 	at     time.Time
@@ -17,9 +18,8 @@
 	reply  *wire.PullReply
 }
 
-// recentTime is how long an answer is given again. Whoever gets one that is out of
-// date hears so with the next packet, and the ages in it are off by that time at
-// most.
+// replyCacheTime is how long a cached reply is used. The next packet shows its
+// receiver that the reply was stale, and its ages are too low by this time at most.
 const recentTime = 100 * time.Millisecond
 
 func (r *recent) get(now time.Time, format uint32) *wire.PullReply {
@@ -31,7 +31,7 @@
 	return r.reply
 }
 
-// put keeps an answer that says all that there is to say.
+// put caches a reply if it has both a configuration and the full list of targets.
 func (r *recent) put(now time.Time, format uint32, reply *wire.PullReply) {
 	if !reply.Listed || len(reply.Config)+len(reply.Packed) == 0 {
 		return
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,9 +1,10 @@
-// Package relay carries between entries what they know of each other, what they
-// have in force, and what one of them has read from the store for the others.
+// Package relay exchanges membership messages and store data between entries, so
+// that a few of them read the store for all.
 //
-// Membership and how new one's knowledge is go in datagrams; an entry that lacks
-// something pulls it from the sender. Word that comes twice, late or in the wrong
-// order does no harm, since everything in it is told by version or revision.
+// Datagrams carry membership messages and the revisions of the store data that the
+// sender has in force. An entry whose data is older pulls the rest from the sender.
+// Duplicate, late and reordered messages are harmless, since all data carries a
+// version or a revision.
 package relay
 
 import (
@@ -23,48 +24,48 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// Have is what the caller of Pull knows already.
+// PullQuery is a request for data newer than what the caller of Pull has.
 type Have struct {
 	Config  route.Version
-	Targets roster.Revision // of the last change; 0 asks for a list
+	Targets roster.Revision // of the last change; 0 requests the full list
 	// Evacuations is the revision of the last change of evacuations.
 	Evacuations roster.Revision
-	Entries     bool     // the entries that the caller lacks are wanted too
-	Known       []uint32 // digests of those that it knows
+	Entries     bool     // whether to return the entries that the caller lacks
+	Known       []uint32 // digests of the entries that the caller has
 }
 
-// Extent tells how much of the targets News holds.
+// TargetsUpdate is the kind of update that PullResult.Changes holds.
 type Extent uint8
 
-// Extents.
+// Kinds of updates of the targets.
 const (
-	Nothing Extent = iota // there is nothing newer
-	Listed                // all targets
-	Changed               // the changes since those that the caller has
+	Nothing Extent = iota // the caller is up to date
+	Listed                // the full list
+	Changed               // the changes since the caller's revision
 )
 
-// News is what it lacks.
+// PullResult is the data that is newer than a PullQuery.
 type News struct {
-	Config  []byte // as the operator wrote it; empty where there is nothing newer
+	Config  []byte // as the operator wrote it; empty if the caller is up to date
 	Targets Extent
 	Changes []roster.Change[slot.Target]
 	At      roster.Revision // up to which the targets are known
-	Moved   roster.Revision // of the last change of targets that matters
-	Age     time.Duration   // since the store confirmed the targets
-	Entries []member.Entry  // where they were asked for
-	// Evacuations are all that there are; nil where the caller knows them.
+	Moved   roster.Revision // of the last change of targets, heartbeats excluded
+	Age     time.Duration   // since the store last confirmed the targets
+	Entries []member.Entry  // set if the query asks for entries
+	// Evacuations is the full list; nil if the caller is up to date.
 	Evacuations *Evacuations
 }
 
-// Evacuations are the marks on failure domains that are to get no requests.
+// Evacuations lists the failure domains that must get no requests.
 type Evacuations struct {
 	List  []roster.Item[slot.Evacuation]
-	At    roster.Revision // up to which they are known
+	At    roster.Revision // up to which the list is known
 	Moved roster.Revision // of the last change
-	Age   time.Duration   // since the store confirmed them
+	Age   time.Duration   // since the store last confirmed the list
 }
 
-// Source gives what this entry knows.
+// Source answers pulls of other entries from the data of this entry.
 type Source interface {
 	News(ctx context.Context, have Have) (News, error)
 }
@@ -73,13 +74,14 @@
 type Config struct {
 	Address string // host:port, for datagrams and calls
 	Source  Source
-	Self    func() member.ID            // of this entry, told to those that ping it
-	Heard   func(p Packet, from string) // called for each packet, by one goroutine
-	Sent    func(bytes int)             // called for each packet that was sent
+	Self    func() member.ID            // ID of this entry, the answer to pings
+	Heard   func(p Packet, from string) // called by one goroutine for each received packet
+	Sent    func(bytes int)             // called for each sent packet
 	Log     log.Interface
 }
 
-// Relay speaks with the other entries. It is safe for concurrent use.
+// Relay sends packets to other entries, receives theirs and serves pulls. It is
+// safe for concurrent use.
 type Relay struct {
 	cfg      Config
 	packets  *net.UDPConn
@@ -88,17 +90,18 @@
 	client   *http.Client
 }
 
-// Times of calls between entries. They are a millisecond apart.
+// Timeouts of HTTP calls between entries, whose network latency is about 1 ms.
 const (
 	callTime   = 500 * time.Millisecond
 	idleTime   = 30 * time.Second
 	headerTime = 2 * time.Second
 )
 
-// maxPacket bounds a datagram in bytes: it has to fit into one packet of 1,500.
+// maxPacketBytes is the maximum size of a datagram: an IP packet of 1,500 bytes without
+// its IP and UDP headers.
 const maxPacket = 1472
 
-// New opens the sockets, so that a taken port is told before anything starts.
+// New opens the sockets, so that a port already in use fails the start early.
 func New(cfg Config) (r *Relay, err error) {
 	defer func() { err = errors.WithMessage(err, "relay") }()
 	r = &Relay{cfg: cfg, client: &http.Client{
@@ -116,12 +119,12 @@
 	return r, nil
 }
 
-// freePorts is how often another port is tried where the system chooses it.
+// portAttempts limits the attempts to find a port that is free for both UDP and TCP.
 const freePorts = 20
 
-// listen opens datagrams and calls on one port, so that one address names both.
-// Where the system chooses the port, the one it gives for datagrams may be taken
-// for calls.
+// listen opens UDP and TCP sockets on the same port, so that one address serves
+// both. With port 0 the system chooses a free UDP port, whose TCP counterpart may be
+// in use; listen then tries another port.
 func (r *Relay) listen() (err error) {
 	for range freePorts {
 		var addr *net.UDPAddr
@@ -142,12 +145,12 @@
 	return err
 }
 
-// Address is where the other entries find this one.
+// Address returns the address at which other entries reach this one.
 func (r *Relay) Address() string {
 	return r.packets.LocalAddr().String()
 }
 
-// Serve answers calls and hears packets until ctx ends.
+// Serve serves calls and receives packets until ctx ends.
 func (r *Relay) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, r.Close)
 	defer stop()
@@ -159,7 +162,7 @@
 	return err
 }
 
-// Close ends all traffic with the other entries.
+// Close closes all sockets.
 func (r *Relay) Close() {
 	r.packets.Close()
 	r.server.Close()
@@ -168,26 +171,26 @@
 func (r *Relay) String() string { return "relay" }
 
 func (r *Relay) hear() {
-	buf := make([]byte, 2*maxPacket) // one that is too long is not to be cut short
+	buf := make([]byte, 2*maxPacket) // larger than maxPacketBytes, so that an oversized datagram isn't truncated
 	for {
 		n, from, err := r.packets.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			r.cfg.Log.WithError(err).Warn("relay: no datagram read")
+			r.cfg.Log.WithError(err).Warn("relay: reading a datagram failed")
 			continue
 		}
 		p, err := decodePacket(time.Now(), buf[:n])
 		if err != nil {
-			r.cfg.Log.WithError(err).WithField("from", from.String()).Warn("relay: packet not understood")
+			r.cfg.Log.WithError(err).WithField("from", from.String()).Warn("relay: dropped a malformed packet")
 			continue
 		}
 		r.heard(p, from.String())
 	}
 }
 
-// heard answers pings and passes them on; the rest is for the control loop.
+// handlePacket answers and forwards pings, and passes other packets to OnPacket.
 func (r *Relay) heard(p Packet, from string) {
 	var err error
 	switch p.Kind {
@@ -201,11 +204,12 @@
 		r.cfg.Heard(p, from)
 	}
 	if err != nil {
-		r.cfg.Log.WithError(err).WithField("from", from).Debug("relay: ping not passed on")
+		r.cfg.Log.WithError(err).WithField("from", from).Debug("relay: sending a ping or its acknowledgement failed")
 	}
 }
 
-// Send sends a packet to an address. One that is lost is made up for by the next.
+// Send sends a packet to an address. It doesn't retry: a later packet carries newer
+// data than a lost one.
 func (r *Relay) Send(to string, p Packet) (err error) {
 	defer func() { err = errors.WithMessage(err, "packet to "+to) }()
 	data, err := encodePacket(time.Now(), p)
@@ -221,7 +225,7 @@
 	return err
 }
 
-// Pull asks the entry at an address for what is newer than have.
+// Pull requests the data that is newer than have from the entry at an address.
 func (r *Relay) Pull(ctx context.Context, from string, have Have) (n News, err error) {
 	defer func() { err = errors.WithMessage(err, "pull from "+from) }()
 	c := wire.NewRelayProtobufClient("http://"+from, r.client)
@@ -235,7 +239,7 @@
 	return decodeNews(time.Now(), reply)
 }
 
-// server answers calls of other entries.
+// server serves calls from other entries.
 type server struct {
 	source Source
 	packer packer
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -24,9 +24,9 @@
 
 func (f fixed) News(context.Context, Have) (News, error) { return f.news, nil }
 
-func start(t *testing.T, s Source, heard func(Packet, string)) *Relay {
+func start(t *testing.T, s Source, onPacket func(Packet, string)) *Relay {
 	r, err := New(Config{
-		Address: "127.0.0.1:0", Source: s, Heard: heard, Sent: func(int) {}, Log: &log.Logger{Handler: discard.New()},
+		Address: "127.0.0.1:0", Source: s, Heard: onPacket, Sent: func(int) {}, Log: &log.Logger{Handler: discard.New()},
 		Self: func() member.ID { return member.ID{Name: "self", Boot: 3} },
 	})
 	qt.Assert(t, err, qt.IsNil)
@@ -38,65 +38,67 @@
 
 func deaf(Packet, string) {}
 
-// What an entry is told is what the other one said, and where it can answer.
+// A packet arrives unchanged, with the address of its sender.
 func TestPacket(t *testing.T) {
 	from := member.ID{Name: "a", Boot: 7}
-	known := Knowledge{Config: 3, Targets: 9, ConfigAge: time.Second, TargetsAge: 20 * time.Millisecond}
+	knowledge := Knowledge{Config: 3, Targets: 9, ConfigAge: time.Second, TargetsAge: 20 * time.Millisecond}
 	tests := []struct {
 		name   string
 		packet Packet
 	}{
 		{"ask", Packet{
-			Kind: Ask, Exchange: 8, Message: member.Message{From: from, Digest: 5, Ask: 1 << 63}, Knowledge: known,
+			Kind: Ask, Exchange: 8, Message: member.Message{From: from, Digest: 5, Ask: 1 << 63}, Knowledge: knowledge,
 			Numbers: []owner.Number{{Host: 9, Owners: 3, Rate: 2.5, Sequence: 4}},
 		}},
-		{"answer", Packet{Kind: Answer, Exchange: 8, Message: member.Message{From: from, Sums: []uint32{1, 2}}, Knowledge: known}},
-		{"knowledge", Packet{Kind: Tell, Knowledge: known}},
+		{"answer", Packet{Kind: Answer, Exchange: 8, Message: member.Message{From: from, Sums: []uint32{1, 2}}, Knowledge: knowledge}},
+		{"knowledge", Packet{Kind: Tell, Knowledge: knowledge}},
 		{"suspects", Packet{Kind: Suspects, ID: from, Suspects: []call.Suspect{{Print: 5, Crashes: 2, Age: time.Second}}}},
 		{"loads", Packet{Kind: Loads, ID: from, Loads: []Load{{Host: 9, Rate: 2.5}}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			heard := make(chan Packet, 1)
-			var at string
-			to := start(t, fixed{}, func(p Packet, from string) { at = from; heard <- p })
+			received := make(chan Packet, 1)
+			var sender string
+			to := start(t, fixed{}, func(p Packet, from string) { sender = from; received <- p })
 			from := start(t, fixed{}, deaf)
 			qt.Assert(t, from.Send(to.Address(), tt.packet), qt.IsNil)
 			select {
-			case got := <-heard:
+			case got := <-received:
 				qt.Assert(t, got, qt.DeepEquals, tt.packet)
-				qt.Assert(t, at, qt.Equals, from.Address())
+				qt.Assert(t, sender, qt.Equals, from.Address())
 			case <-time.After(10 * time.Second):
-				t.Fatal("no packet heard")
+				t.Fatal("no packet received")
 			}
 		})
 	}
 }
 
-// An entry got no answer from another one and asks a third to ping it. The answer
-// comes back by the same way, with the incarnation that gave it.
+// An entry gets no answer from another one and asks a third entry to ping it. The
+// acknowledgement returns through the third entry, with the ID of the incarnation
+// that answered.
 func TestReach(t *testing.T) {
-	heard := make(chan Packet, 1)
-	asks := start(t, fixed{}, func(p Packet, _ string) { heard <- p })
+	received := make(chan Packet, 1)
+	requester := start(t, fixed{}, func(p Packet, _ string) { received <- p })
 	via, target := start(t, fixed{}, deaf), start(t, fixed{}, deaf)
-	qt.Assert(t, asks.Send(via.Address(), Packet{Kind: Reach, Exchange: 6, Target: target.Address()}), qt.IsNil)
+	qt.Assert(t, requester.Send(via.Address(), Packet{Kind: Reach, Exchange: 6, Target: target.Address()}), qt.IsNil)
 	select {
-	case got := <-heard:
+	case got := <-received:
 		qt.Assert(t, got, qt.DeepEquals, Packet{Kind: Reached, Exchange: 6, ID: member.ID{Name: "self", Boot: 3}})
 	case <-time.After(10 * time.Second):
-		t.Fatal("not reached")
+		t.Fatal("no acknowledgement received")
 	}
 }
 
-// A message that is full of entries, digests and numbers fits into one packet.
+// A message with as many entries, bucket digests, owner counts, suspect digests and
+// rumours as it can have fits into one packet.
 func TestFullPacketFits(t *testing.T) {
 	now := time.Unix(1000, 0)
 	self := member.Entry{
 		ID: member.ID{Name: "edge-fremantle-hall-100", Boot: 1 << 62}, Caller: "10.100.100.100:18548", Peer: "10.100.100.100:17540",
 		Place: "fremantle-hall-annex", Region: "perth-metro-south", Capacity: 128,
 	}
-	const room = 900 // of entries, as the gateway has it
-	table := member.New(member.Config{Self: self, Room: room, Bulk: 8, Rand: rand.New(rand.NewPCG(1, 1))})
+	const maxEntryBytes = 900 // the gateway's limit
+	table := member.New(member.Config{Self: self, Room: maxEntryBytes, Bulk: 8, Rand: rand.New(rand.NewPCG(1, 1))})
 	var all []member.Entry
 	for i := range 300 {
 		e := self
@@ -128,7 +130,7 @@
 	}
 	data, err = encodePacket(now, p)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, len(data) <= maxPacket, qt.IsTrue, qt.Commentf("%d bytes with accusations and rumours", len(data)))
+	qt.Assert(t, len(data) <= maxPacket, qt.IsTrue, qt.Commentf("%d bytes with suspect digests and rumours", len(data)))
 }
 
 func TestPull(t *testing.T) {
@@ -137,19 +139,19 @@
 		{Item: roster.Item[slot.Target]{Name: "i-1", Revision: 4, Value: target}},
 		{Item: roster.Item[slot.Target]{Name: "i-2", Revision: 5, Value: slot.Target{ID: "i-2"}}, Deleted: true},
 	}
-	var many []roster.Change[slot.Target]
+	var manyChanges []roster.Change[slot.Target]
 	for i := range 700 {
 		c := changes[0]
 		c.Name = fmt.Sprint("i-", i)
 		c.Value.ID = c.Name
-		many = append(many, c)
+		manyChanges = append(manyChanges, c)
 	}
 	tests := []struct {
 		name string
 		news News
 	}{
 		{"nothing new", News{}},
-		{"long list", News{Targets: Listed, At: 12, Moved: 9, Changes: many}},
+		{"long list", News{Targets: Listed, At: 12, Moved: 9, Changes: manyChanges}},
 		{"list", News{Config: []byte("{}"), Targets: Listed, At: 12, Moved: 9, Age: 30 * time.Millisecond, Changes: changes[:1]}},
 		{"changes", News{Targets: Changed, At: 12, Moved: 9, Changes: changes}},
 		{"entries", News{Entries: []member.Entry{{
@@ -169,7 +171,7 @@
 				got, err := from.Pull(t.Context(), to.Address(), Have{Targets: 1})
 				qt.Assert(t, err, qt.IsNil)
 				for i := range got.Entries {
-					got.Entries[i].Since = time.Time{} // told as an age
+					got.Entries[i].Since = time.Time{} // encoded as an age
 				}
 				qt.Assert(t, got, qt.DeepEquals, tt.news)
 			}
@@ -177,44 +179,44 @@
 	}
 }
 
-// An entry of an earlier release asks. It knows neither changes nor compressed
-// configurations, and gets what it understands.
+// An entry of an earlier release pulls. It understands neither changes nor compressed
+// configurations, so it gets the full list and a plain configuration.
 func TestPullByEarlierRelease(t *testing.T) {
-	long := bytes.Repeat([]byte(`{"route":1}`), 200)
-	s := &server{source: since{long}}
+	config := bytes.Repeat([]byte(`{"route":1}`), 200)
+	s := &server{source: since{config}}
 	w, err := s.Pull(t.Context(), &wire.PullRequest{Targets: 3})
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, w.Config, qt.DeepEquals, long)
+	qt.Assert(t, w.Config, qt.DeepEquals, config)
 	qt.Assert(t, w.Listed && !w.Changed, qt.IsTrue)
 }
 
-// Hundreds of entries start at once and ask for all that there is. The answer is
-// made once for all that ask within a moment, and not kept for longer; one that
-// says only a part is not kept.
+// Hundreds of entries start at once and pull all data. A reply is cached for
+// replyCacheTime, so that it isn't built for each of them. Partial replies aren't
+// cached.
 func TestStartOfMany(t *testing.T) {
 	now := time.Unix(1000, 0)
-	whole := &wire.PullReply{Listed: true, Packed: []byte("x")}
+	full := &wire.PullReply{Listed: true, Packed: []byte("x")}
 	tests := []struct {
-		name  string
-		reply *wire.PullReply
-		after time.Duration
-		kept  bool
+		name   string
+		reply  *wire.PullReply
+		after  time.Duration
+		cached bool
 	}{
-		{"at once", whole, 0, true},
-		{"within the moment", whole, recentTime, true},
-		{"later", whole, recentTime + 1, false},
+		{"at once", full, 0, true},
+		{"within the cache time", full, recentTime, true},
+		{"later", full, recentTime + 1, false},
 		{"targets alone", &wire.PullReply{Listed: true}, 0, false},
 		{"configuration alone", &wire.PullReply{Config: []byte("x")}, 0, false},
 	}
 	for _, tt := range tests {
 		var r recent
 		r.put(now, formatPacked, tt.reply)
-		qt.Assert(t, r.get(now.Add(tt.after), formatPacked) != nil, qt.Equals, tt.kept, qt.Commentf(tt.name))
+		qt.Assert(t, r.get(now.Add(tt.after), formatPacked) != nil, qt.Equals, tt.cached, qt.Commentf(tt.name))
 		qt.Assert(t, r.get(now.Add(tt.after), formatBrief), qt.IsNil)
 	}
 }
 
-// since gives a list to those that have nothing, and changes to others.
+// changesSource returns the full list to callers without targets, and changes to others.
 type since struct{ config []byte }
 
 func (s since) News(_ context.Context, have Have) (News, error) {
@@ -224,8 +226,8 @@
 	return News{Config: s.config, Targets: Changed}, nil
 }
 
-// A configuration that is cut short or grows without end when unpacked is an
-// error, not a configuration.
+// A compressed configuration that is truncated, or decompresses to more than
+// maxDecompressedBytes, is rejected.
 func TestUnpack(t *testing.T) {
 	bomb, err := pack(make([]byte, maxUnpacked+1))
 	qt.Assert(t, err, qt.IsNil)
@@ -245,7 +247,7 @@
 	}
 }
 
-// What is no packet is logged and dropped, and the next packet is heard.
+// Malformed packets are rejected.
 func TestGarbage(t *testing.T) {
 	for _, data := range []string{"", "\xff\xff", "\x0a\x01a", "\x08\x63"} {
 		_, err := decodePacket(time.Unix(1000, 0), []byte(data))
@@ -253,13 +255,13 @@
 	}
 }
 
-// An entry of a release that knows nothing of evacuations tells what it has in force.
-// Its silence is no word on them: taken for the word that there are none, it would keep
-// requests in a failure domain that is evacuated.
+// An entry of a release without evacuations sends its knowledge. The missing age
+// decodes to a very old age: as age 0 it would confirm that there are no evacuations,
+// and requests would go on to an evacuated failure domain.
 func TestSilenceOnEvacuationsIsNoWord(t *testing.T) {
 	c := qt.New(t)
 	k := decodeKnowledge(&wire.Knowledge{Config: 3, Targets: 9})
 	c.Assert(k.EvacuationsAge > 24*time.Hour, qt.IsTrue, qt.Commentf("%v", k.EvacuationsAge))
-	told := Knowledge{Config: 3, Targets: 9, Evacuations: 4, EvacuationsAge: 20 * time.Millisecond}
-	c.Assert(decodeKnowledge(encodeKnowledge(told)), qt.Equals, told)
+	sent := Knowledge{Config: 3, Targets: 9, Evacuations: 4, EvacuationsAge: 20 * time.Millisecond}
+	c.Assert(decodeKnowledge(encodeKnowledge(sent)), qt.Equals, sent)
 }
