--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,5 +1,5 @@
-// Package members runs the membership table of an entry over the peers'
-// protocol. One goroutine owns the table; others read snapshots.
+// Package members runs the membership table of an entry over the peer protocol. One
+// goroutine owns the table; other goroutines read snapshots.
 package members
 
 import (
@@ -14,15 +14,15 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// Config builds Members. The functions are called by the goroutine that owns
-// the table and must not block.
+// Config configures Members. The callbacks run in the goroutine that owns the table
+// and must not block.
 type Config struct {
 	Member     member.Config
 	Client     *peer.Client
 	Now        func() time.Time                          // time.Now when nil
 	Behind     func(from member.Ref, marks member.Marks) // a peer has newer revisions
-	Learned    func(r member.Rumours)                    // rumours that are new here
-	Superseded func(by member.ID)                        // a later incarnation of this name is up
+	Learned    func(r member.Rumours)                    // rumours new to this entry were received
+	Superseded func(by member.ID)                        // a later incarnation of this entry is running
 }
 
 // Members is the membership of one entry.
@@ -35,17 +35,17 @@
 	sends   sync.WaitGroup
 }
 
-// post is an event on its way to the owner, and where its reply goes.
+// queuedEvent is an event that waits for the goroutine that owns the table.
 type post struct {
 	event member.Event
-	reply chan member.Message // nil when none is awaited
-	done  chan struct{}
+	reply chan member.Message // receives the response; nil if none is expected
+	done  chan struct{}       // closed when the event is handled; may be nil
 }
 
-// postQueue is how many events may wait for the owner.
+// queueSize is the maximum number of queued events.
 const postQueue = 256
 
-// New gives the membership of an entry that knows only itself.
+// New returns the membership of an entry that knows no other entry yet.
 func New(cfg Config) *Members {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -63,17 +63,18 @@
 	return m
 }
 
-// View gives what this entry knows at present. It must not be changed.
+// View returns the current view of this entry. The caller must not change it.
 func (m *Members) View() *member.View { return m.view.Load() }
 
-// Serving gives the entries that requests may be sent to.
+// Serving returns the entries that requests may be sent to.
 func (m *Members) Serving() []member.Entry { return m.View().Serving() }
 
-// Changes gets a value after the view has changed; several changes may share
-// one.
+// Changes returns a channel that receives a value after the view has changed.
+// Several changes may be combined into one value.
 func (m *Members) Changes() <-chan struct{} { return m.changes }
 
-// Serve runs rounds until ctx ends. It may be called again after that.
+// Serve runs gossip rounds and handles events until ctx ends. It may then be called
+// again.
 func (m *Members) Serve(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -139,9 +140,9 @@
 	var ev member.Event = member.NoAnswer{Exchange: s.Exchange}
 	limited, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
-	answer, err := m.cfg.Client.Gossip(limited, s.To.Address, s.Message)
+	response, err := m.cfg.Client.Gossip(limited, s.To.Address, s.Message)
 	if err == nil {
-		ev = member.Answer{Exchange: s.Exchange, Message: answer}
+		ev = member.Answer{Exchange: s.Exchange, Message: response}
 	}
 	_ = m.post(ctx, post{event: ev})
 }
@@ -166,7 +167,7 @@
 	}
 }
 
-// tell posts an event and waits until it is handled.
+// submit enqueues an event and waits until it is handled.
 func (m *Members) tell(ctx context.Context, ev member.Event) (err error) {
 	p := post{event: ev, done: make(chan struct{})}
 	if err := m.post(ctx, p); err != nil {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -15,7 +15,7 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// node is an entry with a real listener and client.
+// node is an entry with a TCP listener and a client.
 type node struct {
 	*Members
 	self     member.Entry
@@ -26,7 +26,7 @@
 	behind   atomic.Uint64
 }
 
-// pace makes rounds ten times faster than those of an entry.
+// speedup makes gossip rounds ten times faster than the defaults.
 const pace = 10
 
 func start(c *qt.C, name string, boot uint64, seeds ...string) *node {
@@ -79,8 +79,8 @@
 	c.Fatalf("not within 10 s: %s", what)
 }
 
-// Three entries meet over loopback through one seed; then one announces its
-// stop, one is killed, and the last is told of both.
+// Three entries join over loopback through one seed. Then one announces its stop,
+// one is killed, and the third learns of both.
 func TestMembers(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
@@ -89,7 +89,7 @@
 	d := start(c, "d", 1, a.self.Peer)
 	nodes := []*node{a, b, d}
 	for _, n := range nodes {
-		eventually(c, n.self.ID.Name+" sees all", func() bool { return len(n.Serving()) == 3 })
+		eventually(c, n.self.ID.Name+" sees all entries", func() bool { return len(n.Serving()) == 3 })
 		got, _ := n.View().Find("b")
 		c.Assert(got.Caller, qt.Equals, b.self.Caller)
 	}
@@ -117,18 +117,19 @@
 	eventually(c, "d dead", func() bool { return a.state("d") == member.Dead })
 }
 
-// A replacement starts under the name of an entry that still runs.
+// A new incarnation starts under the name of an entry that still runs. The old
+// incarnation learns that it is superseded.
 func TestReplaced(t *testing.T) {
 	c := qt.New(t)
 	a := start(c, "a", 1)
 	b := start(c, "b", 1, a.self.Peer)
-	eventually(c, "meeting", func() bool { return len(a.Serving()) == 2 && len(b.Serving()) == 2 })
+	eventually(c, "both entries have joined", func() bool { return len(a.Serving()) == 2 && len(b.Serving()) == 2 })
 	start(c, "b", 2, a.self.Peer)
-	eventually(c, "the old one hears", func() bool { return b.replaced.Load() == 1 })
+	eventually(c, "the old incarnation learns of the new one", func() bool { return b.replaced.Load() == 1 })
 }
 
-// The platform and the settings name addresses where nothing answers, or answers
-// late: calls must end with the context, and the entry goes on alone.
+// The seeds are addresses where nothing answers, or where connections are accepted
+// and never answered. Calls must end with their context, and the entry runs alone.
 func TestAlone(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts and never answers
@@ -142,10 +143,10 @@
 	c.Assert(a.Seeds(ctx, []string{"127.0.0.1:1"}), qt.IsNil)
 	c.Assert(a.Serving(), qt.HasLen, 1)
 	a.cancel()
-	gone, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
+	expiring, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	for range postQueue + 2 {
-		err = a.Leave(gone)
+		err = a.Leave(expiring)
 	}
 	c.Assert(err, qt.ErrorMatches, "membership: .*deadline exceeded")
 }
