--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,7 +14,7 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// smallHeader leaves out what peers do not read, to save control traffic.
+// minimalHeaders removes headers that peers don't read, to save control traffic.
 var smallHeader = &twirp.ClientHooks{
 	RequestPrepared: func(ctx context.Context, r *http.Request) (context.Context, error) {
 		r.Header["User-Agent"] = []string{""}
@@ -25,11 +25,11 @@
 
 var errTooLong = errors.New("message too long")
 
-// ClientConfig builds a Client. Zero values take the defaults.
+// ClientConfig configures a Client. Zero values take the defaults.
 type ClientConfig struct {
-	Timeout  time.Duration // of a call whose context has no deadline; 1 s
-	Dial     time.Duration // to connect; 300 ms
-	MaxConns int           // to one peer; 16
+	Timeout  time.Duration // of a call whose context has no deadline; default 1 s
+	Dial     time.Duration // timeout of a connect; default 300 ms
+	MaxConns int           // to one peer; default 16
 	Counters *Counters
 }
 
@@ -44,7 +44,7 @@
 	maxClients  = 4096
 )
 
-// Client calls other entries. It is safe for use by several goroutines.
+// Client calls other entries. It is safe for concurrent use.
 type Client struct {
 	cfg  ClientConfig
 	http *http.Client
@@ -53,11 +53,11 @@
 	clients map[string]wire.Peer // by address
 }
 
-// NewClient builds a client with connections of its own.
+// NewClient returns a client with its own connections.
 //
-// Go's transport sends a request again by itself when a reused connection
-// breaks. For a POST without an Idempotency-Key header it does so only if it
-// had written nothing yet, and every peer call is idempotent besides.
+// Go's transport retries a request when a reused connection breaks. It retries a
+// POST without an Idempotency-Key header only if it had written nothing yet.
+// Besides, every peer call is idempotent.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = DefaultTimeout
@@ -136,23 +136,23 @@
 	return context.WithTimeout(ctx, c.cfg.Timeout)
 }
 
-// Gossip exchanges membership messages.
-func (c *Client) Gossip(ctx context.Context, address string, m member.Message) (answer member.Message, err error) {
+// Gossip sends a membership message and returns the response.
+func (c *Client) Gossip(ctx context.Context, address string, m member.Message) (response member.Message, err error) {
 	defer func() { err = errors.WithMessage(err, "gossip with "+address) }()
 	ctx, cancel := c.deadline(ctx)
 	defer cancel()
 	req := &wire.GossipRequest{Version: Version, Gossip: EncodeGossip(time.Now(), m)}
 	reply, err := c.peer(address).Gossip(ctx, req)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	if err := checkVersion(reply.GetVersion()); err != nil {
-		return answer, err
+		return response, err
 	}
 	return DecodeGossip(time.Now(), reply.GetGossip())
 }
 
-// Ping asks which incarnation listens at an address.
+// Ping returns the ID of the incarnation that listens at an address.
 func (c *Client) Ping(ctx context.Context, address string) (id member.ID, err error) {
 	defer func() { err = errors.WithMessage(err, "ping "+address) }()
 	ctx, cancel := c.deadline(ctx)
@@ -164,10 +164,10 @@
 	return requireID("ident", reply.GetIdent())
 }
 
-// Reach asks the entry at via to ping target. A zero ID means that via had no
-// answer from target.
+// IndirectPing asks the entry at via to ping the one at target. It returns a zero ID if
+// target didn't answer via.
 func (c *Client) Reach(ctx context.Context, via, target string) (id member.ID, err error) {
-	defer func() { err = errors.WithMessage(err, "reach "+target+" through "+via) }()
+	defer func() { err = errors.WithMessage(err, "ping "+target+" through "+via) }()
 	ctx, cancel := c.deadline(ctx)
 	defer cancel()
 	reply, err := c.peer(via).Reach(ctx, &wire.ReachRequest{Version: Version, Peer: target})
@@ -177,14 +177,14 @@
 	return decodeID(reply.GetIdent()), nil
 }
 
-// Settings fetches what lacks since a revision.
-func (c *Client) Settings(ctx context.Context, address string, since uint64) (ch Change, err error) {
+// Settings fetches the changes of the settings since a revision.
+func (c *Client) Settings(ctx context.Context, address string, since uint64) (update Change, err error) {
 	defer func() { err = errors.WithMessage(err, "settings from "+address) }()
 	ctx, cancel := c.deadline(ctx)
 	defer cancel()
 	reply, err := c.peer(address).Settings(ctx, &wire.SettingsRequest{Version: Version, Since: since})
 	if err != nil {
-		return ch, err
+		return update, err
 	}
 	return Change{Revision: reply.GetRevision(), Document: reply.GetDocument(), Edits: reply.GetEdits()}, nil
 }
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 )
 
-// Kind is one call of the peer protocol.
+// Method is a method of the peer protocol.
 type Kind uint8
 
-// The kinds of calls.
+// Methods of the peer protocol. Other stands for requests to unknown paths.
 const (
 	Gossip Kind = iota
 	Ping
@@ -23,7 +23,6 @@
 
 var kindNames = [kinds]string{"Gossip", "Ping", "Reach", "Settings", "Other"}
 
-// String gives the name of the call.
 func (k Kind) String() string { return kindNames[k] }
 
 func kindOf(r *http.Request) Kind {
@@ -36,9 +35,9 @@
 	return Other
 }
 
-// Counters counts the traffic with peers since the start. In and Out of a kind
-// are bytes of message bodies, sent as well as answered; ConnIn and ConnOut are
-// all bytes of the connections, HTTP's own included.
+// Counters counts the traffic with peers since the start of the process, as client
+// and as server. The counters of a method are calls and bytes of message bodies;
+// ConnIn and ConnOut are all bytes of the connections, HTTP headers included.
 type Counters struct {
 	calls [kinds]atomic.Int64
 	in    [kinds]atomic.Int64
@@ -48,15 +47,15 @@
 	ConnOut atomic.Int64
 }
 
-// Count is the traffic of one kind.
+// Count is the traffic of one method.
 type Count struct {
 	Kind  Kind
-	Calls int64 // made and served
-	In    int64 // bytes
-	Out   int64 // bytes
+	Calls int64 // as client and as server
+	In    int64 // bytes received
+	Out   int64 // bytes sent
 }
 
-// Counts gives the traffic of every kind so far.
+// Counts returns the traffic of every method.
 func (c *Counters) Counts() []Count {
 	var all []Count
 	for k := range kinds {
@@ -65,7 +64,7 @@
 	return all
 }
 
-// Listener counts the bytes of the connections that l accepts.
+// Listener wraps l to count the bytes of the connections that it accepts.
 func (c *Counters) Listener(l net.Listener) net.Listener { return listener{l, c} }
 
 type listener struct {
@@ -98,7 +97,7 @@
 	return n, err
 }
 
-// countedBody adds what is read from a body to total and fails beyond limit.
+// countedBody counts the bytes read from a body, and fails reads past its size limit.
 type countedBody struct {
 	io.ReadCloser
 	total *atomic.Int64
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -27,8 +27,8 @@
 	return decodeID(id), nil
 }
 
-// encodeAgo gives the milliseconds since t. Ages stand for times on the wire,
-// since the clocks of two VMs need not agree.
+// encodeAge returns the milliseconds since t. Messages carry ages in place of times,
+// since the clocks of two VMs may differ.
 func encodeAgo(now, t time.Time) uint32 {
 	ms := now.Sub(t).Milliseconds()
 	return uint32(min(max(ms, 0), math.MaxUint32))
@@ -38,7 +38,7 @@
 	return now.Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// EncodeEntry maps an entry to its wire type.
+// EncodeEntry converts an entry to its wire type.
 func EncodeEntry(now time.Time, e member.Entry) *wire.Entry {
 	return &wire.Entry{
 		Ident:    encodeID(e.ID),
@@ -56,7 +56,7 @@
 	}
 }
 
-// DecodeEntry maps a wire entry to its domain type; field names it in an error.
+// DecodeEntry converts a wire entry to its domain type. Errors name it as field.
 func DecodeEntry(now time.Time, field string, w *wire.Entry) (e member.Entry, err error) {
 	id, err := requireID(field+".ident", w.GetIdent())
 	if err != nil {
@@ -83,7 +83,7 @@
 	}, nil
 }
 
-// EncodeGossip maps a message to its wire type.
+// EncodeGossip converts a message to its wire type.
 func EncodeGossip(now time.Time, m member.Message) *wire.Gossip {
 	w := &wire.Gossip{
 		From:     encodeID(m.From),
@@ -108,8 +108,8 @@
 	return w
 }
 
-// DecodeGossip maps a wire message to its domain type and refuses one that
-// names no sender or goes beyond the bounds of package member.
+// DecodeGossip converts a wire message to its domain type. It rejects a message without
+// a sender, with more than member.MaxJoin entries or with an invalid entry.
 func DecodeGossip(now time.Time, w *wire.Gossip) (m member.Message, err error) {
 	if n := len(w.GetEntries()); n > member.MaxJoin {
 		return m, &FieldError{Field: "entries", Found: fmt.Sprint(n), Expected: fmt.Sprintf("at most %d", member.MaxJoin)}
@@ -127,11 +127,11 @@
 		return m, err
 	}
 	for i, e := range w.GetEntries() {
-		d, err := DecodeEntry(now, fmt.Sprintf("entries[%d]", i), e)
+		entry, err := DecodeEntry(now, fmt.Sprintf("entries[%d]", i), e)
 		if err != nil {
 			return m, err
 		}
-		m.Entries = append(m.Entries, d)
+		m.Entries = append(m.Entries, entry)
 	}
 	m.Rumours = decodeRumours(now, w)
 	return m, nil
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,8 +1,9 @@
-// Package peer carries what entries say to each other: a twirp service over
-// HTTP with keep-alive connections. It maps wire types to domain types by hand,
-// checks versions, sizes and required fields, and counts bytes by kind.
+// Package peer implements the peer protocol, by which entries exchange membership
+// messages and settings: a twirp service over HTTP with keep-alive connections. It
+// converts between wire types and domain types, checks versions, sizes and required
+// fields, and counts calls and bytes by method.
 //
-// Every call is idempotent: a lost answer may be followed by the same call.
+// Every call is idempotent, so it may be repeated when its response is lost.
 package peer
 
 import (
@@ -11,26 +12,25 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Versions of the peer protocol that this program speaks.
+// Supported versions of the peer protocol.
 const (
 	Version    = 1
 	MinVersion = 1
 )
 
-// Limits of one message in bytes.
+// Maximum sizes of a message body in bytes.
 const (
 	MaxRequest = 4 << 20
 	MaxReply   = 4 << 20
 )
 
-// FieldError is a bad value in a message.
+// FieldError reports an invalid value in a message.
 type FieldError struct {
 	Field    string
 	Found    string
 	Expected string
 }
 
-// Error names the field, what was found and what was expected.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: found %s, expected %s", e.Field, e.Found, e.Expected)
 }
@@ -47,7 +47,8 @@
 	return twirp.NewError(twirp.FailedPrecondition, e.Error())
 }
 
-// invalid turns an error of a codec into one that the caller can read.
+// invalidArgument converts an error of a codec to a twirp error, whose text the caller
+// receives.
 func invalid(err error) error {
 	return twirp.NewError(twirp.InvalidArgument, err.Error())
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -25,7 +25,7 @@
 	other = member.ID{Name: "e2", Boot: 1 << 40}
 )
 
-// fake echoes what it is given.
+// fake implements Members and SettingsSource. It echoes messages and counts calls.
 type fake struct {
 	served int
 	gossip member.Message
@@ -118,14 +118,14 @@
 			c.Assert(n.Calls >= 2 && n.In > 0 && n.Out > 0, qt.IsTrue, qt.Commentf("%v: %+v", n.Kind, n))
 		}
 	}
-	// The bytes of the last answer are counted out before they are counted in.
+	// The bytes of the last response are counted in ConnOut before ConnIn.
 	for end := time.Now().Add(5 * time.Second); counters.ConnIn.Load() != counters.ConnOut.Load(); time.Sleep(time.Millisecond) {
 		c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("in %d, out %d", counters.ConnIn.Load(), counters.ConnOut.Load()))
 	}
 }
 
-// A peer of another version, or a broken one, sends what this entry can't
-// accept. It is told which field is at fault, and nothing reaches the domain.
+// A peer of another version, or with a fault, sends invalid messages. The error names
+// the invalid field, and the message doesn't reach Members or SettingsSource.
 func TestRefusals(t *testing.T) {
 	ident := &wire.Ident{Name: "e1", Boot: 7}
 	tests := []struct {
@@ -170,14 +170,14 @@
 }
 
 // The peer dies after it has read a message on a kept-alive connection. Go's
-// transport resends on reused connections what it takes for replayable; if it
-// did so here, a message would arrive twice without anyone having asked.
+// transport retries requests on reused connections that it considers replayable.
+// A retry here would deliver the message twice.
 func TestNoResendOnReusedConnection(t *testing.T) {
 	c := qt.New(t)
-	var seen atomic.Int32
+	var received atomic.Int32
 	srv := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		if len(body) == 0 || seen.Add(1) == 1 {
+		if len(body) == 0 || received.Add(1) == 1 {
 			w.Header().Set("Content-Type", "application/protobuf")
 			b, _ := proto.Marshal(&wire.GossipReply{Version: Version, Gossip: &wire.Gossip{From: encodeID(self)}})
 			w.Write(b)
@@ -196,11 +196,11 @@
 	c.Assert(err, qt.IsNil)
 	_, err = client.Gossip(context.Background(), l.Addr().String(), m)
 	c.Assert(err, qt.ErrorMatches, "gossip with .*EOF.*")
-	c.Assert(seen.Load(), qt.Equals, int32(2))
+	c.Assert(received.Load(), qt.Equals, int32(2))
 }
 
-// A peer that accepts the connection and never answers must cost its caller no
-// more than the timeout; one that answers without end no more than MaxReply.
+// A call to a peer that accepts the connection and never responds ends after the
+// timeout. A call to a peer that sends an endless response ends after MaxReply bytes.
 func TestBoundedCalls(t *testing.T) {
 	c := qt.New(t)
 	srv := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,27 +13,27 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// Members is the membership behind the server.
+// Members handles the membership calls of the server.
 type Members interface {
-	// Gossip answers a peer's message.
+	// Gossip handles a peer's message and returns the response.
 	Gossip(ctx context.Context, m member.Message) (member.Message, error)
-	// Ping pings the peer at an address for somebody else.
+	// Ping pings the peer at an address on behalf of another entry.
 	Ping(ctx context.Context, address string) (member.ID, error)
 }
 
-// Change is what a peer lacks of the settings.
+// SettingsUpdate holds the changes of the settings that a peer lacks.
 type Change struct {
 	Revision uint64
-	Document []byte   // whole, when the edits do not reach back
+	Document []byte   // full document, if the edits don't go back to the peer's revision
 	Edits    [][]byte // oldest first
 }
 
-// SettingsSource gives what a peer lacks since the revision that it has.
+// SettingsSource returns the changes since a peer's revision.
 type SettingsSource interface {
 	Since(ctx context.Context, revision uint64) (Change, error)
 }
 
-// ServerConfig builds the handler of the peers' listener.
+// ServerConfig configures the server of the peer protocol.
 type ServerConfig struct {
 	Self     member.ID
 	Members  Members
@@ -41,9 +41,9 @@
 	Counters *Counters
 }
 
-// Timeouts of the peers' listener. Its idle timeout is longer than the client's
-// (idleTimeout): a connection that the server closes just as a request is
-// written fails that request, and the entry would look dead.
+// Limits of the server. Its idle timeout is longer than the client's idleTimeout. If
+// the server closed an idle connection while a request is written, the request would
+// fail and the entry would look dead.
 const (
 	readTimeout       = 5 * time.Second
 	writeTimeout      = 10 * time.Second
@@ -51,8 +51,8 @@
 	maxHeaderBytes    = 8 << 10
 )
 
-// NewServer gives the HTTP server for the peers' listener. A nil Settings
-// answers its calls with "unimplemented".
+// NewServer returns the HTTP server of the peer protocol. If cfg.Settings is nil,
+// Settings calls fail with the code Unimplemented.
 func NewServer(cfg ServerConfig) *http.Server {
 	if cfg.Counters == nil {
 		cfg.Counters = &Counters{}
@@ -81,8 +81,9 @@
 	})
 }
 
-// refuseLong reads on for a while before it answers: a client that is still
-// writing when the connection closes sees a reset in place of the reason.
+// rejectOversized reads up to MaxRequest bytes of the body before it responds. A client
+// that is still writing when the connection closes gets a connection reset in place
+// of the error.
 func refuseLong(w http.ResponseWriter, r *http.Request) {
 	io.CopyN(io.Discard, r.Body, MaxRequest)
 	e := &FieldError{
@@ -103,11 +104,11 @@
 	if err != nil {
 		return nil, invalid(err)
 	}
-	answer, err := s.cfg.Members.Gossip(ctx, m)
+	response, err := s.cfg.Members.Gossip(ctx, m)
 	if err != nil {
 		return nil, err
 	}
-	return &wire.GossipReply{Version: Version, Gossip: EncodeGossip(time.Now(), answer)}, nil
+	return &wire.GossipReply{Version: Version, Gossip: EncodeGossip(time.Now(), response)}, nil
 }
 
 func (s *server) Ping(_ context.Context, w *wire.PingRequest) (*wire.PingReply, error) {
@@ -138,13 +139,13 @@
 	if s.cfg.Settings == nil {
 		return nil, unimplemented(Settings)
 	}
-	c, err := s.cfg.Settings.Since(ctx, w.GetSince())
+	update, err := s.cfg.Settings.Since(ctx, w.GetSince())
 	if err != nil {
 		return nil, err
 	}
-	return &wire.SettingsReply{Revision: c.Revision, Document: c.Document, Edits: c.Edits}, nil
+	return &wire.SettingsReply{Revision: update.Revision, Document: update.Document, Edits: update.Edits}, nil
 }
 
 func unimplemented(k Kind) error {
-	return twirp.NewError(twirp.Unimplemented, k.String()+" is not served here")
+	return twirp.NewError(twirp.Unimplemented, k.String()+" is not implemented by this server")
 }
