--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -1,10 +1,10 @@
-// Package claims runs keyed requests at most once. The record of a key lies in
-// the platform's store and is created before the request is sent to a target:
-// of all attempts through all entries one creates it, whichever entries are
-// killed, paused or cut off meanwhile.
+// Package claims runs keyed requests at most once. An attempt creates the record of
+// its key in the platform's store before the request is sent to a target. Only one
+// attempt through all entries can create the record, even if entries are killed,
+// paused or partitioned meanwhile.
 //
-// While the store is away no key can be claimed. Keyed requests are then
-// answered at once as unknown, with a time to come back.
+// While the store is unavailable no key can be claimed. Keyed requests then get the
+// result Uncertain within claimTimeout, with a time to retry after.
 package claims
 
 import (
@@ -22,7 +22,7 @@
 	"plumpitch.example/plumpitch/pkg/claim"
 )
 
-// Store holds the records. Put and Delete make one attempt.
+// Store holds the records. Put and Delete don't retry.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (store.Object, error)
 	List(ctx context.Context, kind string) (objects []store.Object, version uint64, err error)
@@ -30,37 +30,36 @@
 	Delete(ctx context.Context, kind, name string, expected uint64) error
 }
 
-// Config is what Claims is built from.
+// Config configures Claims.
 type Config struct {
 	Entry string // name of this entry
-	Boot  uint64 // its incarnation
+	Boot  uint64 // incarnation of this entry
 	Store Store
 	Log   log.Interface
-	// Sweeps tells whether this entry removes records that have expired. One
-	// of all should.
+	// ShouldSweep reports whether this entry removes expired records. One of all
+	// entries should.
 	Sweeps func() bool
 	Now    func() time.Time // time.Now when nil
-	// Late is how long after its call a write may still be done whose answer
-	// was lost; 15 s when 0, several times what the platform says.
+	// MaxWriteDelay is how long after its call a write whose response was lost may
+	// still be applied; default 15 s, several times the platform's own figure.
 	Late time.Duration
 }
 
 const defaultLate = 15 * time.Second
 
-// Claims is the part of an entry that keeps requests from running twice. It is
-// safe for concurrent use.
+// Claims keeps keyed requests of an entry from running twice. It is safe for
+// concurrent use.
 type Claims struct {
 	cfg      Config
 	attempts atomic.Uint64
-	life     context.Context // of outcomes on their way to the store
+	life     context.Context // of writes of outcomes to the store
 	end      context.CancelFunc
 	settling sync.WaitGroup
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	flights map[flightKey]*flight
 }
 
-// New builds Claims.
 func New(cfg Config) *Claims {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -68,18 +67,17 @@
 	if cfg.Late <= 0 {
 		cfg.Late = defaultLate
 	}
-	life, end := context.WithCancel(context.Background())
-	return &Claims{cfg: cfg, life: life, end: end, flights: make(map[flightKey]*flight)}
+	ctx, cancel := context.WithCancel(context.Background())
+	return &Claims{cfg: cfg, life: ctx, end: cancel, flights: make(map[flightKey]*flight)}
 }
 
-// Close gives up the outcomes that are still on their way. An entry that stops
-// calls Flush first.
+// Close cancels the pending writes of outcomes. An entry that stops calls Flush first.
 func (c *Claims) Close() {
 	c.end()
 	c.settling.Wait()
 }
 
-// Flush waits until the store has every outcome, or ctx ends.
+// Flush waits until no write of an outcome is pending, or until ctx ends.
 func (c *Claims) Flush(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
@@ -94,15 +92,15 @@
 	}
 }
 
-// Request is what is to run at most once.
+// Request identifies a request that runs at most once.
 type Request struct {
 	Service  string
 	Key      string
 	Print    uint64    // fingerprint of method, path and body
-	Deadline time.Time // after it nothing is dispatched
+	Deadline time.Time // the request isn't dispatched after it
 }
 
-// Run dispatches the request and tells its outcome. It ends with ctx.
+// Run dispatches the request and returns its outcome. It ends with ctx.
 type Run func(ctx context.Context) claim.Ended
 
 type flightKey struct {
@@ -111,61 +109,61 @@
 	print   uint64
 }
 
-// flight is an attempt of this entry that is not over, or whose answer the store
-// doesn't have yet.
+// attempt is a run of a key at this entry that hasn't ended, or whose outcome isn't
+// stored yet.
 type flight struct {
-	done chan struct{}
-	// again is what a resend is told; nil where it has to ask the store. It is there
-	// once done is closed.
+	done chan struct{} // closed when the attempt has ended
+	// resendResult is the result for a resend, set before done is closed. If it is nil,
+	// the resend has to consult the store.
 	again   *claim.Result
-	settled <-chan struct{} // closed once the store has the outcome
+	settled <-chan struct{} // closed when the write of the outcome has ended
 }
 
-// Do runs the request unless its key has run or may be running, and gives what
-// its caller is told. A resend that meets its first try here waits for it.
+// Do runs the request unless its key has run or may be running, and returns the result
+// for the caller. A resend waits for an attempt of its key that runs at this entry.
 func (c *Claims) Do(ctx context.Context, r Request, run Run) claim.Result {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
 	key := flightKey{r.Service, r.Key, r.Print}
 	for {
-		f, first := c.join(key)
+		a, first := c.join(key)
 		if first {
-			defer c.part(key, f)
-			return c.fly(ctx, r, run, f)
+			defer c.part(key, a)
+			return c.fly(ctx, r, run, a)
 		}
 		select {
 		case <-ctx.Done():
 			return claim.Result{Kind: claim.Uncertain, Reason: claim.ReasonInProgress, RetryAfter: claim.RetrySoon}
-		case <-f.done:
+		case <-a.done:
 		}
-		if f.again != nil {
-			return *f.again
+		if a.again != nil {
+			return *a.again
 		}
 	}
 }
 
-func (c *Claims) join(key flightKey) (f *flight, first bool) {
+func (c *Claims) join(key flightKey) (a *flight, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if f, ok := c.flights[key]; ok {
-		return f, false
+	if a, ok := c.flights[key]; ok {
+		return a, false
 	}
-	f = &flight{done: make(chan struct{})}
-	c.flights[key] = f
-	return f, true
+	a = &flight{done: make(chan struct{})}
+	c.flights[key] = a
+	return a, true
 }
 
-// part ends a flight. One that has an outcome stays known until the store has it:
-// a resend that came in between would be told that the key may be running.
-func (c *Claims) part(key flightKey, f *flight) {
-	if f.again == nil {
+// finish ends an attempt. An attempt with an outcome stays registered until the outcome
+// is stored. Otherwise a resend in between would find the key in progress.
+func (c *Claims) part(key flightKey, a *flight) {
+	if a.again == nil {
 		c.forget(key)
-		close(f.done)
+		close(a.done)
 		return
 	}
-	close(f.done)
+	close(a.done)
 	c.settling.Go(func() {
-		<-f.settled
+		<-a.settled
 		c.forget(key)
 	})
 }
@@ -176,30 +174,30 @@
 	delete(c.flights, key)
 }
 
-// fly claims the key, runs the request and settles the claim.
-func (c *Claims) fly(ctx context.Context, r Request, run Run, f *flight) (result claim.Result) {
+// execute claims the key, runs the request and settles the claim.
+func (c *Claims) fly(ctx context.Context, r Request, run Run, a *flight) (result claim.Result) {
 	h := hold{claims: c, name: recordName(r.Service, r.Key), record: claim.Record{
 		Print: r.Print, ID: fmt.Sprintf("%s#%x.%x", c.cfg.Entry, c.cfg.Boot, c.attempts.Add(1)),
 		At: c.cfg.Now(), Until: r.Deadline,
 	}}
-	if met, granted := h.take(ctx); !granted {
-		return met
+	if refusal, granted := h.take(ctx); !granted {
+		return refusal
 	}
-	ended := claim.Ended{Outcome: call.NotRun, Reason: claim.ReasonDeadline, RetryAfter: claim.RetrySoon}
+	runResult := claim.Ended{Outcome: call.NotRun, Reason: claim.ReasonDeadline, RetryAfter: claim.RetrySoon}
 	if ctx.Err() == nil {
-		ended = run(ctx)
+		runResult = run(ctx)
 	}
-	result, kept := claim.Finish(ended)
-	f.settled = h.settle(kept)
+	result, kept := claim.Finish(runResult)
+	a.settled = h.settle(kept)
 	if kept != nil {
-		again := claim.Meet(c.cfg.Now(), claim.Record{Print: r.Print, Answer: kept}, r.Print)
-		f.again = &again
+		resendResult := claim.Meet(c.cfg.Now(), claim.Record{Print: r.Print, Answer: kept}, r.Print)
+		a.again = &resendResult
 	}
 	return result
 }
 
-// recordName is the name of a key's record: keys hold characters that names of
-// objects may not.
+// recordName returns the name of a key's record. It hashes the key, since keys may hold
+// characters that object names may not.
 func recordName(service, key string) string {
 	return fmt.Sprintf("%s-%016x%016x", service, xxhash.Sum64String(key), xxhash.Sum64String(service+"\x00"+key))
 }
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -14,9 +14,9 @@
 	"plumpitch.example/plumpitch/pkg/claim"
 )
 
-// A caller sends its booking and gets no answer that it can use, then sends it
-// again through another entry. The second try replays, or is told unknown; it
-// runs only if the first surely did not.
+// A caller sends a request, then sends it again through another entry. The resend gets
+// the recorded response, or the result that the outcome is unknown. It runs only if the
+// first attempt certainly didn't run.
 func TestResend(t *testing.T) {
 	ended := func(e claim.Ended) func(*site) Run {
 		return func(s *site) Run {
@@ -29,7 +29,7 @@
 			}
 		}
 	}
-	long := claim.Answer{Status: 200, Body: make([]byte, maxKept+1), Whole: true}
+	oversized := claim.Answer{Status: 200, Body: make([]byte, maxKept+1), Whole: true}
 	for _, tt := range []struct {
 		name   string
 		first  func(s *site) Run
@@ -39,8 +39,8 @@
 		runs   int
 	}{
 		{name: "it ran", kind: claim.Replay, runs: 1},
-		{name: "its answer was cut", first: ended(claim.Ended{Reason: "cut"}), kind: claim.Uncertain, reason: claim.ReasonRanUnknown, runs: 1},
-		{name: "its answer was too long to keep", first: ended(claim.Ended{Outcome: call.Ran, Answer: long}), kind: claim.Replay, reason: claim.ReasonNotKept, runs: 1},
+		{name: "its response was cut", first: ended(claim.Ended{Reason: "cut"}), kind: claim.Uncertain, reason: claim.ReasonRanUnknown, runs: 1},
+		{name: "its response was too long to store", first: ended(claim.Ended{Outcome: call.Ran, Answer: oversized}), kind: claim.Replay, reason: claim.ReasonNotKept, runs: 1},
 		{name: "it was shed", first: ended(claim.Ended{Outcome: call.NotRun, Reason: "shed"}), kind: claim.Fresh, runs: 1},
 		{name: "another body", print: 2, kind: claim.Conflict, reason: claim.ReasonKeyReused, runs: 1},
 	} {
@@ -62,10 +62,9 @@
 	}
 }
 
-// The store fails while a key is claimed or its outcome recorded: it is away,
-// loses the answer of a write, or does the write late. Whatever the caller is
-// told, the key never runs twice, and once the store is well the key is
-// answered unless its outcome may be unknown.
+// The store fails while a key is claimed or its outcome is recorded: it is unavailable,
+// loses the response to a write, or applies the write late. The key never runs twice,
+// and once the store has recovered a resend gets a response.
 func TestStoreFaults(t *testing.T) {
 	only := func(op string, n int, f fault) func(string, int) fault {
 		return func(o string, i int) fault {
@@ -82,10 +81,10 @@
 		runs  int // after the first send
 	}{
 		{"claim refused once", only("put", 0, down), claim.Fresh, 1},
-		{"claim's answer lost", only("put", 0, lost), claim.Fresh, 1},
-		{"claim done late", only("put", 0, late), claim.Fresh, 1},
-		{"claim not done", only("put", 0, timed), claim.Fresh, 1},
-		{"claim's answer lost, then no look", func(op string, n int) fault {
+		{"claim's response lost", only("put", 0, lost), claim.Fresh, 1},
+		{"claim applied late", only("put", 0, late), claim.Fresh, 1},
+		{"claim not applied", only("put", 0, timed), claim.Fresh, 1},
+		{"claim's response lost, then reads fail", func(op string, n int) fault {
 			if op == "put" && n == 0 {
 				return lost
 			}
@@ -94,24 +93,24 @@
 			}
 			return none
 		}, claim.Fresh, 1},
-		{"outcome's answer lost", only("update", 0, lost), claim.Fresh, 1},
-		{"outcome done late", only("update", 0, late), claim.Fresh, 1},
-		{"claim done after it was given up", func(op string, n int) fault {
+		{"outcome's response lost", only("update", 0, lost), claim.Fresh, 1},
+		{"outcome applied late", only("update", 0, late), claim.Fresh, 1},
+		{"claim applied after the attempt has given up", func(op string, n int) fault {
 			if op == "put" && n == 0 {
 				return later
 			}
 			return timed
 		}, claim.Uncertain, 0},
-		{"away", func(string, int) fault { return down }, claim.Uncertain, 0},
-		{"silent", func(string, int) fault { return timed }, claim.Uncertain, 0},
+		{"unavailable", func(string, int) fault { return down }, claim.Uncertain, 0},
+		{"no response", func(string, int) fault { return timed }, claim.Uncertain, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t)
 			s.store.fail(tt.fault)
-			began := time.Now()
+			start := time.Now()
 			got := s.do(0, "k", s.run("k"))
-			s.c.Assert(time.Since(began) < 2*time.Second, qt.IsTrue)
+			s.c.Assert(time.Since(start) < 2*time.Second, qt.IsTrue)
 			s.c.Assert(got.Kind, qt.Equals, tt.first, qt.Commentf("%+v", got))
 			s.c.Assert(s.count("k"), qt.Equals, tt.runs)
 			s.store.fail(nil)
@@ -124,9 +123,9 @@
 	}
 }
 
-// Random faults hit every call of the store while each key is sent several times
-// through both entries, at once and again. No key runs twice, and none that was
-// told not-run, and only that, has run.
+// Calls to the store fail at random while each key is sent several times through both
+// entries, at once and again later. No key runs twice, and each response belongs to its
+// key.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -142,11 +141,11 @@
 				}
 				return fault(1 + rnd.IntN(4))
 			})
-			var all sync.WaitGroup
+			var senders sync.WaitGroup
 			for n := range 12 {
 				key := fmt.Sprint("k", n)
 				for entry := range 4 {
-					all.Go(func() {
+					senders.Go(func() {
 						got := s.do(entry%2, key, s.run(key))
 						if got.Kind == claim.Fresh || got.Kind == claim.Replay {
 							s.c.Check(string(got.Answer.Body), qt.Equals, key)
@@ -154,7 +153,7 @@
 					})
 				}
 			}
-			all.Wait()
+			senders.Wait()
 			s.store.fail(nil)
 			s.settled()
 			for n := range 12 {
@@ -166,19 +165,20 @@
 	}
 }
 
-// While the first try runs, the caller sends the same key again, here and
-// elsewhere. Here it waits for the run; elsewhere it is told to come back.
+// While the first attempt runs, the caller sends the same key again. At the same entry
+// the resend waits for the run; at another one it gets in-progress and a time to retry
+// after.
 func TestResendWhileRunning(t *testing.T) {
 	s := newSite(t)
 	started, finish := make(chan struct{}), make(chan struct{})
 	run := s.run("k")
-	slow := func(ctx context.Context) claim.Ended {
+	slowRun := func(ctx context.Context) claim.Ended {
 		close(started)
 		<-finish
 		return run(ctx)
 	}
 	results := make(chan claim.Result, 2)
-	go func() { results <- s.do(0, "k", slow) }()
+	go func() { results <- s.do(0, "k", slowRun) }()
 	<-started
 	got := s.do(1, "k", run)
 	s.c.Assert(got.Kind, qt.Equals, claim.Uncertain)
@@ -193,8 +193,8 @@
 	s.c.Assert(s.count("k"), qt.Equals, 1)
 }
 
-// A caller sends its key again through the same entry right after the answer,
-// before the store has it. It gets the recorded answer all the same.
+// A caller sends its key again through the same entry before the outcome is stored. It
+// still gets the recorded response.
 func TestResendBeforeTheOutcomeIsStored(t *testing.T) {
 	s := newSite(t)
 	s.store.fail(func(op string, n int) fault {
@@ -213,8 +213,8 @@
 	s.c.Assert(s.count("k"), qt.Equals, 1)
 }
 
-// An entry is killed between its claim and the outcome. Long after, the same key
-// is told that its outcome is unknown, and isn't run; a claim may not lapse.
+// An entry is killed between its claim and the write of the outcome. A resend half the
+// retention time later gets run-unknown and isn't run: a claim must not expire earlier.
 func TestKilledHolder(t *testing.T) {
 	s := newSite(t)
 	s.store.fail(func(op string, _ int) fault {
@@ -233,7 +233,7 @@
 	s.c.Assert(s.count("k"), qt.Equals, 1)
 }
 
-// Records are removed once they have expired, and only these.
+// A sweep removes expired records and no others.
 func TestSweep(t *testing.T) {
 	s := newSite(t)
 	s.do(0, "old", s.run("old"))
@@ -246,7 +246,7 @@
 	s.c.Assert(s.do(1, "new", s.run("new")).Kind, qt.Equals, claim.Replay)
 }
 
-// What is no record is an error that names the field.
+// A malformed record fails to decode with an error that names the field.
 func TestMalformedRecords(t *testing.T) {
 	for _, tt := range []struct{ name, text, want string }{
 		{"not JSON", "{", "claim record: .*"},
@@ -260,15 +260,14 @@
 	}
 }
 
-// A caller's request ends without an outcome, and it sends it again at once, through
-// the same entry. The store hasn't taken the outcome yet. The caller must be told what
-// became of the request, not that it may be running: that would have it come back for
-// nothing, for as long as the store is away.
+// A request ends, and the caller sends it again through the same entry before the
+// outcome is stored. The resend must get the outcome, not in-progress: with that the
+// caller would retry in vain for as long as the store is unavailable.
 func TestResendWhileTheOutcomeIsRecorded(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		ended claim.Ended
-		want  claim.Result
+		name   string
+		result claim.Ended
+		want   claim.Result
 	}{
 		{"outcome unknown", claim.Ended{Reason: "panic"}, claim.Result{Reason: claim.ReasonRanUnknown}},
 		{
@@ -285,7 +284,7 @@
 				}
 				return none
 			})
-			s.do(0, "k", func(context.Context) claim.Ended { return tt.ended })
+			s.do(0, "k", func(context.Context) claim.Ended { return tt.result })
 			s.c.Assert(s.do(0, "k", s.run("k")), qt.DeepEquals, tt.want)
 			s.c.Assert(s.count("k"), qt.Equals, 0)
 			s.store.fail(nil)
--- a/internal/claims/codec.go
+++ b/internal/claims/codec.go
@@ -11,25 +11,25 @@
 	"plumpitch.example/plumpitch/pkg/claim"
 )
 
-// recordJSON is a record as the store holds it.
+// recordJSON is the stored form of a record.
 type recordJSON struct {
-	Print  string      `json:"print"` // hexadecimal: JSON numbers are no 64-bit integers
+	Print  string      `json:"print"` // hexadecimal, since JSON numbers can't hold all 64-bit integers
 	ID     string      `json:"id"`
-	At     int64       `json:"at"`    // milliseconds since 1970
-	Until  int64       `json:"until"` // the same
+	At     int64       `json:"at"`    // Unix ms of the claim
+	Until  int64       `json:"until"` // Unix ms of the dispatch deadline
 	Answer *answerJSON `json:"answer,omitempty"`
 }
 
 type answerJSON struct {
-	Ran    bool        `json:"ran"` // false where the outcome is unknown
+	Ran    bool        `json:"ran"` // false if the outcome is unknown
 	Status int         `json:"status"`
 	Header [][2]string `json:"header"`
 	Body   []byte      `json:"body"`
 	Whole  bool        `json:"whole"`
 }
 
-// maxKept bounds the answer that a record keeps, in bytes. The store holds
-// values of at most a megabyte, and JSON makes a third more of a body.
+// maxStoredBody is the maximum size of a response body in a record, in bytes. The store
+// accepts values of at most 1 MB, and JSON encodes a body a third larger.
 const maxKept = 512 << 10
 
 func encode(r claim.Record) []byte {
@@ -47,7 +47,7 @@
 	}
 	b, err := json.Marshal(j)
 	if err != nil {
-		panic(err) // strings, numbers and bytes always have a JSON form
+		panic(err) // can't fail: strings, numbers and bytes always encode
 	}
 	return b
 }
--- a/internal/claims/fake_test.go
+++ b/internal/claims/fake_test.go
@@ -16,23 +16,23 @@
 	"plumpitch.example/plumpitch/pkg/claim"
 )
 
-// fault is what becomes of one call of the store.
+// fault is the way in which a call to the store fails.
 type fault uint8
 
 const (
 	none  fault = iota
-	down        // refused, not done
-	lost        // done, its answer lost
-	late        // done after a while, its answer lost
-	timed       // not done, no answer
-	later       // done after the attempt has given up, its answer lost
+	down        // not applied, and the client knows it
+	lost        // applied, response lost
+	late        // applied after lateDelay, response lost
+	timed       // not applied, no response
+	later       // applied after the attempt has given up, response lost
 )
 
-// lateness is how long after its call a late write is done.
+// lateDelay is how long after its call a write with the fault appliedLate is applied.
 const lateness = 80 * time.Millisecond
 
-// laterness is more than an attempt waits for the store, and less than lateBound,
-// for which it looks for its own record.
+// tooLateDelay is longer than an attempt waits for the store, and shorter than
+// maxWriteDelay, for which it looks for its own record.
 const (
 	laterness = claimTime + 300*time.Millisecond
 	lateBound = 2 * time.Second
@@ -46,7 +46,7 @@
 	fault   func(op string) fault
 }
 
-var errAway = errors.New("away")
+var errAway = errors.New("unavailable")
 
 func (s *fakeStore) hit(op string) fault {
 	s.mu.Lock()
@@ -57,7 +57,7 @@
 	return s.fault(op)
 }
 
-// do makes one call under its fault.
+// call runs f with the fault of this call.
 func (s *fakeStore) do(op string, f func() error) error {
 	switch s.hit(op) {
 	case down:
@@ -143,7 +143,8 @@
 	})
 }
 
-// fail sets what becomes of calls: the nth of an operation, from 0.
+// setFaults sets a function that returns the fault of the nth call of an operation,
+// from 0.
 func (s *fakeStore) fail(f func(op string, n int) fault) {
 	counts := map[string]int{}
 	s.mu.Lock()
@@ -157,7 +158,7 @@
 	}
 }
 
-// site is two entries over one store.
+// testEntries is two entries that share a store.
 type site struct {
 	c       *qt.C
 	store   *fakeStore
@@ -186,7 +187,7 @@
 	return time.Now()
 }
 
-// run counts a run of a key and answers.
+// run returns a Run that counts the run of a key and returns the key as its response.
 func (s *site) run(key string) Run {
 	return func(context.Context) claim.Ended {
 		s.mu.Lock()
@@ -202,14 +203,14 @@
 	return s.runs[key]
 }
 
-// do sends the key through an entry.
+// send sends a request with the key through an entry.
 func (s *site) do(entry int, key string, run Run) claim.Result {
 	return s.entries[entry].Do(context.Background(), Request{
 		Service: "deposit-ledger", Key: key, Print: 1, Deadline: time.Now().Add(3 * time.Second),
 	}, run)
 }
 
-// settled waits until no outcome is on its way.
+// waitSettled waits until no write of an outcome is pending.
 func (s *site) settled() {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
--- a/internal/claims/hold.go
+++ b/internal/claims/hold.go
@@ -11,60 +11,60 @@
 	"plumpitch.example/plumpitch/pkg/claim"
 )
 
-// Kind is the kind of the records in the store.
+// Kind is the kind of the record objects in the store.
 const Kind = "claims"
 
 const (
-	// claimTime is how long a request waits for the store. It answers in
-	// milliseconds; a caller that is told to come back loses less than one that
-	// is held.
+	// claimTimeout is how long a request waits for the store, which normally answers
+	// in milliseconds. A caller that is asked to retry loses less time than one that
+	// waits longer.
 	claimTime = time.Second
-	// writeTime bounds one write whose answer may be lost: several times as
-	// long as a slow store takes.
+	// callTimeout limits one call to the store, whose response may be lost. It is
+	// several times the response time of a slow store.
 	writeTime = 300 * time.Millisecond
-	// withdrawTime is how long a refusal waits for the key to be free again: a
-	// caller that comes back at once should not meet its own claim.
+	// withdrawWait is how long the result waits for the removal of the record, so that
+	// a caller that retries at once doesn't find its own claim.
 	withdrawTime = 100 * time.Millisecond
 )
 
-// hold is one attempt's hold on the record of its key.
+// recordHolder is an attempt that claims, and then holds, the record of its key.
 type hold struct {
 	claims  *Claims
 	name    string
 	record  claim.Record
-	version uint64    // of the record in the store
-	written time.Time // when the last write whose answer was lost was made
+	version uint64    // of the record in the store; 0 if unknown
+	written time.Time // time of the last write whose response was lost
 }
 
-// take creates the record. Where it is there already, met is what the caller is
-// told.
+// acquire creates the record and reports whether this attempt may run the request. If
+// it may not, refusal is the result for the caller.
 //
-// A write whose answer is lost may have been done, or be done later. The record
-// names its attempt, so a second look tells. Where nothing tells in time, the
-// request isn't sent, and the record is removed should it turn up.
-func (h *hold) take(ctx context.Context) (met claim.Result, granted bool) {
+// A write whose response is lost may have been applied, or be applied later. The record
+// holds the ID of its attempt, so a read shows whose it is. If that stays unknown until
+// the timeout, the request isn't dispatched, and the record is removed if it appears.
+func (h *hold) take(ctx context.Context) (refusal claim.Result, granted bool) {
 	limited, cancel := context.WithTimeout(ctx, claimTime)
 	defer cancel()
-	sent := false
+	mayExist := false
 	for {
 		err := h.create(limited)
 		if store.IsConflict(err) {
-			if met, granted, err = h.look(limited); err == nil {
-				return met, granted
+			if refusal, granted, err = h.look(limited); err == nil {
+				return refusal, granted
 			}
 		}
 		if err == nil {
-			return met, true
+			return refusal, true
 		}
 		if !untouched(err) {
-			sent, h.written = true, time.Now()
+			mayExist, h.written = true, time.Now()
 		}
 		if !store.IsUnavailable(err) || !pause(limited, writeTime/10) {
 			h.log(err).Warn("claim: in doubt")
 			break
 		}
 	}
-	if sent {
+	if mayExist {
 		h.settle(nil)
 	}
 	return claim.Doubt(), false
@@ -77,19 +77,20 @@
 	return err
 }
 
-// look reads the record that is in the way.
-func (h *hold) look(ctx context.Context) (met claim.Result, own bool, err error) {
+// resolveConflict reads the existing record and reports whether it is this attempt's
+// own. If it isn't, refusal is the result for the caller.
+func (h *hold) look(ctx context.Context) (refusal claim.Result, own bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
 	found, version, err := h.read(ctx)
 	switch {
 	case errors.Is(err, store.ErrNotFound):
-		return met, false, &store.Unavailable{Cause: err} // withdrawn meanwhile: claim again
+		return refusal, false, &store.Unavailable{Cause: err} // removed meanwhile: retry the claim
 	case err != nil:
-		return met, false, err
+		return refusal, false, err
 	case found.ID == h.record.ID:
 		h.version = version
-		return met, true, nil
+		return refusal, true, nil
 	}
 	return claim.Meet(h.claims.cfg.Now(), found, h.record.Print), false, nil
 }
@@ -103,9 +104,9 @@
 	return found, o.Version, err
 }
 
-// settle records the outcome of the run, or frees the key where kept is nil. It
-// goes on by itself while the store is away; only a withdrawal is waited for a
-// moment. settled is closed when it has ended.
+// settle records the outcome of the run, or removes the record if kept is nil. It
+// writes in the background, which may last as long as the store is unavailable. A
+// removal is awaited for up to withdrawWait. settled is closed when the write has ended.
 func (h *hold) settle(kept *claim.Answer) (settled <-chan struct{}) {
 	done := make(chan struct{})
 	h.claims.settling.Go(func() {
@@ -122,35 +123,37 @@
 	return done
 }
 
-// Pauses between tries to settle. Until one succeeds, resends of the key are
-// told that it may be running, or that its outcome is unknown. A claim in doubt
-// is looked for until it can't be written any more.
+// Delays between attempts to settle. Until one succeeds, resends of the key through
+// other entries get in-progress or run-unknown as their reason. If it is unknown whether
+// the record was created, the attempts go on until it can't be created any more.
 const (
 	settleFirst = 50 * time.Millisecond
 	settleMost  = 5 * time.Second
-	// settleTime is how long an outcome is kept for a store that is away.
+	// settleTimeout is how long the write of an outcome is retried while the store is
+	// unavailable.
 	settleTime = 15 * time.Minute
 )
 
 func (h *hold) deliver(kept *claim.Answer) {
 	ctx, cancel := context.WithTimeout(h.claims.life, settleTime)
 	defer cancel()
-	wait := settleFirst
+	delay := settleFirst
 	for {
 		err := h.write(ctx, kept)
 		if err == nil {
 			return
 		}
-		if !pause(ctx, wait) {
+		if !pause(ctx, delay) {
 			h.log(err).Warn("claim: outcome not recorded")
 			return
 		}
-		wait = min(2*wait, settleMost)
+		delay = min(2*delay, settleMost)
 	}
 }
 
-// write brings the record to its end. The version may be unknown, or older than
-// the record's where an answer was lost, so a conflict is looked at.
+// writeOutcome records the outcome, or removes the record if kept is nil. If a response
+// was lost, the known version may be older than the record's; after a conflict the next
+// call reads the record again.
 func (h *hold) write(ctx context.Context, kept *claim.Answer) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
@@ -162,9 +165,9 @@
 	if kept == nil {
 		err = h.claims.cfg.Store.Delete(ctx, Kind, h.name, h.version)
 	} else {
-		ended := h.record
-		ended.Answer = kept
-		_, err = h.claims.cfg.Store.Put(ctx, Kind, h.name, h.version, encode(ended))
+		record := h.record
+		record.Answer = kept
+		_, err = h.claims.cfg.Store.Put(ctx, Kind, h.name, h.version, encode(record))
 	}
 	if store.IsConflict(err) {
 		h.version = 0
@@ -175,9 +178,10 @@
 	return err
 }
 
-// locate finds this attempt's own record, and reports whether there is nothing
-// left to settle. A record that isn't there may still come, by a write that the
-// store does late; it would hold the key for as long as records are kept.
+// findRecord reads the version of this attempt's record and reports whether nothing is
+// left to settle. A missing record may still be created by a write that the store
+// applies late, and would then block the key until it expires. So findRecord fails for
+// a missing record until MaxWriteDelay has passed since the last such write.
 func (h *hold) locate(ctx context.Context) (done bool, err error) {
 	found, version, err := h.read(ctx)
 	if errors.Is(err, store.ErrNotFound) && time.Since(h.written) >= h.claims.cfg.Late {
@@ -194,13 +198,13 @@
 	return h.claims.cfg.Log.WithError(err).WithFields(log.Fields{"record": h.name, "attempt": h.record.ID})
 }
 
-// untouched reports whether a failed call surely did not reach the store.
+// notApplied reports whether a failed call certainly had no effect in the store.
 func untouched(err error) bool {
 	var u *store.Unavailable
 	return errors.As(err, &u) && u.Untouched
 }
 
-// pause tells whether d passed before ctx ended.
+// sleep waits for d and reports whether d passed before ctx ended.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/claims/sweep.go
+++ b/internal/claims/sweep.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// sweepPeriod is how often expired records are removed: a sixth of the time
-	// for which they are kept, so that the store holds that much more at most.
+	// sweepInterval is the interval between removals of expired records. It is a sixth
+	// of the retention time, so that the store holds a sixth more records at most.
 	sweepPeriod = 10 * time.Minute
-	// sweepGap is the pause between two removals. A sweep must leave the store's
-	// writes, several hundred a second, to requests.
+	// sweepDelay is the delay between two deletions. A sweep must leave the store's write
+	// capacity, several hundred writes a second, to requests.
 	sweepGap = 20 * time.Millisecond
 )
 
@@ -25,7 +25,7 @@
 			continue
 		}
 		if err := c.sweep(ctx); err != nil {
-			c.cfg.Log.WithError(err).Warn("claims: expired records stay for now")
+			c.cfg.Log.WithError(err).Warn("claims: removing expired records failed; trying again later")
 		}
 	}
 	return ctx.Err()
@@ -41,7 +41,7 @@
 	for _, o := range objects {
 		r, err := decode(o.Value)
 		if err != nil {
-			c.cfg.Log.WithError(err).WithField("record", o.Name).Error("claims: record not understood, it stays")
+			c.cfg.Log.WithError(err).WithField("record", o.Name).Error("claims: malformed record; it is not removed")
 			continue
 		}
 		if !r.Expired(c.cfg.Now()) {
