--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -60,6 +60,7 @@
 	flights map[flightKey]*flight
 }
 
+// New returns Claims without any attempts. Close ends its background writes.
 func New(cfg Config) *Claims {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
--- a/internal/claims/hold.go
+++ b/internal/claims/hold.go
@@ -22,7 +22,7 @@
 	// callTimeout limits one call to the store, whose response may be lost. It is
 	// several times the response time of a slow store.
 	writeTime = 300 * time.Millisecond
-	// withdrawWait is how long the result waits for the removal of the record, so that
+	// withdrawWait is how long a refusal waits for the removal of the record, so that
 	// a caller that retries at once doesn't find its own claim.
 	withdrawTime = 100 * time.Millisecond
 )
@@ -105,8 +105,8 @@
 }
 
 // settle records the outcome of the run, or removes the record if kept is nil. It
-// writes in the background, which may last as long as the store is unavailable. A
-// removal is awaited for up to withdrawWait. settled is closed when the write has ended.
+// retries in the background while the store is unavailable, for settleTimeout at most.
+// A removal is awaited for up to withdrawWait. settled is closed when the write has ended.
 func (h *hold) settle(kept *claim.Answer) (settled <-chan struct{}) {
 	done := make(chan struct{})
 	h.claims.settling.Go(func() {
@@ -198,7 +198,7 @@
 	return h.claims.cfg.Log.WithError(err).WithFields(log.Fields{"record": h.name, "attempt": h.record.ID})
 }
 
-// notApplied reports whether a failed call certainly had no effect in the store.
+// notSent reports whether a failed call certainly didn't reach the store.
 func untouched(err error) bool {
 	var u *store.Unavailable
 	return errors.As(err, &u) && u.Untouched
