--- a/internal/store/backoff.go
+++ b/internal/store/backoff.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Backoff is the pause between attempts: it doubles from Base to Cap, and each
-// pause is drawn evenly from its lower half to its whole.
+// Backoff is an exponential backoff with jitter. The upper bound of the delay
+// doubles from Base to Cap, and each delay is uniformly distributed between half
+// of that bound and the bound itself.
 type Backoff struct {
 	Base time.Duration
 	Cap  time.Duration
@@ -15,11 +16,12 @@
 // DefaultBackoff reaches its cap after six failures.
 var DefaultBackoff = Backoff{Base: 100 * time.Millisecond, Cap: 5 * time.Second}
 
-// Next returns the pause after a number of failed attempts, 0 for the first.
+// Next returns the delay before the next attempt; attempt is 0 after the first
+// failure.
 //
 // All entries see an outage end at the same instant. Without jitter they would
-// call together at each step and take the store down again; a draw over half
-// of a pause of seconds spreads 300 entries thinner than the read rate.
+// retry in step and overload the store again. Jitter over half of a delay of
+// several seconds keeps the retries of 300 entries below the store's read rate.
 func (b Backoff) Next(attempt int, r *rand.Rand) time.Duration {
 	d := b.Base
 	for i := 0; i < attempt && d < b.Cap; i++ {
--- a/internal/store/call.go
+++ b/internal/store/call.go
@@ -13,7 +13,8 @@
 	"github.com/pkg/errors"
 )
 
-// maxAnswer bounds the body of an answer: a list of a few values of 1 MB.
+// maxResponseBytes bounds the body of a response. It holds a list of a few values
+// of 1 MB each.
 const maxAnswer = 16 << 20
 
 // Get reads one object.
@@ -24,8 +25,8 @@
 	return Object(j), err
 }
 
-// List reads all objects of a kind and the store's version at that time, from
-// which a watch can go on.
+// List reads all objects of a kind. The returned version is the store's version
+// at the time of the list; a watch can start from it.
 func (s *Client) List(ctx context.Context, kind string) (objects []Object, version uint64, err error) {
 	defer func() { err = errors.WithMessagef(err, "list %s", kind) }()
 	var j listJSON
@@ -51,9 +52,9 @@
 	return list, nil
 }
 
-// Put writes value when the object's version is the expected one, 0 for an
-// object that is to be created, and returns the new version. It makes one
-// attempt: see Unavailable for what a failure leaves open.
+// Put writes value if the object's current version equals expected, and returns
+// the new version. An expected version of 0 creates the object. Put makes one
+// attempt; after an Unavailable error the write may have taken effect.
 func (s *Client) Put(ctx context.Context, kind, name string, expected uint64, value []byte) (version uint64, err error) {
 	defer func() { err = errors.WithMessagef(err, "put %s/%s", kind, name) }()
 	body, err := json.Marshal(putJSON{Version: expected, Value: value})
@@ -63,7 +64,7 @@
 	return s.write(ctx, http.MethodPut, objectPath(kind, name), body, expected)
 }
 
-// Delete removes an object when its version is the expected one. It makes one
+// Delete removes an object if its current version equals expected. It makes one
 // attempt, as Put does.
 func (s *Client) Delete(ctx context.Context, kind, name string, expected uint64) (err error) {
 	defer func() { err = errors.WithMessagef(err, "delete %s/%s", kind, name) }()
@@ -85,7 +86,8 @@
 	return j.Version, err
 }
 
-// query reads, and retries until ctx ends while the store is unavailable.
+// query sends a read request, and retries it until ctx is done while the store is
+// unavailable.
 func (s *Client) query(ctx context.Context, k kind, path string, into any) error {
 	for n := 0; ; n++ {
 		if err := s.reads.Wait(ctx); err != nil {
@@ -112,14 +114,14 @@
 	if err != nil {
 		return err
 	}
-	known := s.tags.condition(r)
+	cached := s.tags.condition(r)
 	w, err := s.http.Do(r)
 	if err != nil {
 		return &Unavailable{Cause: err, Untouched: unsent(err)}
 	}
 	defer func() { _ = w.Body.Close() }()
-	if w.StatusCode == http.StatusNotModified && known != nil {
-		return parse(known, into)
+	if w.StatusCode == http.StatusNotModified && cached != nil {
+		return parse(cached, into)
 	}
 	b, err := decode(w, into)
 	if err == nil {
@@ -128,7 +130,7 @@
 	return err
 }
 
-// decode reads an answer and gives its body as well.
+// decode reads a response, unmarshals its body into into and returns the body.
 func decode(w *http.Response, into any) (b []byte, err error) {
 	b, err = io.ReadAll(io.LimitReader(w.Body, maxAnswer))
 	if err != nil {
@@ -153,12 +155,13 @@
 
 func parse(b []byte, into any) error {
 	if err := json.Unmarshal(b, into); err != nil {
-		return &Unavailable{Cause: errors.WithMessage(err, "answer")}
+		return &Unavailable{Cause: errors.WithMessage(err, "response")}
 	}
 	return nil
 }
 
-// unsent tells whether a failed call surely sent nothing.
+// dialFailed reports whether err is a failure to connect, in which case no request
+// was sent.
 func unsent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/internal/store/count.go
+++ b/internal/store/count.go
@@ -1,6 +1,6 @@
 package store
 
-// kind is a kind of call.
+// counter identifies one of the counters behind Counts.
 type kind int
 
 const (
@@ -13,17 +13,17 @@
 	kinds
 )
 
-// Counts are the calls that a Client has made, each attempt as one.
+// Counts are the numbers of calls that a Client has made. Each attempt counts.
 type Counts struct {
 	Reads   uint64
 	Writes  uint64
 	Watches uint64
 	VMs     uint64
 	Retries uint64 // attempts after the first
-	Failed  uint64 // attempts without a usable answer
+	Failed  uint64 // attempts without a usable response
 }
 
-// Counts returns the calls so far.
+// Counts returns the number of calls made so far.
 func (s *Client) Counts() Counts {
 	return Counts{
 		Reads:   s.counts[read].Load(),
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -8,33 +8,34 @@
 	"github.com/pkg/errors"
 )
 
-// DefaultPoll is the mean period at which a followed object is read besides its
-// watch: 300 entries spend about 40 reads a second on it.
+// DefaultPoll is the mean interval at which a followed object is polled in
+// addition to its watch. 300 entries cause about 40 reads a second with it.
 const DefaultPoll = 8 * time.Second
 
-// Follow names an object to follow.
+// Follow describes an object to follow.
 type Follow struct {
 	Kind string
 	Name string
 	Poll time.Duration // DefaultPoll when 0
-	// Took is called with the object when it is first read and whenever its
-	// version differs from the last one, also to a lower one. A version of 0
-	// stands for an object that doesn't exist.
+	// OnChange is called with the object when it is first read, and whenever its
+	// version differs from the last one. The version may be lower, after the store
+	// was restored from a backup. Version 0 means that the object doesn't exist.
 	Took func(Object)
 }
 
-// next draws the time until the next poll, a quarter more or less than Poll.
+// nextPollDelay returns the delay until the next poll: Poll with a jitter of 25%
+// either way.
 func (f Follow) next(r *rand.Rand) time.Duration {
 	return f.Poll*3/4 + time.Duration(r.Int64N(int64(f.Poll/2)+1))
 }
 
-// Follow reports an object's changes until ctx is done, and opens its watch
-// again whenever that ends.
+// Follow reports an object's changes until ctx is done. It reopens the watch
+// whenever the watch ends.
 //
-// A watch can die without a word: the connection stays open and brings nothing,
-// and the entry would stay on old settings for ever. A slow poll finds out and
-// opens a new watch; it costs 1 read in Poll, where polling alone would cost
-// one for each second of delay that is allowed.
+// A watch can fail silently: the connection stays open but delivers no events, and
+// the entry would keep old settings forever. A slow poll detects this and opens a
+// new watch. The poll costs one read per Poll interval; polling without a watch
+// would need a read for each second of delay that is acceptable.
 func (s *Client) Follow(ctx context.Context, f Follow) error {
 	if f.Poll <= 0 {
 		f.Poll = DefaultPoll
@@ -55,12 +56,13 @@
 	client *Client
 	follow Follow
 	seen   uint64
-	any    bool // Took was called
+	any    bool // OnChange was called
 }
 
-// round reads the object, watches it until the watch ends or is found silent,
-// and tells whether the store answered at all.
-func (w *follower) round(ctx context.Context) (answered bool) {
+// readAndWatch reads the object and then watches it until the watch ends or a
+// poll shows that the watch missed a change. It reports whether the first read
+// succeeded.
+func (w *follower) round(ctx context.Context) (reachable bool) {
 	if !w.poll(ctx) {
 		return false
 	}
@@ -76,8 +78,8 @@
 		case <-ended:
 			return true
 		case <-timer.C:
-			before := w.seen
-			if !w.poll(ctx) || w.seen != before {
+			previous := w.seen
+			if !w.poll(ctx) || w.seen != previous {
 				return true
 			}
 			timer.Reset(w.period())
@@ -85,8 +87,9 @@
 	}
 }
 
-// watch runs until ctx is done or the stream ends. The caller has read the last
-// change before it sees the end.
+// watch sends the object's changes to the first channel and closes the second one
+// when ctx is done or the stream ends. The first channel is unbuffered, so the
+// caller has received every change before the second one is closed.
 func (w *follower) watch(ctx context.Context) (<-chan Change, <-chan struct{}) {
 	changes, ended := make(chan Change), make(chan struct{})
 	from := w.seen
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,10 +1,10 @@
-// Package store is the client of the platform's object store and VM list. It
-// bounds every call by a deadline, keeps to a rate of calls that a fleet of
-// entries can share, and retries reads with jitter. A write is tried once: when
-// its answer is lost it may have taken effect, and only its caller can tell by
-// reading.
+// Package store is the client of the platform's object store and VM list. Every
+// call has a deadline, the rate of calls is limited so that a fleet of entries
+// can share the store, and reads are retried with jitter. A write is attempted
+// once: if its response is lost, the write may have taken effect, and the caller
+// has to read the object to find out.
 //
-// The protocol is the one of package platform in internal/standin.
+// Package platform in internal/standin implements the server side of the protocol.
 package store
 
 import (
@@ -19,9 +19,10 @@
 	"golang.org/x/time/rate"
 )
 
-// Rates of one entry. The platform takes several hundred writes and about
-// 2,000 reads a second; 300 entries at these rates stay at 300 writes and
-// 600 reads, and at 1,800 reads in a second in which all spend their bursts.
+// Rate limits of one entry, in calls per second. The platform handles several
+// hundred writes and about 2,000 reads a second. 300 entries at these rates make
+// 300 writes and 600 reads a second, and 1,800 reads in a second in which all of
+// them use their bursts.
 const (
 	ReadRate   = 2
 	ReadBurst  = 4
@@ -29,11 +30,11 @@
 	WriteBurst = 1
 )
 
-// DefaultTimeout bounds one attempt of a call. The store may be slow by seconds
-// for long, and a slow answer is better than none.
+// DefaultTimeout bounds one attempt of a call. The store may take seconds to
+// respond for a long period, and a slow response is better than a failed call.
 const DefaultTimeout = 4 * time.Second
 
-// Config is what a Client is built from. Zero values take the defaults.
+// Config configures a Client. A zero value selects the default.
 type Config struct {
 	Addr    string // base address such as http://10.0.0.9:7400
 	HTTP    *http.Client
@@ -44,7 +45,7 @@
 	Rand    *rand.Rand // source of jitter
 }
 
-// Client calls the platform. It is safe for concurrent use.
+// Client is a client of the platform. It is safe for concurrent use.
 type Client struct {
 	addr    string
 	http    *http.Client
@@ -107,7 +108,7 @@
 	Deleted bool
 }
 
-// VM is one entry of the VM list. The list lags.
+// VM is one element of the VM list. The list lags behind the state of the VMs.
 type VM struct {
 	ID      string
 	Addr    string // host:port
--- a/internal/store/tag.go
+++ b/internal/store/tag.go
@@ -6,15 +6,17 @@
 	"sync"
 )
 
-// maxTags bounds the answers that are kept, and maxTagged the bytes of one.
+// Bounds of the response cache: the number of responses, and the size of one
+// response in bytes.
 const (
 	maxTags   = 16
 	maxTagged = 2 << 20
 )
 
-// tags keeps the last answer to each read with its entity tag, and asks for the
-// answer only if it has changed. Without it every entry would fetch the whole
-// VM list each second: 283 KB at 2,000 workers, against 6 KB for all of control.
+// responseCache keeps the last response to each read together with its ETag, so
+// that a read can be made conditional and transfers only a changed response.
+// Without it every entry would fetch the whole VM list each second, which is
+// 283 KB at 2,000 workers; all other control traffic of an entry takes 6 KB.
 type tags struct {
 	mu   sync.Mutex
 	kept map[string]tagged // by path
@@ -25,24 +27,24 @@
 	body []byte
 }
 
-// condition makes a read conditional and gives the answer that is kept for it,
-// or nil.
+// makeConditional adds If-None-Match to a read whose response is cached, and
+// returns the cached body, or nil if there is none.
 func (t *tags) condition(r *http.Request) (body []byte) {
 	if r.Method != http.MethodGet {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k, ok := t.kept[r.URL.Path]
+	cached, ok := t.kept[r.URL.Path]
 	if !ok {
 		return nil
 	}
-	r.Header.Set("If-None-Match", k.tag)
-	return k.body
+	r.Header.Set("If-None-Match", cached.tag)
+	return cached.body
 }
 
-// keep remembers an answer that has a tag. When there is no room all are
-// forgotten: an entry reads a handful of paths, so that this is rare.
+// save caches a response that has an ETag. A full cache is cleared, which is rare
+// because an entry reads only a few paths.
 func (t *tags) keep(r *http.Request, w *http.Response, body []byte) {
 	tag := w.Header.Get("ETag")
 	if r.Method != http.MethodGet || tag == "" || len(body) > maxTagged {
@@ -51,8 +53,8 @@
 	t.put(r.URL.Path, tagged{tag: tag, body: body})
 }
 
-// watched remembers what a watch has brought, so that the next read of the
-// object doesn't fetch it a second time.
+// saveWatched caches an object received from a watch, so that the next read of the
+// object doesn't transfer it a second time.
 func (t *tags) watched(c changeJSON) {
 	if c.Tag == "" {
 		return
@@ -64,11 +66,11 @@
 	t.put(objectPath(c.Object.Kind, c.Object.Name), tagged{tag: c.Tag, body: body})
 }
 
-func (t *tags) put(path string, answer tagged) {
+func (t *tags) put(path string, response tagged) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.kept == nil || len(t.kept) >= maxTags {
 		t.kept = make(map[string]tagged)
 	}
-	t.kept[path] = answer
+	t.kept[path] = response
 }
--- a/internal/store/tag_test.go
+++ b/internal/store/tag_test.go
@@ -14,7 +14,7 @@
 	"plumpitch.example/plumpitch/internal/store"
 )
 
-// counted counts the bytes of the answers' bodies.
+// byteCounter counts the bytes of the response bodies.
 type counted struct {
 	http.ResponseWriter
 	n *atomic.Int64
@@ -27,9 +27,9 @@
 
 func (c counted) Unwrap() http.ResponseWriter { return c.ResponseWriter }
 
-// An entry reads the VM list again and again. While nothing changes the list
-// must not cross the wire again; a change, also one back to an older list, must
-// be seen at the next read.
+// An entry reads the VM list repeatedly. While the list doesn't change it must not
+// be transferred again. A change must be seen by the next read, also one that
+// restores an earlier list.
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	q := qt.New(t)
 	p := platform.New(platform.Config{})
@@ -69,9 +69,9 @@
 	}
 }
 
-// A watch has brought an object. The read that checks for a dead watch must not
-// fetch it again, and must see an object that a store which came back older has
-// put under the same version.
+// An object was received from a watch. The poll that checks for a silent watch must
+// not transfer it again. When the store was restored from a backup and assigns the
+// same version to another value, the poll must return that value.
 func TestReadAfterWatch(t *testing.T) {
 	q := qt.New(t)
 	p := platform.New(platform.Config{})
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -10,10 +10,10 @@
 	"github.com/pkg/errors"
 )
 
-// Watch calls took for each change of a kind after version from, in order. It
-// returns when the stream ends or ctx is done, and never returns nil. It does
-// not open the watch again; Follow does.
-func (s *Client) Watch(ctx context.Context, kind string, from uint64, took func(Change)) (err error) {
+// Watch calls onChange for each change of an object of the kind after version
+// from, in order. It returns when the stream ends or ctx is done, and always
+// returns a non-nil error. It doesn't reopen the watch; Follow does.
+func (s *Client) Watch(ctx context.Context, kind string, from uint64, onChange func(Change)) (err error) {
 	defer func() { err = errors.WithMessagef(err, "watch %s", kind) }()
 	if err := s.reads.Wait(ctx); err != nil {
 		return &Unavailable{Cause: err, Untouched: true}
@@ -33,13 +33,13 @@
 		_, err := decode(w, nil)
 		return err
 	}
-	lines := json.NewDecoder(w.Body)
+	stream := json.NewDecoder(w.Body)
 	for {
 		var j changeJSON
-		if err := lines.Decode(&j); err != nil {
+		if err := stream.Decode(&j); err != nil {
 			return &Unavailable{Cause: err}
 		}
 		s.tags.watched(j)
-		took(Change{Object: Object(j.Object), Deleted: j.Deleted})
+		onChange(Change{Object: Object(j.Object), Deleted: j.Deleted})
 	}
 }
