--- a/internal/settings/api.go
+++ b/internal/settings/api.go
@@ -10,35 +10,37 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// editTimeout bounds an operator's edit; the operator's client waits longer.
+// editTimeout bounds an operator's edit. The operator's client uses a longer
+// timeout.
 const editTimeout = 15 * time.Second
 
-// Node is a node as operators see it.
+// Node is a node of the settings tree with the values in effect at it.
 type Node struct {
 	Revision uint64 // of the document
 	Path     string
 	Kind     tree.Kind
-	Parent   string // path; empty for the enclosing one
+	Parent   string // path; empty if the parent is the enclosing node
 	Values   []tree.Origin
 }
 
-// Proposal is a settings file that the whole tree is to follow.
+// Proposal is a settings file that describes the whole desired tree.
 type Proposal struct {
 	ID     string
 	Author string
-	Base   *uint64 // revision that the author had seen; nil for the one in force
-	File   string  // its name, for errors
+	Base   *uint64 // revision that the author based the file on; nil for the one in force
+	File   string  // file name, for error messages
 	Text   []byte
 }
 
-// Accepted is what became of an edit or a proposal.
+// EditResult is the result of an edit, or of a diff or application of a proposal.
 type Accepted struct {
-	ID       string // empty when there was nothing to change
+	ID       string // empty for a diff, and when there was nothing to change
 	Revision uint64
 	Changes  []tree.Change
 }
 
-// draft is an edit whose base may be left to the entry.
+// editRequest is an operator's edit. A nil base selects the revision in force at
+// the entry.
 type draft struct {
 	edit tree.Edit
 	base *uint64
@@ -104,8 +106,10 @@
 	}
 }
 
-// applyEndpoint turns a file into the edit that leads to it. A proposal whose
-// edit is known already was sent again after its answer was lost.
+// applyEndpoint converts a settings file into the edit that produces it, and has
+// the edit accepted. If the document already has an edit with the proposal's ID,
+// the proposal was sent again after its response was lost, and the endpoint returns
+// the result of that edit.
 func (s *Settings) applyEndpoint() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		p := request.(Proposal)
@@ -124,11 +128,11 @@
 		if p.Base != nil {
 			e.Base = *p.Base
 		}
-		answer, err := s.accept(ctx, e)
-		var again *tree.Reused
-		if errors.As(err, &again) {
-			return Accepted{ID: again.Edit.ID, Revision: again.Edit.Revision, Changes: again.Edit.Changes}, nil
+		result, err := s.accept(ctx, e)
+		var reused *tree.Reused
+		if errors.As(err, &reused) {
+			return Accepted{ID: reused.Edit.ID, Revision: reused.Edit.Revision, Changes: reused.Edit.Changes}, nil
 		}
-		return answer, err
+		return result, err
 	}
 }
--- a/internal/settings/client.go
+++ b/internal/settings/client.go
@@ -16,26 +16,27 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// Client makes the calls of Handler from an operator's side.
+// Client is an operator's client of Handler.
 type Client struct {
-	Addr string // host:port of an entry's operators' listener
+	Addr string // host:port of an entry's listener for operators
 }
 
-// Attempts of a call and the pause between them. An edit keeps its ID, so
-// sending it again after a lost answer does it no second time.
+// Attempts of a call, the delay between them and the timeout of one attempt. A
+// retried edit has the same ID, so it is not applied twice when only its response
+// was lost.
 const (
 	clientAttempts = 3
 	clientPause    = 300 * time.Millisecond
 	clientTimeout  = editTimeout + 2*time.Second
 )
 
-// Refused is an answer that is no success.
+// ResponseError is a response with a status other than 200.
 type Refused struct {
 	Status  int // HTTP status
 	Message string
 }
 
-// Error is the entry's message.
+// Error returns the entry's message.
 func (r *Refused) Error() string { return r.Message }
 
 // Get returns the values in effect at a node.
@@ -64,18 +65,18 @@
 	return edits, err
 }
 
-// Edit has an edit accepted. A nil base leaves it to the entry.
+// Edit sends an edit. A nil base selects the revision in force at the entry.
 func (c Client) Edit(ctx context.Context, e tree.Edit, base *uint64) (Accepted, error) {
 	j := draftJSON{ID: e.ID, Author: e.Author, Base: base, Changes: changesToJSON(e.Changes)}
 	return c.change(ctx, "edit", j)
 }
 
-// Diff tells what a settings file would change.
+// Diff returns the changes that a settings file would make.
 func (c Client) Diff(ctx context.Context, p Proposal) (Accepted, error) {
 	return c.change(ctx, "diff", proposalToJSON(p))
 }
 
-// Apply has the whole tree follow a settings file.
+// Apply changes the whole tree to the state that a settings file describes.
 func (c Client) Apply(ctx context.Context, p Proposal) (Accepted, error) {
 	return c.change(ctx, "apply", proposalToJSON(p))
 }
@@ -92,21 +93,21 @@
 
 func (c Client) call(ctx context.Context, method, name string, body, into any) (err error) {
 	defer func() { err = errors.WithMessage(err, "entry "+c.Addr) }()
-	var sent []byte
+	var payload []byte
 	if body != nil {
-		if sent, err = json.Marshal(body); err != nil {
+		if payload, err = json.Marshal(body); err != nil {
 			return err
 		}
 	}
 	for n := 1; ; n++ {
-		err = c.once(ctx, method, name, sent, into)
+		err = c.once(ctx, method, name, payload, into)
 		if n == clientAttempts || !again(err) || wait(ctx, clientPause) != nil {
 			return err
 		}
 	}
 }
 
-// again tells whether a call may fare better when it is made again.
+// shouldRetry reports whether a call that failed with err may succeed when retried.
 func again(err error) bool {
 	var r *Refused
 	if errors.As(err, &r) {
@@ -115,10 +116,10 @@
 	return err != nil
 }
 
-func (c Client) once(ctx context.Context, method, name string, sent []byte, into any) error {
+func (c Client) once(ctx context.Context, method, name string, payload []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.Addr+"/v1/settings/"+name, bytes.NewReader(sent))
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.Addr+"/v1/settings/"+name, bytes.NewReader(payload))
 	if err != nil {
 		return err
 	}
--- a/internal/settings/contract_test.go
+++ b/internal/settings/contract_test.go
@@ -29,8 +29,8 @@
 	return &view{fakeStore: &fakeStore{}}
 }
 
-// TestStoreContract holds the client of the platform and the fake of these
-// tests to the same behaviour.
+// TestStoreContract checks that store.Client and the fake store of these tests
+// behave alike.
 func TestStoreContract(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -69,11 +69,11 @@
 				}
 			}
 			q.Assert(string(o.Value), qt.Equals, "two")
-			gone, stop := context.WithCancel(ctx)
-			stop()
-			_, err = s.Get(gone, "k", "n")
+			canceled, cancelNow := context.WithCancel(ctx)
+			cancelNow()
+			_, err = s.Get(canceled, "k", "n")
 			q.Assert(store.IsUnavailable(err), qt.IsTrue, qt.Commentf("%v", err))
-			q.Assert(s.Follow(gone, store.Follow{Kind: "k", Name: "n", Took: func(store.Object) {}}), qt.ErrorIs, context.Canceled)
+			q.Assert(s.Follow(canceled, store.Follow{Kind: "k", Name: "n", Took: func(store.Object) {}}), qt.ErrorIs, context.Canceled)
 		})
 	}
 }
--- a/internal/settings/edit.go
+++ b/internal/settings/edit.go
@@ -11,45 +11,47 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// Uncertain says that a write was sent and its fate could not be read in time.
-// The same edit sent again, by its ID, is told what became of it.
+// Uncertain is returned when a write was sent but its outcome could not be
+// determined in time. Sending the same edit again, with the same ID, returns the
+// outcome.
 type Uncertain struct {
 	ID    string
 	Cause error
 }
 
-// Error names the edit and the cause.
+// Error returns a message with the edit's ID and the cause.
 func (u *Uncertain) Error() string {
-	return fmt.Sprintf("edit %s may have been accepted, the store does not answer; send it again under its id: %v", u.ID, u.Cause)
+	return fmt.Sprintf("edit %s: outcome unknown, the store does not respond; send the edit again with the same id: %v", u.ID, u.Cause)
 }
 
-// Corrupt says that the store's value is no valid document.
+// Corrupt is returned when the value in the store is not a valid document.
 type Corrupt struct {
 	Version uint64
 	Cause   error
 }
 
-// Error names the version and the cause.
+// Error returns a message with the version and the cause.
 func (c *Corrupt) Error() string {
-	return fmt.Sprintf("the store's value of version %d is refused: %v", c.Version, c.Cause)
+	return fmt.Sprintf("invalid settings document in the store, version %d: %v", c.Version, c.Cause)
 }
 
-// TooLong says that a document would not fit into the store.
+// TooLarge is returned when a document exceeds MaxSize.
 type TooLong struct {
 	Size int // bytes
 }
 
-// Error names both sizes.
+// Error returns a message with both sizes.
 func (t *TooLong) Error() string {
 	return fmt.Sprintf("settings document: found %d bytes, expected at most %d", t.Size, MaxSize)
 }
 
-// editPause is the mean pause between attempts of an edit.
+// editRetryDelay is the upper bound of the delay between attempts of an edit; the
+// lower bound is half of it.
 const editPause = 200 * time.Millisecond
 
-// Edit has an edit accepted and brings it into force here. The errors are those
-// of tree.Document.Apply, and *Uncertain, *Corrupt, *TooLong and
-// *store.Unavailable; only *Uncertain leaves open whether it was accepted.
+// Edit writes an edit to the store and brings it into force at this entry. The
+// errors are those of tree.Document.Apply, and *Uncertain, *Corrupt, *TooLarge and
+// *store.Unavailable. Only *Uncertain leaves it unknown whether the edit was accepted.
 func (s *Settings) Edit(ctx context.Context, e tree.Edit) (accepted tree.Edit, err error) {
 	select {
 	case s.editing <- struct{}{}:
@@ -69,33 +71,35 @@
 	}
 }
 
-// decided tells whether the settings themselves refuse an edit, so that no
-// write of it can take effect any more.
+// rejected reports whether err means that the document rejects the edit, so that no
+// earlier write of it can still take effect.
 func decided(err error) bool {
 	return errors.As(err, new(*tree.Conflict)) || errors.As(err, new(*tree.Stale)) ||
 		errors.As(err, new(*tree.Ahead)) || errors.As(err, new(*tree.Reused)) ||
 		errors.As(err, new(*tree.Dropped)) || errors.As(err, new(tree.Problems))
 }
 
-// retriable tells whether reading again may help.
+// retriable reports whether a new attempt, which reads the store again, may succeed.
 func retriable(err error) bool {
 	return store.IsConflict(err) || store.IsUnavailable(err)
 }
 
-// attempt is one edit on its way into the store.
+// pendingEdit is an edit that is being written to the store.
 type attempt struct {
 	settings *Settings
 	edit     tree.Edit
-	open     bool // a write was sent whose fate is not known
+	open     bool // a write with an unknown outcome was sent
 }
 
-// once reads the store, applies the edit to the newest document and writes it.
+// tryOnce reads the store, applies the edit to the newest document and writes the
+// result.
 //
-// The answer to a write can be lost after the write took effect. Taking that
-// for a failure would have the operator send the edit twice, or believe it lost
-// while it is in force. Reading is enough to tell: the edit's ID is in the log
-// when it was accepted, and while it is not, the earlier write can only take
-// effect on the version that the next write is conditional on as well.
+// The response to a write can be lost after the write took effect. If that were
+// reported as a failure, the operator would send the edit twice, or believe it lost
+// while it is in force. Reading the document again resolves this: if the edit was
+// accepted, its ID is in the document's log. If the ID is missing, the earlier
+// write can still take effect only on the version that the next write expects, so
+// at most one of the two writes succeeds.
 func (a *attempt) once(ctx context.Context) (accepted tree.Edit, err error) {
 	s := a.settings
 	o, d, verdict, err := s.read(ctx)
@@ -118,11 +122,11 @@
 		a.note(err)
 		return tree.Edit{}, err
 	}
-	_, _ = s.arrive(ctx, next, true) // if ctx is done, the watch brings it
+	_, _ = s.arrive(ctx, next, true) // if ctx is done, the watch delivers the document
 	return accepted, nil
 }
 
-// note remembers that a write may have taken effect.
+// noteFailedWrite records whether the failed write may have taken effect.
 func (a *attempt) note(err error) {
 	var u *store.Unavailable
 	if errors.As(err, &u) && !u.Untouched {
--- a/internal/settings/follow.go
+++ b/internal/settings/follow.go
@@ -8,7 +8,7 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// follow takes the document from the store, by watch and poll.
+// followStore receives the document from the store, by watch and poll.
 func (s *Settings) follow(ctx context.Context) error {
 	return s.cfg.Store.Follow(ctx, store.Follow{
 		Kind: Kind,
@@ -18,19 +18,19 @@
 	})
 }
 
-// saw takes what the store holds. A value that is no valid document is
-// reported and left alone: the good one stays in force, and the value may be of
-// a later version of the program.
+// handleStored merges the document that the store holds. An invalid document is
+// logged and not overwritten: the current document stays in force, and the value
+// may have been written by a later version of the program.
 func (s *Settings) saw(ctx context.Context, o store.Object) {
 	d, err := decode(o)
 	if err != nil {
-		s.cfg.Log.WithError(err).WithField("version", o.Version).Error("settings: the store's value is refused")
+		s.cfg.Log.WithError(err).WithField("version", o.Version).Error("settings: invalid document in the store, keeping the current one")
 		return
 	}
 	_, _ = s.arrive(ctx, d, true)
 }
 
-// decode reads a stored document; an object that doesn't exist is the empty one.
+// decodeStored decodes a stored document. A missing object is the empty document.
 func decode(o store.Object) (tree.Document, error) {
 	if o.Version == 0 {
 		return tree.New(), nil
@@ -38,20 +38,20 @@
 	return tree.Decode(o.Value)
 }
 
-// Bounds of the pause between questions to peers until the first document is
-// in force. It doubles, since a new site has none for long.
+// Bounds of the delay between requests to peers until the first document is in
+// force. The delay doubles, because a new site may have no document for a long time.
 const (
 	firstBoot = 500 * time.Millisecond
 	lastBoot  = 4 * time.Second
 )
 
-// boot asks peers for the document until one is in force, so that a VM which
-// starts during an outage of the store gets its settings.
+// bootstrap requests the document from peers until one is in force, so that an entry
+// that starts during a store outage gets its settings.
 func (s *Settings) boot(ctx context.Context) error {
 	for pause := firstBoot; s.Document().Revision == 0; pause = min(2*pause, lastBoot) {
 		if c, err := s.cfg.Peers.Settings(ctx, 0); err == nil {
 			if err := s.Offer(ctx, c); err != nil {
-				s.cfg.Log.WithError(err).Warn("settings: a peer's document is refused")
+				s.cfg.Log.WithError(err).Warn("settings: rejected the settings received from a peer")
 			}
 		}
 		if s.Document().Revision > 0 {
--- a/internal/settings/heal.go
+++ b/internal/settings/heal.go
@@ -10,18 +10,19 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// Bounds of the pause before a heal. It doubles with each failure.
+// Bounds of the delay before a repair of the store. It doubles with each failure.
 const (
 	firstHeal = 2 * time.Second
 	lastHeal  = time.Minute
 )
 
-// heal writes the newest accepted document back to a store that came back
-// older or empty. Otherwise an entry that boots later would take the older one
-// from the store and serve by settings that an operator had replaced.
+// repairStore writes the newest accepted document back to a store that was restored
+// with older data or lost its data. Otherwise an entry that starts later would load
+// the older document and use settings that an operator has replaced.
 //
-// All entries see the same at once. Each waits for a random time, and the write
-// is conditional, so the first one does the work and the watch tells the others.
+// All entries detect this at the same time. Each waits for a random delay, and the
+// write is conditional, so the first entry repairs the store and the others receive
+// its write from their watches.
 func (s *Settings) heal(ctx context.Context) error {
 	for {
 		select {
@@ -37,14 +38,15 @@
 			if err == nil {
 				break
 			}
-			s.cfg.Log.WithError(err).Warn("settings: the store is still older")
+			s.cfg.Log.WithError(err).Warn("settings: repair of the older document in the store failed, retrying")
 		}
 	}
 }
 
-// rewrite makes the store hold at least what is in force.
+// repairOnce writes the document in force to the store, unless the store's document
+// is the same or newer. It merges the two if their histories diverged.
 func (s *Settings) rewrite(ctx context.Context) (err error) {
-	defer func() { err = errors.WithMessage(err, "heal") }()
+	defer func() { err = errors.WithMessage(err, "repair of the store") }()
 	o, d, verdict, err := s.read(ctx)
 	if err != nil || verdict != tree.Older && verdict != tree.Diverged {
 		return err
@@ -60,8 +62,8 @@
 	return err
 }
 
-// join brings the store's history and the one in force together and reports
-// what that cost.
+// joinHistories merges two diverged histories, that of the store and the one in
+// force. It logs each accepted edit that conflicts with another one and is dropped.
 func (s *Settings) join(stored, force tree.Document) tree.Document {
 	if stored.Revision < force.Revision {
 		stored, force = force, stored
@@ -69,15 +71,15 @@
 	joined, dropped := tree.Join(stored, force)
 	for _, e := range dropped {
 		s.cfg.Log.WithField("id", e.ID).WithField("author", e.Author).
-			Error("settings: an accepted edit lost against another one; its author must repeat it")
+			Error("settings: dropped an accepted edit that conflicts with another one; its author must repeat it")
 	}
 	return joined
 }
 
-// readTimeout bounds one reading of the store's document.
+// readTimeout bounds one read of the store's document.
 const readTimeout = 10 * time.Second
 
-// read gets the store's document and takes it.
+// read gets the store's document and merges it with the one in force.
 func (s *Settings) read(ctx context.Context) (o store.Object, d tree.Document, v tree.Verdict, err error) {
 	limited, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/settings/http.go
+++ b/internal/settings/http.go
@@ -14,23 +14,24 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// maxBody is the longest body of a call in bytes.
+// maxBody is the maximum size of a request or response body in bytes.
 const maxBody = 2 << 20
 
-// defaultHistory is how many edits history shows unless it is asked for more.
+// defaultHistory is the number of edits that history returns by default.
 const defaultHistory = 20
 
-// Handler returns the operators' calls on the settings, in JSON:
+// Handler returns the handler of the operators' JSON API:
 //
-//	GET  /v1/settings/get?path=P       values in effect at a node, and where each comes from
-//	GET  /v1/settings/document         the whole document, as it is stored
-//	GET  /v1/settings/history?count=N  the last edits
-//	POST /v1/settings/edit             has an edit accepted
-//	POST /v1/settings/diff             what a settings file would change
-//	POST /v1/settings/apply            has the whole tree follow a settings file
+//	GET  /v1/settings/get?path=P       values in effect at a node, and the origin of each
+//	GET  /v1/settings/document         the whole document in its stored form
+//	GET  /v1/settings/history?count=N  the last N edits
+//	POST /v1/settings/edit             applies an edit
+//	POST /v1/settings/diff             returns the changes that a settings file would make
+//	POST /v1/settings/apply            changes the whole tree to the state in a settings file
 //
-// Errors are {"error"}, with "problems" at 422, with "mine" and "theirs" at
-// 409; 504 leaves open whether the edit was accepted.
+// An error response is {"error"}, with "problems" for status 422, and with "mine"
+// and "theirs" for a conflict, status 409. Status 504 means that it is unknown
+// whether the edit was accepted.
 func Handler(s *Settings) http.Handler {
 	m := http.NewServeMux()
 	m.Handle("GET /v1/settings/get", call(s.getEndpoint(), decodePath, encodeNode))
@@ -46,7 +47,7 @@
 	return kithttp.NewServer(e, d, enc, kithttp.ServerErrorEncoder(encodeError))
 }
 
-// badRequest is a call that can't be read.
+// badRequest is the error for a request that can't be decoded.
 type badRequest struct{ err error }
 
 func (b badRequest) Error() string { return b.err.Error() }
--- a/internal/settings/http_test.go
+++ b/internal/settings/http_test.go
@@ -13,7 +13,7 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// operator serves one entry's calls and returns a client of them.
+// operator serves the operators' API of the first entry and returns a client of it.
 func (w *world) operator() settings.Client {
 	srv := httptest.NewServer(settings.Handler(w.entries[0].Settings))
 	w.q.Cleanup(srv.Close)
@@ -28,19 +28,19 @@
 	q.Assert(err, qt.IsNil)
 	p := settings.Proposal{ID: "p1", Author: "ana", File: "swanbourne.json", Text: text}
 
-	planned, err := c.Diff(w.ctx, p)
+	diff, err := c.Diff(w.ctx, p)
 	q.Assert(err, qt.IsNil)
-	done, err := c.Apply(w.ctx, p)
+	applied, err := c.Apply(w.ctx, p)
 	q.Assert(err, qt.IsNil)
-	q.Assert(done.Revision, qt.Equals, uint64(1))
-	q.Assert(done.Changes, qt.DeepEquals, planned.Changes)
+	q.Assert(applied.Revision, qt.Equals, uint64(1))
+	q.Assert(applied.Changes, qt.DeepEquals, diff.Changes)
 	again, err := c.Apply(w.ctx, p)
 	q.Assert(err, qt.IsNil)
-	q.Assert(again, qt.DeepEquals, done)
+	q.Assert(again, qt.DeepEquals, applied)
 	p.ID = "p2"
-	nothing, err := c.Apply(w.ctx, p)
+	unchanged, err := c.Apply(w.ctx, p)
 	q.Assert(err, qt.IsNil)
-	q.Assert(nothing.Changes, qt.HasLen, 0)
+	q.Assert(unchanged.Changes, qt.HasLen, 0)
 
 	e := tree.Edit{ID: "e", Author: "bo", Changes: []tree.Change{set("/swanbourne/gown-catalogue", "slots", "4")}}
 	edited, err := c.Edit(w.ctx, e, nil)
--- a/internal/settings/own.go
+++ b/internal/settings/own.go
@@ -6,13 +6,14 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// message is something that the owner of the document has to know. The set is
-// closed.
+// message is a message to the goroutine that owns the document. All message types
+// are defined in this file.
 type message interface {
 	apply(s *Settings)
 }
 
-// own runs the owner of the document. Its state outlives a restart.
+// processInbox applies messages to the document until ctx is done. The document is
+// kept when a supervisor restarts the worker.
 func (s *Settings) own(ctx context.Context) error {
 	for {
 		select {
@@ -33,11 +34,11 @@
 	}
 }
 
-// arrival is a checked document from the store or a peer. The verdict goes to
-// done.
+// documentMessage is a decoded document from the store or a peer. The merge verdict
+// is sent to done.
 type arrival struct {
 	document tree.Document
-	stored   bool // it is what the store holds
+	stored   bool // the document was read from the store or written to it
 	done     chan tree.Verdict
 }
 
@@ -49,7 +50,7 @@
 	a.done <- verdict
 }
 
-// take brings a document into force when it is newer.
+// merge brings a document into force if it is newer than the current one.
 func (s *Settings) take(d tree.Document) tree.Verdict {
 	next, verdict := tree.Merge(*s.Document(), d)
 	switch verdict {
@@ -58,12 +59,13 @@
 		notify(s.changed)
 	case tree.Diverged:
 		s.cfg.Log.WithField("force", s.Document().Revision).WithField("found", d.Revision).
-			Error("settings: two histories, each with an accepted edit that the other lacks")
+			Error("settings: histories diverged, each has an accepted edit that the other lacks")
 	}
 	return verdict
 }
 
-// arrive hands a document to the owner and waits for its verdict.
+// submit sends a document to the goroutine that owns the current one, and waits for
+// the merge verdict.
 func (s *Settings) arrive(ctx context.Context, d tree.Document, stored bool) (tree.Verdict, error) {
 	a := arrival{document: d, stored: stored, done: make(chan tree.Verdict, 1)}
 	if err := s.tell(ctx, a); err != nil {
@@ -77,7 +79,7 @@
 	}
 }
 
-// replayed are edits that a peer sent. The error goes to done.
+// editsMessage contains edits that a peer sent. The error is sent to done.
 type replayed struct {
 	edits []tree.Edit
 	done  chan error
--- a/internal/settings/peer.go
+++ b/internal/settings/peer.go
@@ -8,15 +8,16 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// Change is what a peer lacks: edits when the sender's log reaches back, else
-// the whole document. It is empty when the peer lacks nothing.
+// Change contains the edits that a peer lacks, or the whole document if the
+// sender's log doesn't reach back to the peer's revision. It contains neither if
+// the peer is up to date.
 type Change struct {
 	Revision uint64   // in force at the sender
-	Document []byte   // as tree.Encode wrote it
-	Edits    [][]byte // as tree.EncodeEdit wrote them, oldest first
+	Document []byte   // encoded by tree.Encode
+	Edits    [][]byte // each encoded by tree.EncodeEdit, oldest first
 }
 
-// Since returns what an entry with a revision lacks. Revision 0 gets the whole
+// Since returns the changes after a revision. For revision 0 it returns the whole
 // document.
 func (s *Settings) Since(revision uint64) Change {
 	d := s.Document()
@@ -35,8 +36,9 @@
 	return c
 }
 
-// Offer takes what a peer sent. tree.ErrGap means that the edits don't follow
-// on the document in force: ask again since 0.
+// ApplyChange merges a change received from a peer. It returns tree.ErrGap if the
+// edits don't continue the document in force; the caller then has to request the
+// changes since revision 0.
 func (s *Settings) Offer(ctx context.Context, c Change) (err error) {
 	defer func() { err = errors.WithMessagef(err, "settings of a peer, revision %d", c.Revision) }()
 	if len(c.Document) > 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,11 @@
-// Package settings keeps the settings document of one entry: it takes the
-// document from the store, from peers and from operators' edits, has the newest
-// one in force, and never goes back to an older one.
+// Package settings maintains the settings document of one entry. It receives the
+// document from the store, from peers and through operators' edits, keeps the
+// newest one in force, and never returns to an older one.
 //
-// One worker owns the document. Traffic reads it from an atomic pointer, all
-// else goes to the owner as typed messages. An edit is accepted when the store
-// holds it, and is then spread between the entries without the store's help.
+// One goroutine owns the document. Readers load it from an atomic pointer; all
+// changes are sent to the owner as typed messages. An edit is accepted when it is
+// in the store. Accepted edits then propagate between the entries without the
+// store.
 package settings
 
 import (
@@ -20,40 +21,41 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// Kind and Name are where the store holds the document.
+// Kind and Name identify the document's object in the store.
 const (
 	Kind = "settings"
 	Name = "tree"
 )
 
-// MaxSize is the longest document in bytes that is written. The store holds
-// values up to a megabyte.
+// MaxSize is the maximum size in bytes of a document that is written. The store
+// accepts values of up to 1 MB.
 const MaxSize = 900 << 10
 
-// Store is what the package needs of the platform; store.Client has it.
+// Store is the part of the platform's store that the package uses. store.Client
+// implements it.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (store.Object, error)
 	Put(ctx context.Context, kind, name string, expected uint64, value []byte) (uint64, error)
 	Follow(ctx context.Context, f store.Follow) error
 }
 
-// Peers asks some live peer for what lacks since a revision.
+// Peers requests the changes after a revision from a live peer.
 type Peers interface {
 	Settings(ctx context.Context, since uint64) (Change, error)
 }
 
-// Config is what Settings is built from.
+// Config configures Settings.
 type Config struct {
 	Store Store
 	Peers Peers         // nil when there are none
-	Poll  time.Duration // of the store besides its watch; store.DefaultPoll when 0
+	Poll  time.Duration // poll interval of the store in addition to the watch; store.DefaultPoll when 0
 	Log   log.Interface
 	Rand  *rand.Rand                                       // source of jitter
 	Now   func() time.Time                                 // time.Now when nil
 	Wait  func(ctx context.Context, d time.Duration) error // a timer when nil
 }
 
-// Settings is the document of one entry with its workers.
+// Settings is the settings document of one entry, with the workers that update it.
 type Settings struct {
 	cfg     Config
 	force   atomic.Pointer[tree.Document]
@@ -90,18 +92,18 @@
 	return s
 }
 
-// Document returns the document in force. It must not be changed.
+// Document returns the document in force. The caller must not modify it.
 func (s *Settings) Document() *tree.Document {
 	return s.force.Load()
 }
 
-// Changed is told after another document came into force. One word may stand
-// for several changes.
+// Changed returns a channel that receives a value after the document in force has
+// changed. One value may stand for several changes.
 func (s *Settings) Changed() <-chan struct{} {
 	return s.changed
 }
 
-// Worker is one of the parts that a supervisor runs and restarts on its own.
+// Worker is a part of Settings that a supervisor runs and restarts separately.
 type Worker struct {
 	name  string
 	serve func(ctx context.Context) error
@@ -110,10 +112,10 @@
 // Serve runs until ctx is done.
 func (w *Worker) Serve(ctx context.Context) error { return w.serve(ctx) }
 
-// String names the worker.
+// String returns the worker's name.
 func (w *Worker) String() string { return w.name }
 
-// Workers returns the workers that must run for Settings to do anything.
+// Workers returns the workers of Settings. All of them must run.
 func (s *Settings) Workers() []*Worker {
 	workers := []*Worker{
 		{"settings", s.own},
@@ -126,7 +128,7 @@
 	return workers
 }
 
-// between draws a pause between d/2 and d.
+// jitter returns a random delay between d/2 and d.
 func (s *Settings) between(d time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,10 +12,11 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// An operator's edit is accepted by one of three entries while something fails.
-// Every entry has it in force in the end, none goes back to an older revision
-// on the way, and no accepted edit is lost. The faults are those of the store
-// (down, lost answer, older data, silent watch), of peers, and of the entries.
+// An operator's edit is sent to one of three entries while the store, the gossip
+// between the entries or an entry fails. In the end the edit must be in force at
+// every entry. No entry may return to an older revision in between, and no accepted
+// edit may be lost. The store's faults are an outage, a lost response, older data
+// and a silent watch.
 func TestEditUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -30,13 +31,13 @@
 			w.accept(1, "e", 1, 2)
 			w.inForce(2, "e")
 		}},
-		{"answer lost", func(w *world) {
+		{"response lost", func(w *world) {
 			w.store.set(func(f *fakeStore) { f.lose = 1 })
 			w.accept(0, "e", 1, 2)
 			w.accept(2, "e", 1, 2)
 			w.inForce(2, "e")
 		}},
-		{"answer lost, then stale reads for a while", func(w *world) {
+		{"response lost, then stale reads for a while", func(w *world) {
 			w.store.set(func(f *fakeStore) { f.lose, f.staleAfter = 1, true })
 			_, err := w.edit(0, "e", 1, set("/g/s", "slots", "3"))
 			w.q.Assert(errors.As(err, new(*settings.Uncertain)), qt.IsTrue, qt.Commentf("%v", err))
@@ -58,7 +59,7 @@
 			w.until("healed", func() bool { return w.stored().Revision == 2 })
 			w.inForce(2, "e")
 		}},
-		{"older store takes an edit from an entry that was cut off", func(w *world) {
+		{"older store accepts an edit from an entry that was isolated", func(w *world) {
 			w.entries[2].cut.Store(true)
 			w.entries[2].view.off.Store(true)
 			w.accept(0, "e", 1, 2)
@@ -90,7 +91,7 @@
 			w.boot()
 			w.inForce(2, "e")
 		}},
-		{"entry cut off for a while", func(w *world) {
+		{"entry isolated for a while", func(w *world) {
 			w.entries[2].cut.Store(true)
 			w.store.set(func(f *fakeStore) { f.downAfter = f.writes + 1 })
 			w.accept(0, "e", 1, 2)
@@ -127,8 +128,8 @@
 	}
 }
 
-// Two operators edit through two entries from the same base. One is accepted;
-// the other gets a conflict that shows both edits, whichever entry is asked.
+// Two operators send edits with the same base to two entries. One edit must be
+// accepted, and the other must get a conflict that contains both edits.
 func TestOperatorsRace(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -169,9 +170,9 @@
 	})
 }
 
-// The store is down for the whole edit. Nothing was written, so the edit was
-// surely not accepted; when a write was sent, its fate is open until the same
-// edit is sent again.
+// The store is down during an edit. If no write was sent, the error must say that
+// the edit was not accepted. If a write was sent and its response was lost, the
+// outcome must be reported as unknown until the same edit is sent again.
 func TestEditDuringOutage(t *testing.T) {
 	q := qt.New(t)
 	w := newWorld(q, 2)
@@ -188,8 +189,9 @@
 	w.inForce(2, "open")
 }
 
-// Many entries see a store that came back older. The writes are conditional and
-// jittered, so the store is healed by one of them.
+// Eight entries see a store that was restored with older data. The repairs are
+// delayed at random and their writes are conditional, so exactly one entry must
+// write.
 func TestOneEntryHeals(t *testing.T) {
 	q := qt.New(t)
 	w := newWorld(q, 8)
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -19,10 +19,10 @@
 type valueJSON struct {
 	Field string `json:"field"`
 	Value string `json:"value"`
-	From  string `json:"from"` // path, or default
+	From  string `json:"from"` // path of the node that sets the value, or fromDefault
 }
 
-// fromDefault stands for the default in valueJSON.
+// fromDefault is valueJSON.From for a default value.
 const fromDefault = "default"
 
 type changeJSON struct {
--- a/internal/settings/world_test.go
+++ b/internal/settings/world_test.go
@@ -19,16 +19,16 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// fakeStore is the platform's store for one object, with faults.
+// fakeStore is a fake of the platform's store for one object, with faults.
 type fakeStore struct {
 	mu         sync.Mutex
 	history    []store.Object
 	down       bool
-	downAfter  int // goes down after so many writes; 0 is never
-	lose       int // answers to so many writes are lost
+	downAfter  int // number of writes after which the store goes down; 0 is never
+	lose       int // number of writes whose responses are lost
 	silent     bool
-	stale      int  // reads show the object as it was so many writes ago
-	staleAfter bool // stale becomes 1 with the next write
+	stale      int  // number of newest writes that reads don't show
+	staleAfter bool // the next write sets staleWrites to 1
 	writes     int
 	followers  []func(store.Object)
 }
@@ -83,7 +83,7 @@
 	return version + 1, nil
 }
 
-// tell is the watch.
+// notifyFollowers delivers the current object to the followers, as the watch does.
 func (f *fakeStore) tell() {
 	if f.silent {
 		return
@@ -93,10 +93,10 @@
 	}
 }
 
-// view is the store as one entry reaches it.
+// entryStore is the store as seen by one entry.
 type view struct {
 	*fakeStore
-	off atomic.Bool // can't be reached
+	off atomic.Bool // the entry can't reach the store
 }
 
 func (v *view) Get(ctx context.Context, kind, name string) (store.Object, error) {
@@ -113,7 +113,7 @@
 	return v.fakeStore.Put(ctx, kind, name, expected, value)
 }
 
-// Follow polls each millisecond besides the watch, unless the store is down.
+// Follow polls each millisecond in addition to the watch, unless the store is down.
 func (v *view) Follow(ctx context.Context, w store.Follow) error {
 	took := func(o store.Object) {
 		if !v.off.Load() {
@@ -133,28 +133,28 @@
 	return ctx.Err()
 }
 
-// set changes faults or contents.
+// set changes the faults or the contents under the lock.
 func (f *fakeStore) set(change func(f *fakeStore)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-// rollback forgets the newest n writes.
+// rollback removes the newest n writes.
 func (f *fakeStore) rollback(n int) {
 	f.set(func(f *fakeStore) { f.history = f.history[:len(f.history)-n] })
 }
 
-// entry is one entry of a world.
+// entry is one entry of a testSite.
 type entry struct {
 	*settings.Settings
 	world *world
-	cut   atomic.Bool // from its peers
+	cut   atomic.Bool // the entry can't reach its peers
 	view  *view
-	low   atomic.Bool // its revision was seen going down
+	low   atomic.Bool // the revision in force decreased
 }
 
-// peers asks the first other entry that can be reached.
+// peers sends requests to the first other entry that can be reached.
 type peers struct{ e *entry }
 
 func (p peers) Settings(_ context.Context, since uint64) (settings.Change, error) {
@@ -166,7 +166,7 @@
 	return settings.Change{}, errors.New("no peer")
 }
 
-// world is a site of entries, their store and their gossip.
+// testSite is a site of entries with their store and their gossip.
 type world struct {
 	q       *qt.C
 	ctx     context.Context
@@ -174,7 +174,7 @@
 	running sync.WaitGroup
 	mu      sync.Mutex
 	entries []*entry
-	mute    atomic.Bool // no gossip; peers still answer questions
+	mute    atomic.Bool // no gossip; peers still respond to requests
 }
 
 func newWorld(q *qt.C, entries int) *world {
@@ -190,7 +190,7 @@
 	return w
 }
 
-// boot starts an entry.
+// startEntry starts an entry.
 func (w *world) boot() {
 	e := &entry{world: w, view: &view{fakeStore: w.store}}
 	e.Settings = settings.New(settings.Config{
@@ -213,7 +213,7 @@
 	w.running.Go(e.gossip)
 }
 
-// gossip offers what is in force to the other entries, as the real one does.
+// gossip sends the changes in force to the other entries, as a real entry does.
 func (e *entry) gossip() {
 	newest := uint64(0)
 	for e.world.ctx.Err() == nil {
@@ -243,14 +243,14 @@
 	}
 }
 
-// edit sends an edit to an entry and waits at most a while for its fate.
+// edit sends an edit to an entry and waits up to 300 ms for its outcome.
 func (w *world) edit(to int, id string, base uint64, changes ...tree.Change) (tree.Edit, error) {
 	ctx, cancel := context.WithTimeout(w.ctx, 300*time.Millisecond)
 	defer cancel()
 	return w.entries[to].Edit(ctx, tree.Edit{ID: id, Author: "op-" + id, Base: base, Changes: changes})
 }
 
-// seed has the first revisions accepted: a group, and a service below it.
+// seed creates the first revision: a group and a service in it.
 func (w *world) seed() {
 	w.q.Helper()
 	_, err := w.edit(0, "seed", 0,
@@ -260,8 +260,8 @@
 	w.inForce(1, "seed")
 }
 
-// inForce waits until every entry has a revision with certain edits, and checks
-// that none went back on the way.
+// waitInForce waits until a revision with the given edits is in force at every
+// entry. It fails the test if the revision of an entry decreased.
 func (w *world) inForce(revision uint64, ids ...string) {
 	w.q.Helper()
 	w.until("revision "+fmt.Sprint(revision), func() bool {
@@ -279,7 +279,7 @@
 		return true
 	})
 	for i, e := range w.entries {
-		w.q.Assert(e.low.Load(), qt.IsFalse, qt.Commentf("entry %d went back", i))
+		w.q.Assert(e.low.Load(), qt.IsFalse, qt.Commentf("entry %d returned to an older revision", i))
 	}
 }
 
@@ -296,7 +296,8 @@
 	return tree.Change{Op: tree.Set, Path: path, Field: field, Value: value}
 }
 
-// accept has an edit accepted with a revision.
+// mustAccept sends an edit and fails the test unless it is accepted with the given
+// revision.
 func (w *world) accept(to int, id string, base, revision uint64) {
 	w.q.Helper()
 	accepted, err := w.edit(to, id, base, set("/g/s", "slots", "3"))
@@ -304,7 +305,7 @@
 	w.q.Assert(accepted.Revision, qt.Equals, revision)
 }
 
-// stored is the document that the store holds.
+// storedDocument returns the document that the store holds.
 func (w *world) stored() (d tree.Document) {
 	w.store.set(func(f *fakeStore) {
 		if o := f.current(); o.Version > 0 {
