--- a/internal/standin/objects/http.go
+++ b/internal/standin/objects/http.go
@@ -56,24 +56,24 @@
 	answer(w, http.StatusOK, map[string]any{"items": items[:min(len(items), s.page)], "hasMore": more, "atRev": s.at})
 }
 
-// watch answers with the first changes. One that waits while the store is deaf
-// hears nothing before its time ends.
+// watch responds as soon as there are changes, or at the end of the wait time. While
+// watches are paused, it responds only at the end of the wait time.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	end := time.After(time.Duration(number(r, "waitMs")) * time.Millisecond)
 	for {
-		list, at, gone, moved := s.events(r.PathValue("kind"), number(r, "watch"))
+		list, revision, gone, changed := s.events(r.PathValue("kind"), number(r, "watch"))
 		switch {
 		case s.isDeaf():
-			moved = nil
+			changed = nil
 		case gone:
 			answer(w, http.StatusGone, map[string]any{"error": "history is gone"})
 			return
 		case len(list) > 0:
-			s.told(w, list, at)
+			s.told(w, list, revision)
 			return
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-end:
 			s.ended(w, r)
 			return
@@ -84,20 +84,20 @@
 }
 
 func (s *Store) ended(w http.ResponseWriter, r *http.Request) {
-	list, at, gone, _ := s.events(r.PathValue("kind"), number(r, "watch"))
+	list, revision, gone, _ := s.events(r.PathValue("kind"), number(r, "watch"))
 	if gone {
 		answer(w, http.StatusGone, map[string]any{"error": "history is gone"})
 		return
 	}
-	s.told(w, list, at)
+	s.told(w, list, revision)
 }
 
-func (s *Store) told(w http.ResponseWriter, list []event, at uint64) {
+func (s *Store) told(w http.ResponseWriter, list []event, revision uint64) {
 	events := []eventWire{}
 	for _, e := range list {
 		events = append(events, eventWire{Object: wire(e.object), Deleted: e.deleted})
 	}
-	answer(w, http.StatusOK, map[string]any{"events": events, "atRev": at})
+	answer(w, http.StatusOK, map[string]any{"events": events, "atRev": revision})
 }
 
 func (s *Store) create(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -1,6 +1,6 @@
-// Package objects is a stand-in for the users' metadata store: objects by kind
-// and name, one revision for all, conditional writes, lists, watches, and the
-// ways in which the store fails.
+// Package objects is a fake of the users' metadata store. It has objects by kind and
+// name, one revision counter for all objects, conditional writes, paged lists,
+// watches, and faults that can be injected.
 package objects
 
 import (
@@ -15,43 +15,43 @@
 type Object struct {
 	Name     string
 	Revision uint64
-	Created  uint64
+	Created  uint64 // revision at which the object was created
 	Spec     json.RawMessage
 }
 
-// event is one change of the history.
+// event is one change in the history.
 type event struct {
 	kind    string
 	object  Object
 	deleted bool
 }
 
-// Fault is what the store does instead of answering. The zero value is a store
-// that is well.
+// Fault is the fault that the store injects into a call. The zero value is a healthy
+// store.
 type Fault struct {
 	Down   bool          // calls get 503
-	Silent bool          // calls get no answer
-	Delay  time.Duration // before each answer
-	Lost   bool          // writes are done, and not answered
-	Era    string        // the answer names this era in place of the store's; "-" for none
+	Silent bool          // calls get no response
+	Delay  time.Duration // before each response
+	Lost   bool          // writes take effect, and the connection closes without a response
+	Era    string        // era in the response in place of the store's; "-" omits the header
 }
 
-// Store is the stand-in. It is an http.Handler.
+// Store is the fake store. It is an http.Handler.
 type Store struct {
 	mu      sync.Mutex
 	objects map[string]map[string]Object
 	history []event
-	at      uint64
-	first   uint64 // revision from which the history is known
-	moved   chan struct{}
+	at      uint64 // revision of the newest write
+	first   uint64 // watches from an older revision get 410
+	moved   chan struct{} // closed and replaced at each change
 	fault   func(r *http.Request) Fault
 	calls   int
 	deaf    bool
 	page    int
-	era     uint64 // how often the store was restored, from 1 on
+	era     uint64 // starts at 1 and increases with each restore
 }
 
-// pageSize is how many objects a page of a list holds, unless it is set.
+// defaultPageSize is the default number of objects on a page of a list.
 const pageSize = 500
 
 // New returns an empty store.
@@ -62,7 +62,7 @@
 	}
 }
 
-// Fail sets the faults for each call; nil ends them.
+// Fail sets the function that returns the fault of each call; nil removes all faults.
 func (s *Store) Fail(f func(r *http.Request) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,12 +72,12 @@
 	s.fault = f
 }
 
-// Deafen sets whether watches hear of changes. One that waits meanwhile goes on
-// hearing nothing until its time ends, as after a cut that nobody is told of.
-func (s *Store) Deafen(deaf bool) {
+// PauseWatches sets whether watches are paused. A paused watch delivers no changes
+// until its wait time ends, as on a connection that failed without an error.
+func (s *Store) Deafen(paused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = deaf
+	s.deaf = paused
 }
 
 func (s *Store) isDeaf() bool {
@@ -86,21 +86,21 @@
 	return s.deaf
 }
 
-// Page sets how many objects a page of a list holds.
+// SetPageSize sets the number of objects on a page of a list.
 func (s *Store) Page(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.page = n
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls received.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Compact forgets the history. Watches from before get 410.
+// Compact discards the history. Watches from an older revision get 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	s.moved = make(chan struct{})
 }
 
-// Put writes an object, as the operator and the targets do.
+// Put writes an object, as operators and targets do.
 func (s *Store) Put(kind, name string, spec any) uint64 {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -168,9 +168,9 @@
 	return names
 }
 
-// events returns the changes of a kind after a revision. gone says that they
-// are not known any more.
-func (s *Store) events(kind string, after uint64) (list []event, at uint64, gone bool, moved <-chan struct{}) {
+// events returns the changes of a kind after a revision. gone reports that the
+// history doesn't cover them. changed is closed at the next change.
+func (s *Store) events(kind string, after uint64) (list []event, revision uint64, gone bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.history {
@@ -221,7 +221,7 @@
 	mux.ServeHTTP(w, r)
 }
 
-// lost is an answer that nobody gets.
+// discardResponse is a ResponseWriter that discards the response.
 type lost struct{ header http.Header }
 
 func (l *lost) Header() http.Header         { return l.header }
--- a/internal/standin/objects/records.go
+++ b/internal/standin/objects/records.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// The records that the users' targets and operators write, in their own words.
+// The records of users' targets and operators, in the format of the users' platform.
 
-// Target is what a target writes of itself.
+// Target is the record that a target writes about itself.
 type Target struct {
 	ID      string
 	Address string
@@ -15,14 +15,14 @@
 	Place   string
 	Slots   int
 	Leaving bool
-	Born    int64         // Unix ms of its start
-	Warmup  time.Duration // for how much longer it is cold
+	Born    int64         // start of the incarnation, in Unix ms
+	Warmup  time.Duration // remaining warm-up time
 }
 
-// What each target of a configuration needs after its start.
+// Warm-up of each target of a configuration after its start.
 const (
 	Warmup     = 3 * time.Second
-	WarmupRate = 3.4 // requests a second
+	WarmupRate = 3.4 // requests a second during the warm-up
 )
 
 // PutTarget writes a target's record.
@@ -43,23 +43,23 @@
 	Name     string
 	Host     string
 	Prefix   string
-	Once     bool // a second run does harm
+	Once     bool // requests are not idempotent
 	Timeout  string
-	Goal     string // time within which an answer counts in full
+	Goal     string // latency within which a response counts in full
 	Attempts int
 	Service  string
-	Kind     string // as written; empty goes by Once
+	Kind     string // route type in the record; if empty, derived from NonIdempotent
 }
 
-// Evacuate marks a failure domain, as the operator does, and TakeBack removes the mark.
+// Evacuate writes the evacuation of a failure domain, as an operator does.
 func (s *Store) Evacuate(place string) { s.Put("evacuations", place, struct{}{}) }
 
-// TakeBack removes the mark of a failure domain.
+// EndEvacuation removes the evacuation of a failure domain.
 func (s *Store) TakeBack(place string) { s.Delete("evacuations", place) }
 
 // PutConfig writes a configuration with these routes and services.
 func (s *Store) PutConfig(version int, routes []Route, services []string) {
-	named, served := map[string]any{}, map[string]any{}
+	routeRecords, serviceRecords := map[string]any{}, map[string]any{}
 	for _, r := range routes {
 		kind := "idempotent"
 		switch {
@@ -68,18 +68,18 @@
 		case r.Once:
 			kind = "non_idempotent"
 		}
-		named[r.Name] = map[string]any{
+		routeRecords[r.Name] = map[string]any{
 			"host": r.Host, "pathPrefix": r.Prefix, "routeType": kind, "timeout": r.Timeout,
 			"targetLatency": r.Goal, "priority": 1, "attempts": r.Attempts, "service": r.Service,
 		}
 	}
 	for _, name := range services {
-		served[name] = map[string]any{
+		serviceRecords[name] = map[string]any{
 			"healthPath": "/health", "maxConns": 200, "warmup": Warmup.String(), "warmupPerS": WarmupRate,
 		}
 	}
 	s.Put("config", "main", map[string]any{
-		"version": "r" + strconv.Itoa(version), "routes": named, "services": served,
+		"version": "r" + strconv.Itoa(version), "routes": routeRecords, "services": serviceRecords,
 		"limits": map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 1 << 20, "headerTimeout": "3s", "idleTimeout": "15s"},
 	})
 }
--- a/internal/standin/objects/restore.go
+++ b/internal/standin/objects/restore.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Copy is the state of the store at one moment.
+// Snapshot is a copy of the store's state.
 type Copy struct {
 	objects map[string]map[string]Object
 	history []event
@@ -14,7 +14,7 @@
 	first   uint64
 }
 
-// Copy returns the state of the store.
+// Snapshot returns a copy of the store's state.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,8 +25,8 @@
 	return c
 }
 
-// Restore puts the store back to a copy: what was written since is gone, and its
-// revisions are given out again.
+// Restore restores the store from a snapshot. Later writes are lost, and their
+// revisions are assigned again to other writes.
 func (s *Store) Restore(c Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +39,7 @@
 	s.wake()
 }
 
-// eraText is what an answer names as the era.
+// eraHeader returns the value of the Store-Era header, or an empty string to omit it.
 func (s *Store) eraText(f Fault) string {
 	switch f.Era {
 	case "":
