--- a/internal/standin/platform/admin.go
+++ b/internal/standin/platform/admin.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// adminRoutes adds the calls which no fault touches.
+// adminRoutes adds the administration requests, which are not subject to faults.
 func (p *Platform) adminRoutes(m *http.ServeMux) {
 	m.HandleFunc("PUT /v1/admin/vms/{id}", p.servePutVM)
 	m.HandleFunc("DELETE /v1/admin/vms/{id}", p.serveRemoveVM)
--- a/internal/standin/platform/admin_test.go
+++ b/internal/standin/platform/admin_test.go
@@ -102,7 +102,8 @@
 	q.Assert(strings.TrimSpace(body), qt.Equals, `{"vms":[]}`)
 }
 
-// A lost answer is a cut connection, not a status that a client could trust.
+// A lost response must close the connection. With an HTTP status the client would
+// know that the write reached the server.
 func TestLostAnswerCutsConnection(t *testing.T) {
 	q := qt.New(t)
 	p := platform.New(platform.Config{})
--- a/internal/standin/platform/fault.go
+++ b/internal/standin/platform/fault.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Faults are the failures that are switched on. The zero value is none.
+// Faults are the injected faults. The zero value injects none.
 type Faults struct {
-	Down   bool          // answers nothing but 503
-	Delay  time.Duration // before each answer
-	Lose   int           // answers of so many next writes are lost after the write took effect
-	Older  uint64        // reads serve the data as of this version; 0 is off
-	Silent bool          // watches stay open and say nothing
-	Flap   time.Duration // up for so long, then down for so long, and so on; 0 is off
-	Lag    time.Duration // the VM list is so old
+	Down   bool          // every call gets 503
+	Delay  time.Duration // before each response
+	Lose   int           // number of next writes whose response is lost after the write took effect
+	Older  uint64        // reads and watches show the data as of this version; 0 is off
+	Silent bool          // watches stay open and deliver no changes
+	Flap   time.Duration // the store alternates between up and down, each for this long; 0 is off
+	Lag    time.Duration // age of the VM list
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -25,7 +25,7 @@
 	p.wake()
 }
 
-// Faults returns the faults that are switched on.
+// Faults returns the injected faults.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,7 +43,7 @@
 	return periods%2 == 1
 }
 
-// horizon is the newest version that reads may see.
+// readVersion returns the newest version that reads and watches show.
 func (p *Platform) horizon() uint64 {
 	if p.faults.Older > 0 {
 		return min(p.faults.Older, p.version)
@@ -51,7 +51,8 @@
 	return p.version
 }
 
-// guard counts a call and applies the faults that hit every call.
+// withFaults returns a handler that counts a call and applies the faults that affect
+// every call.
 func (p *Platform) guard(count func(*Counts), next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
@@ -83,7 +84,8 @@
 	}
 }
 
-// lose tells whether the answer of the present write is to be lost.
+// loseResponse reports whether the response to the current write gets lost, and
+// decrements the number of responses to lose.
 func (p *Platform) lose() bool {
 	if p.faults.Lose <= 0 {
 		return false
--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -9,27 +9,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxBody is the largest body of a call: a value of 1 MB in base64 and the
-// rest of the JSON.
+// maxBody is the maximum size of a request body in bytes: a value of 1 MB in base64
+// with the JSON around it.
 const maxBody = 1<<21 + 1<<10
 
 func (p *Platform) routes() *http.ServeMux {
-	read := func(c *Counts) { c.Reads++ }
-	written := func(c *Counts) { c.Writes++ }
-	watched := func(c *Counts) { c.Watches++ }
-	listed := func(c *Counts) { c.VMs++ }
+	countRead := func(c *Counts) { c.Reads++ }
+	countWrite := func(c *Counts) { c.Writes++ }
+	countWatch := func(c *Counts) { c.Watches++ }
+	countVMs := func(c *Counts) { c.VMs++ }
 	m := http.NewServeMux()
-	m.HandleFunc("GET /v1/objects/{kind}/{name}", p.guard(read, p.serveGet))
-	m.HandleFunc("GET /v1/objects/{kind}", p.guard(read, p.serveList))
-	m.HandleFunc("PUT /v1/objects/{kind}/{name}", p.guard(written, p.servePut))
-	m.HandleFunc("DELETE /v1/objects/{kind}/{name}", p.guard(written, p.serveDelete))
-	m.HandleFunc("GET /v1/watch/{kind}", p.guard(watched, p.serveWatch))
-	m.HandleFunc("GET /v1/vms", p.guard(listed, p.serveVMs))
+	m.HandleFunc("GET /v1/objects/{kind}/{name}", p.guard(countRead, p.serveGet))
+	m.HandleFunc("GET /v1/objects/{kind}", p.guard(countRead, p.serveList))
+	m.HandleFunc("PUT /v1/objects/{kind}/{name}", p.guard(countWrite, p.servePut))
+	m.HandleFunc("DELETE /v1/objects/{kind}/{name}", p.guard(countWrite, p.serveDelete))
+	m.HandleFunc("GET /v1/watch/{kind}", p.guard(countWatch, p.serveWatch))
+	m.HandleFunc("GET /v1/vms", p.guard(countVMs, p.serveVMs))
 	p.adminRoutes(m)
 	return m
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	r.Body = http.MaxBytesReader(w, r.Body, maxBody)
 	p.mux.ServeHTTP(w, r)
@@ -48,10 +48,10 @@
 
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	upto := p.horizon()
-	objects := p.list(r.PathValue("kind"), upto)
+	version := p.horizon()
+	objects := p.list(r.PathValue("kind"), version)
 	p.mu.Unlock()
-	list := listJSON{Version: upto, Objects: []objectJSON{}}
+	list := listJSON{Version: version, Objects: []objectJSON{}}
 	for _, o := range objects {
 		list.Objects = append(list.Objects, encodeObject(o))
 	}
@@ -99,7 +99,7 @@
 	}
 	flush := http.NewResponseController(w).Flush
 	_ = flush()
-	lines := json.NewEncoder(w)
+	stream := json.NewEncoder(w)
 	for {
 		p.mu.Lock()
 		changed, down, silent := p.changed, p.down(), p.faults.Silent
@@ -112,7 +112,7 @@
 			if silent {
 				break
 			}
-			if lines.Encode(encodeWatch(c)) != nil {
+			if stream.Encode(encodeWatch(c)) != nil {
 				return
 			}
 			from = c.object.Version
@@ -146,8 +146,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// replyTagged answers a read with an entity tag, or with 304 when the reader has
-// that very answer.
+// replyWithETag responds to a read with an ETag, or with 304 if the client already
+// has the same response.
 func replyTagged(w http.ResponseWriter, r *http.Request, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -164,8 +164,9 @@
 	_, _ = w.Write(body)
 }
 
-// tagOf is a hash and not the version: a store that came back older gives its
-// versions a second time, to other values.
+// etag returns the ETag of a response body. It is a hash instead of the version,
+// because a store restored with older data assigns its versions again to other
+// values.
 func tagOf(body []byte) string {
 	return strconv.Quote(strconv.FormatUint(xxhash.Sum64(body), 16))
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,9 +1,9 @@
-// Package platform is a small stand-in of the platform: an object store with
-// versions, conditional updates and watches, and the list of VMs. It keeps
-// everything in memory and can be made to fail in the ways of the real one.
+// Package platform is a small fake of the platform: an object store with versions,
+// conditional updates and watches, and the list of VMs. It keeps all data in memory
+// and can inject the faults of the real platform.
 //
-// The protocol is JSON over HTTP. Values are base64 in JSON. A version is the
-// store's count of writes at the time of the object's last write.
+// The protocol is JSON over HTTP. Values are base64 in JSON. An object's version is
+// the number of writes to the store up to and including the object's last write.
 //
 //	GET    /v1/objects/{kind}/{name}            object, or 404
 //	GET    /v1/objects/{kind}                   {"objects": [object...], "version": newest}
@@ -12,17 +12,18 @@
 //	GET    /v1/watch/{kind}?from=N              one JSON line for each change after version N
 //	GET    /v1/vms                              {"vms": [vm...]}
 //
-// Reads have an ETag and answer 304 to an If-None-Match with it. For tests there
-// are, untouched by faults:
+// A response to a read has an ETag, and a read with a matching If-None-Match gets
+// 304. For tests there are these requests, which are not subject to faults:
 //
 //	PUT    /v1/admin/vms/{id}                   puts a VM, DELETE removes it
 //	GET    /v1/admin/faults, PUT                reads and replaces Faults
 //	GET    /v1/admin/counts                     calls since the start
-//	PUT    /v1/admin/rollback?to=N              forgets every write after version N
+//	PUT    /v1/admin/rollback?to=N              removes every write after version N
 //
-// An object is {"kind", "name", "version", "value"}, a line of a watch is
-// {"object": object, "deleted": bool, "tag": the ETag of a read of it}, and a VM is {"id", "addr", "place",
-// "service", "slots", "boot", "state"} with the state live or leaving.
+// An object is {"kind", "name", "version", "value"}. A line of a watch is
+// {"object": object, "deleted": bool, "tag": ETag of a read of the object}. A VM is
+// {"id", "addr", "place", "service", "slots", "boot", "state"}, where the state is
+// live or leaving.
 package platform
 
 import (
@@ -31,7 +32,7 @@
 	"time"
 )
 
-// Config is what a Platform is built from.
+// Config configures a Platform.
 type Config struct {
 	Now func() time.Time // clock; time.Now when nil
 }
@@ -44,7 +45,7 @@
 	Value   []byte
 }
 
-// VM is one entry of the VM list.
+// VM is one element of the VM list.
 type VM struct {
 	ID      string
 	Addr    string // host:port
@@ -61,7 +62,8 @@
 	Leaving = "leaving"
 )
 
-// Counts are the calls that reached the platform, faulty ones included.
+// Counts are the numbers of calls that reached the platform, including those
+// affected by faults.
 type Counts struct {
 	Reads   uint64
 	Writes  uint64
@@ -69,7 +71,7 @@
 	VMs     uint64
 }
 
-// Platform is the stand-in. It is an http.Handler.
+// Platform is the fake platform. It is an http.Handler.
 type Platform struct {
 	now     func() time.Time
 	mux     *http.ServeMux
@@ -105,29 +107,29 @@
 	return p
 }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of calls received so far.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// PutVM puts vm into the VM list, in place of the one with its ID.
+// PutVM adds vm to the VM list. It replaces a VM with the same ID.
 func (p *Platform) PutVM(vm VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms = append(p.vms, vmChange{at: p.now(), vm: vm})
 }
 
-// RemoveVM takes a VM off the list.
+// RemoveVM removes a VM from the list.
 func (p *Platform) RemoveVM(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms = append(p.vms, vmChange{at: p.now(), vm: VM{ID: id}, gone: true})
 }
 
-// Rollback forgets every write after version to. Later writes use the
-// forgotten versions again, as a store restored from a backup would.
+// Rollback removes every write after version to. Later writes get the removed
+// versions again, as in a store restored from a backup.
 func (p *Platform) Rollback(to uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/platform/state.go
+++ b/internal/standin/platform/state.go
@@ -10,7 +10,7 @@
 	name string
 }
 
-// get returns the newest write of an object up to a version.
+// get returns an object as of a version.
 func (p *Platform) get(k key, upto uint64) (o Object, ok bool) {
 	for i := len(p.writes) - 1; i >= 0; i-- {
 		w := p.writes[i]
@@ -22,8 +22,8 @@
 	return Object{}, false
 }
 
-// latest returns the last write of each object of a kind in (from, upto],
-// in order of version.
+// latest returns the last write of each object of a kind with a version in
+// (from, upto], in order of version.
 func (p *Platform) latest(kind string, from, upto uint64) []write {
 	last := map[string]write{}
 	for _, w := range p.writes {
@@ -51,8 +51,8 @@
 	return objects
 }
 
-// put stores a value when the object's version is the expected one. It
-// returns the new version, or the current one and false.
+// put stores a value, or a deletion, if the object's current version equals
+// expected. It returns the new version and true, or the current version and false.
 func (p *Platform) put(k key, expected uint64, value []byte, deleted bool) (version uint64, ok bool) {
 	old, found := p.get(k, p.version)
 	current := uint64(0)
@@ -70,7 +70,8 @@
 	return p.version, true
 }
 
-// history is how many writes of one object are kept for Faults.Older.
+// maxObjectHistory is the number of writes kept for each object, so that
+// Faults.ReadVersion can show older data.
 const history = 64
 
 func (p *Platform) compact(k key) {
