--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -41,8 +41,8 @@
 	mu      sync.Mutex
 	objects map[string]map[string]Object
 	history []event
-	at      uint64 // revision of the newest write
-	first   uint64 // watches from an older revision get 410
+	at      uint64        // revision of the newest write
+	first   uint64        // watches from an older revision get 410
 	moved   chan struct{} // closed and replaced at each change
 	fault   func(r *http.Request) Fault
 	calls   int
