--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Fail sets the function that returns the fault of each call; nil removes all faults.
+// SetFaults sets the function that returns the fault of each call; nil removes all faults.
 func (s *Store) Fail(f func(r *http.Request) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -1,13 +1,13 @@
-// Package target is a small stand-in for a worker of a service: an HTTP server
-// with a fixed number of slots, a queue before them, a log of what it ran and
-// faults that can be switched on. It is the witness of the tests: a run is
-// logged before its work begins.
+// Package target is a small fake of a target of a service: an HTTP server with a
+// fixed number of slots, a queue of requests that wait for one, a log of runs and
+// faults that can be injected. A run is logged before its work begins, so that tests
+// can check which requests ran.
 //
 // Besides the service's own paths it serves:
 //
 //	GET  /-/log    JSON: the runs, oldest first
-//	POST /-/fault  JSON Fault: replaces the faults in force
-//	POST /-/drain  the target says on each answer that it is leaving
+//	POST /-/fault  JSON Fault: replaces the injected faults
+//	POST /-/drain  later responses say that the target is leaving
 //	GET  /-/load   the load report: inflight and slots
 package target
 
@@ -26,35 +26,35 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// Config describes one target.
+// Config configures a target.
 type Config struct {
 	Name    string
 	Service string
-	Slots   int           // requests served at once; default 2
-	Mean    time.Duration // mean service time, lognormal; 0 answers at once
-	Sigma   float64       // of the lognormal; 0 makes every request equal
+	Slots   int           // requests that run at once; default 2
+	Mean    time.Duration // mean of the lognormal service time; 0 responds at once
+	Sigma   float64       // sigma of the lognormal service time; 0 makes all service times equal
 	Seed    uint64
-	MaxLog  int // runs kept; default 1,000,000
+	MaxLog  int // maximum number of logged runs; default 1,000,000
 }
 
-// Fault is the set of faults in force. The zero value is a healthy target.
+// Fault is the set of injected faults. The zero value is a healthy target.
 type Fault struct {
-	Factor float64       // service times are multiplied by it; 0 counts as 1
-	Fail   bool          // answers 500 at once
-	Shed   bool          // refuses with 503 and says so in the load report, runs nothing
-	Cut    bool          // closes the connection midway through the body
-	Crash  bool          // closes the connection after the run, without an answer
-	Stall  time.Duration // added to each run
+	Factor float64       // factor on the service time; 0 counts as 1
+	Fail   bool          // responds with 500 after the run
+	Shed   bool          // refuses with 503 without running the request, and sets shed in the load report
+	Cut    bool          // closes the connection in the middle of the response body
+	Crash  bool          // closes the connection after the run without a response
+	Stall  time.Duration // added to the service time
 }
 
-// Run is one logged run.
+// Run is the log entry of a run.
 type Run struct {
 	ID     string // the request's X-Request-Id
 	Key    string // its Idempotency-Key
 	Method string
 }
 
-// Target is the stand-in. It is an http.Handler.
+// Target is the fake target. It is an http.Handler.
 type Target struct {
 	cfg      Config
 	slots    chan struct{}
@@ -73,7 +73,7 @@
 	defaultMaxLog = 1_000_000
 )
 
-// maxBody bounds what the stand-in reads of a request, in bytes.
+// maxBody is the maximum size of a request body in bytes.
 const maxBody = 16 << 20
 
 // New returns a healthy target.
@@ -93,10 +93,10 @@
 	return t
 }
 
-// Break replaces the faults in force.
+// SetFault replaces the injected faults.
 func (t *Target) Break(f Fault) { t.fault.Store(&f) }
 
-// Drain makes every later answer say that the target is leaving.
+// Drain makes later responses say that the target is leaving.
 func (t *Target) Drain() { t.leaving.Store(true) }
 
 // Runs returns a copy of the log.
@@ -106,7 +106,7 @@
 	return append([]Run(nil), t.log...)
 }
 
-// Inflight is the number of requests taken and not yet answered.
+// Inflight returns the number of requests that wait or run.
 func (t *Target) Inflight() int { return int(t.inflight.Load()) }
 
 // ServeHTTP serves the control paths and runs everything else.
@@ -182,8 +182,8 @@
 	}
 }
 
-// work holds the slot for the service time. It is false when the request was
-// cancelled meanwhile.
+// work waits for the service time. It returns false if the request is cancelled in
+// the meantime.
 func (t *Target) work(r *http.Request, f Fault) bool {
 	d := t.draw(f) + f.Stall
 	if d <= 0 {
@@ -199,7 +199,8 @@
 	}
 }
 
-// draw takes a service time from the lognormal whose mean is cfg.Mean.
+// randomServiceTime returns a service time from the lognormal distribution with the
+// mean cfg.MeanServiceTime, multiplied by the fault's factor.
 func (t *Target) draw(f Fault) time.Duration {
 	factor := f.Factor
 	if factor == 0 {
--- a/internal/standin/worker/bound.go
+++ b/internal/standin/worker/bound.go
@@ -1,6 +1,7 @@
 package worker
 
-// Bound has it run no more requests at a time than it has slots. Queue more may wait.
+// LimitQueue limits the requests that run at once to Slots and the requests that wait
+// for a slot to queue. Requests beyond that are refused.
 func (w *Worker) Bound(queue int) {
 	w.set(func() {
 		w.Queue = queue
@@ -8,7 +9,8 @@
 	})
 }
 
-// enter takes a place among the requests that run or wait, where they are bounded.
+// admit reports whether a request may run or wait for a slot. Without a limit it is
+// always true.
 func (w *Worker) enter() bool {
 	if w.free == nil {
 		return true
@@ -21,8 +23,9 @@
 	}
 }
 
-// begin waits for a slot and returns what frees it.
-func (w *Worker) begin() (end func()) {
+// acquireSlot waits for a slot and returns the function that releases it. Without a
+// limit it doesn't wait.
+func (w *Worker) begin() (release func()) {
 	if w.free == nil {
 		return func() {}
 	}
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,7 +1,7 @@
-// Package worker is a stand-in for a target as the users' platform has them:
-// it runs requests in a few slots, signs and names its answers, tells its load,
-// and fails in the ways that targets do. It logs each run before the work
-// begins, and so is the witness of the tests.
+// Package worker is a fake of a target of the users' platform. It runs requests in a
+// few slots, adds a signature and the request ID to its responses, reports its load,
+// and can inject the faults of real targets. It logs each run before the work
+// begins, so that tests can check which requests ran.
 package worker
 
 import (
@@ -15,64 +15,65 @@
 	"time"
 )
 
-// Fault is how a target answers. The zero value is one that is well.
+// Fault is the fault that the worker injects into a request. The zero value injects
+// none.
 type Fault struct {
-	Shed     bool          // refuses, runs nothing
-	After    string        // with Shed: when to come back, as the text of the header
-	Fail     bool          // answers 500 after the run
-	Lose     bool          // runs, then closes the connection without an answer
-	Cut      bool          // closes the connection within the body
-	Extra    bool          // sends its answer twice
-	ExtraIn  time.Duration // how long after the first the second one comes
-	Unsigned bool          // answers without its signature
-	Unframed bool          // the body ends with the connection
-	Crossed  bool          // answers under another request's id
-	Mute     bool          // runs and never answers
-	Early    bool          // answers before it has read the body
-	Plain503 bool          // answers 503 after the run, without word that it didn't run
-	Other    string        // the address belongs to this target now
-	Crash    bool          // the run ends the target, as Crashed says
+	Shed     bool          // refuses the request without running it
+	After    string        // with Shed: value of the Retry-After header
+	Fail     bool          // responds with 500 after the run
+	Lose     bool          // closes the connection after the run without a response
+	Cut      bool          // closes the connection within the response body
+	Extra    bool          // sends the response twice
+	ExtraIn  time.Duration // delay between the two responses
+	Unsigned bool          // responds without a signature
+	Unframed bool          // the response has no length, its body ends with the connection
+	Crossed  bool          // responds with the ID of another request
+	Mute     bool          // runs the request and never responds
+	Early    bool          // responds before reading the request body
+	Plain503 bool          // responds with 503 after the run, without the Plumpitch-Not-Executed header
+	Other    string        // ID of the target that now has this address
+	Crash    bool          // the run terminates the target by calling OnCrash
 }
 
-// Run is one logged run.
+// Run is the log entry of a run.
 type Run struct {
 	Request  string
 	Path     string
 	Body     string
 	Deadline string
 	At       time.Time
-	Gone     time.Time // when the caller's connection ended during the run
+	Gone     time.Time // when the caller's connection closed during the run
 }
 
-// Worker is the stand-in.
+// Worker is the fake target.
 type Worker struct {
 	ID      string
 	Slots   int
-	Queue   int    // requests that wait for a slot; beyond them it refuses. 0: it has no bound
-	Crashed func() // called by a run that ends the target
+	Queue   int    // limit of the requests that wait for a slot, set by LimitQueue
+	Crashed func() // called by a run with Fault.Crash
 
 	l      net.Listener
-	free   chan struct{} // a token for each request that runs or waits, where Queue bounds them
-	slots  chan struct{} // a token for each request that runs, the same
+	free   chan struct{} // a token for each request that runs or waits; nil without LimitQueue
+	slots  chan struct{} // a token for each request that runs; nil without LimitQueue
 	mu     sync.Mutex
 	work   time.Duration
-	pace   float64 // how many times as long as usual work takes
+	pace   float64 // factor on the service time
 	fault  func(*http.Request) Fault
 	runs   []Run
 	sheds  []Run
 	now    int
 	open   map[net.Conn]bool
 	closed bool
-	cold   time.Time // until then it bears few requests
-	bears  int       // requests in any second while it is cold
-	tells  bool      // it says so when it is asked
-	falls  int       // how often it crashed since it got more
-	limit  string    // that it names in its answers
-	leaves bool      // it says in its answers that it leaves
-	silent bool      // it reports its load alone in answers to questions
+	cold   time.Time // end of the warm-up
+	bears  int       // requests in any second that the worker can handle while it is cold
+	tells  bool      // responses to probes contain the remaining warm-up time
+	falls  int       // crashes because of more than coldLimit requests in a second
+	limit  string    // value of the Server-Limit header; empty omits it
+	leaves bool      // responses say that the worker is leaving
+	silent bool      // responses to probes contain the load, but no limit and no leaving notice
 }
 
-// Start runs a worker on loopback.
+// Start starts a worker on a loopback port.
 func Start(id string) (w *Worker, err error) {
 	w = &Worker{ID: id, Slots: 2, open: make(map[net.Conn]bool), pace: 1, fault: func(*http.Request) Fault { return Fault{} }}
 	if w.l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -82,10 +83,10 @@
 	return w, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the worker listens on.
 func (w *Worker) Address() string { return w.l.Addr().String() }
 
-// Close ends the worker and its connections.
+// Close stops the worker and closes its connections.
 func (w *Worker) Close() {
 	w.mu.Lock()
 	w.closed = true
@@ -96,13 +97,14 @@
 	w.l.Close()
 }
 
-// Work sets how long a request takes.
+// SetServiceTime sets how long a request takes at pace 1.
 func (w *Worker) Work(d time.Duration) { w.set(func() { w.work = d }) }
 
-// Pace sets how many times as long as usual work takes; it is told with the load.
+// SetPace sets the factor on the service time. The load report contains it.
 func (w *Worker) Pace(x float64) { w.set(func() { w.pace = x }) }
 
-// Fail sets the faults of each request; nil ends them.
+// SetFaults sets the function that returns the fault of each request; nil removes all
+// faults.
 func (w *Worker) Fail(f func(*http.Request) Fault) {
 	w.set(func() {
 		if f == nil {
@@ -112,34 +114,36 @@
 	})
 }
 
-// Chill makes it cold for so long, in which it bears that many requests in any second.
-// Above that it crashes: all that runs there is lost. Whether it tells of it is up to
-// tells.
-func (w *Worker) Chill(d time.Duration, bears int, tells bool) {
-	w.set(func() { w.cold, w.bears, w.tells = time.Now().Add(d), bears, tells })
+// StartCold makes the worker cold for d. While it is cold, more than limit requests
+// in any second crash it, and all requests that run there are lost. If report is set,
+// responses to probes contain the remaining warm-up time.
+func (w *Worker) Chill(d time.Duration, limit int, report bool) {
+	w.set(func() { w.cold, w.bears, w.tells = time.Now().Add(d), limit, report })
 }
 
-// Limit has it name a limit in its answers, as the text of the header; empty ends that.
+// SetLimit sets the Server-Limit header of the responses; an empty text removes it.
 func (w *Worker) Limit(text string) { w.set(func() { w.limit = text }) }
 
-// Leave has it say in its answers that it leaves.
+// AnnounceLeaving makes the responses say that the worker is leaving.
 func (w *Worker) Leave() { w.set(func() { w.leaves = true }) }
 
-// Stay has it say no more that it leaves, as one that has started again.
+// StopLeaving ends the announcement, as after a restart of the target.
 func (w *Worker) Stay() { w.set(func() { w.leaves = false }) }
 
-// KeepSilent has it report its load alone in answers to questions.
+// ProbeLoadOnly makes responses to probes contain the load, but no limit and no
+// leaving notice.
 func (w *Worker) KeepSilent() { w.set(func() { w.silent = true }) }
 
-// Falls returns how often it crashed since it got more than it bears.
+// OverloadCrashes returns how often the worker crashed because it got too many
+// requests while it was cold.
 func (w *Worker) Falls() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.falls
 }
 
-// overdone reports whether a cold worker got more in the last second than it bears. The
-// lock is held.
+// exceedsColdLimit reports whether the worker is cold and got more than coldLimit
+// requests in the last second. The caller holds the lock.
 func (w *Worker) overdone(now time.Time) bool {
 	if !now.Before(w.cold) || len(w.runs) <= w.bears {
 		return false
@@ -147,7 +151,7 @@
 	return now.Sub(w.runs[len(w.runs)-1-w.bears].At) < time.Second
 }
 
-// crash ends all connections. The lock is held.
+// crash closes all connections. The caller holds the lock.
 func (w *Worker) crash() {
 	w.falls++
 	for c := range w.open {
@@ -161,14 +165,15 @@
 	f()
 }
 
-// Runs returns the runs so far.
+// Runs returns a copy of the log of runs.
 func (w *Worker) Runs() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Run(nil), w.runs...)
 }
 
-// Sheds returns the requests that it refused; Body is when they were told to come back.
+// Refusals returns the requests that the worker refused. Body is the value of their
+// Retry-After header.
 func (w *Worker) Sheds() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -194,7 +199,8 @@
 	}
 }
 
-// conn is a connection of which the end is noticed during a run.
+// conn is a connection with a buffered reader. A run peeks into the reader to detect
+// that the caller closed the connection.
 type conn struct {
 	net.Conn
 	br *bufio.Reader
@@ -220,10 +226,11 @@
 	}
 }
 
-// load are the headers in which it reports its load, its limit and that it leaves. The lock is held.
-func (w *Worker) load(question bool) string {
+// reportHeaders returns the header lines that report the load, the limit and that the
+// worker is leaving. The caller holds the lock.
+func (w *Worker) load(probe bool) string {
 	limit := ""
-	if question && w.silent {
+	if probe && w.silent {
 		return w.plain()
 	}
 	if w.limit != "" {
@@ -235,6 +242,7 @@
 	return limit + w.plain()
 }
 
+// loadHeader returns the header line that reports the load. The caller holds the lock.
 func (w *Worker) plain() string {
 	waiting := 0
 	if w.free != nil {
@@ -254,7 +262,7 @@
 	_, _ = io.WriteString(k, head)
 }
 
-// request serves one request and reports whether the connection goes on.
+// serveRequest serves one request and reports whether the connection stays open.
 func (w *Worker) request(k *conn, r *http.Request, f Fault) bool {
 	id := r.Header.Get("Plumpitch-Request-Id")
 	if f.Early {
@@ -267,7 +275,7 @@
 	if f.Early {
 		return true
 	}
-	if want := r.Header.Get("Plumpitch-Target-Instance"); want != "" && want != w.ID || f.Other != "" && want != f.Other {
+	if expected := r.Header.Get("Plumpitch-Target-Instance"); expected != "" && expected != w.ID || f.Other != "" && expected != f.Other {
 		_, _ = io.WriteString(k, "HTTP/1.1 421 Misdirected Request\r\nPlumpitch-Instance-Id: "+f.Other+"\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
@@ -283,7 +291,7 @@
 	return w.answer(k, r, f, string(body))
 }
 
-// shed refuses a request.
+// refuse refuses a request without running it.
 func (w *Worker) shed(k *conn, id, after string) {
 	w.set(func() { w.sheds = append(w.sheds, Run{Request: id, Body: after, At: time.Now()}) })
 	head := "HTTP/1.1 503 Service Unavailable\r\nPlumpitch-Not-Executed: 1\r\nPlumpitch-Request-Id: " + id + "\r\n"
@@ -293,7 +301,8 @@
 	_, _ = io.WriteString(k, head+"Content-Length: 0\r\n\r\n")
 }
 
-// run logs a run, works, and notes when the caller left meanwhile.
+// run logs a run, waits for the service time, and records when the caller left in the
+// meantime.
 func (w *Worker) run(k *conn, r *http.Request, body string) {
 	w.mu.Lock()
 	i := len(w.runs)
@@ -356,17 +365,17 @@
 		_, _ = io.WriteString(k, head+"\r\n"+text)
 		return false
 	}
-	whole := head + "Content-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + text
+	response := head + "Content-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + text
 	if f.Cut {
-		_, _ = io.WriteString(k, whole[:len(whole)-1])
+		_, _ = io.WriteString(k, response[:len(response)-1])
 		return false
 	}
-	_, _ = io.WriteString(k, whole)
+	_, _ = io.WriteString(k, response)
 	if f.Extra {
 		if f.ExtraIn > 0 {
 			time.Sleep(f.ExtraIn)
 		}
-		_, _ = io.WriteString(k, whole)
+		_, _ = io.WriteString(k, response)
 	}
 	return true
 }
