--- a/internal/settings/edit.go
+++ b/internal/settings/edit.go
@@ -126,7 +126,7 @@
 	return accepted, nil
 }
 
-// noteFailedWrite records whether the failed write may have taken effect.
+// noteFailedWrite sets outcomeUnknown if the failed write may have taken effect.
 func (a *attempt) note(err error) {
 	var u *store.Unavailable
 	if errors.As(err, &u) && !u.Untouched {
--- a/internal/settings/follow.go
+++ b/internal/settings/follow.go
@@ -48,7 +48,7 @@
 // bootstrap requests the document from peers until one is in force, so that an entry
 // that starts during a store outage gets its settings.
 func (s *Settings) boot(ctx context.Context) error {
-	for pause := firstBoot; s.Document().Revision == 0; pause = min(2*pause, lastBoot) {
+	for delay := firstBoot; s.Document().Revision == 0; delay = min(2*delay, lastBoot) {
 		if c, err := s.cfg.Peers.Settings(ctx, 0); err == nil {
 			if err := s.Offer(ctx, c); err != nil {
 				s.cfg.Log.WithError(err).Warn("settings: rejected the settings received from a peer")
@@ -57,7 +57,7 @@
 		if s.Document().Revision > 0 {
 			break
 		}
-		if err := s.cfg.Wait(ctx, s.between(pause)); err != nil {
+		if err := s.cfg.Wait(ctx, s.between(delay)); err != nil {
 			return err
 		}
 	}
--- a/internal/settings/heal.go
+++ b/internal/settings/heal.go
@@ -30,8 +30,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		for pause := firstHeal; ; pause = min(2*pause, lastHeal) {
-			if err := s.cfg.Wait(ctx, s.between(pause)); err != nil {
+		for delay := firstHeal; ; delay = min(2*delay, lastHeal) {
+			if err := s.cfg.Wait(ctx, s.between(delay)); err != nil {
 				return err
 			}
 			err := s.rewrite(ctx)
@@ -64,11 +64,11 @@
 
 // joinHistories merges two diverged histories, that of the store and the one in
 // force. It logs each accepted edit that conflicts with another one and is dropped.
-func (s *Settings) join(stored, force tree.Document) tree.Document {
-	if stored.Revision < force.Revision {
-		stored, force = force, stored
+func (s *Settings) join(stored, inForce tree.Document) tree.Document {
+	if stored.Revision < inForce.Revision {
+		stored, inForce = inForce, stored
 	}
-	joined, dropped := tree.Join(stored, force)
+	joined, dropped := tree.Join(stored, inForce)
 	for _, e := range dropped {
 		s.cfg.Log.WithField("id", e.ID).WithField("author", e.Author).
 			Error("settings: dropped an accepted edit that conflicts with another one; its author must repeat it")
--- a/internal/settings/own.go
+++ b/internal/settings/own.go
@@ -42,12 +42,12 @@
 	done     chan tree.Verdict
 }
 
-func (a arrival) apply(s *Settings) {
-	verdict := s.take(a.document)
-	if verdict == tree.Diverged || a.stored && verdict == tree.Older {
+func (m arrival) apply(s *Settings) {
+	verdict := s.take(m.document)
+	if verdict == tree.Diverged || m.stored && verdict == tree.Older {
 		notify(s.healing)
 	}
-	a.done <- verdict
+	m.done <- verdict
 }
 
 // merge brings a document into force if it is newer than the current one.
@@ -66,13 +66,13 @@
 
 // submit sends a document to the goroutine that owns the current one, and waits for
 // the merge verdict.
-func (s *Settings) arrive(ctx context.Context, d tree.Document, stored bool) (tree.Verdict, error) {
-	a := arrival{document: d, stored: stored, done: make(chan tree.Verdict, 1)}
-	if err := s.tell(ctx, a); err != nil {
+func (s *Settings) arrive(ctx context.Context, d tree.Document, fromStore bool) (tree.Verdict, error) {
+	m := arrival{document: d, stored: fromStore, done: make(chan tree.Verdict, 1)}
+	if err := s.tell(ctx, m); err != nil {
 		return tree.Same, err
 	}
 	select {
-	case v := <-a.done:
+	case v := <-m.done:
 		return v, nil
 	case <-ctx.Done():
 		return tree.Same, ctx.Err()
@@ -85,11 +85,11 @@
 	done  chan error
 }
 
-func (r replayed) apply(s *Settings) {
-	next, err := s.Document().Replay(r.edits)
+func (m replayed) apply(s *Settings) {
+	next, err := s.Document().Replay(m.edits)
 	if err == nil && next.Revision > s.Document().Revision {
 		s.force.Store(&next)
 		notify(s.changed)
 	}
-	r.done <- err
+	m.done <- err
 }
--- a/internal/settings/peer.go
+++ b/internal/settings/peer.go
@@ -49,19 +49,19 @@
 		_, err = s.arrive(ctx, d, false)
 		return err
 	}
-	r := replayed{done: make(chan error, 1)}
+	m := replayed{done: make(chan error, 1)}
 	for _, b := range c.Edits {
 		e, err := tree.DecodeEdit(b)
 		if err != nil {
 			return err
 		}
-		r.edits = append(r.edits, e)
+		m.edits = append(m.edits, e)
 	}
-	if err := s.tell(ctx, r); err != nil {
+	if err := s.tell(ctx, m); err != nil {
 		return err
 	}
 	select {
-	case err = <-r.done:
+	case err = <-m.done:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -49,14 +49,14 @@
 			w.accept(0, "e", 1, 2)
 			w.inForce(2, "e")
 			w.store.rollback(1)
-			w.until("healed", func() bool { return w.stored().Revision == 2 })
+			w.until("repair of the store", func() bool { return w.stored().Revision == 2 })
 			w.inForce(2, "e")
 		}},
 		{"store comes back empty", func(w *world) {
 			w.accept(0, "e", 1, 2)
 			w.inForce(2, "e")
 			w.store.rollback(2)
-			w.until("healed", func() bool { return w.stored().Revision == 2 })
+			w.until("repair of the store", func() bool { return w.stored().Revision == 2 })
 			w.inForce(2, "e")
 		}},
 		{"older store accepts an edit from an entry that was isolated", func(w *world) {
@@ -199,7 +199,7 @@
 	w.accept(0, "e", 1, 2)
 	w.inForce(2, "e")
 	w.store.rollback(1)
-	w.until("healed", func() bool { return w.stored().Revision == 2 })
+	w.until("repair of the store", func() bool { return w.stored().Revision == 2 })
 	w.store.set(func(f *fakeStore) { q.Check(f.writes, qt.Equals, 3) })
 }
 
--- a/internal/settings/world_test.go
+++ b/internal/settings/world_test.go
@@ -88,8 +88,8 @@
 	if f.silent {
 		return
 	}
-	for _, took := range f.followers {
-		go took(f.current())
+	for _, onChange := range f.followers {
+		go onChange(f.current())
 	}
 }
 
@@ -115,18 +115,18 @@
 
 // Follow polls each millisecond in addition to the watch, unless the store is down.
 func (v *view) Follow(ctx context.Context, w store.Follow) error {
-	took := func(o store.Object) {
+	onChange := func(o store.Object) {
 		if !v.off.Load() {
 			w.Took(o)
 		}
 	}
-	v.set(func(f *fakeStore) { f.followers = append(f.followers, took) })
+	v.set(func(f *fakeStore) { f.followers = append(f.followers, onChange) })
 	for ctx.Err() == nil {
 		var o store.Object
 		var down bool
 		v.set(func(f *fakeStore) { o, down = f.current(), f.down })
 		if !down {
-			took(o)
+			onChange(o)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -106,7 +106,7 @@
 	return append([]Run(nil), t.log...)
 }
 
-// Inflight returns the number of requests that wait or run.
+// Inflight returns the number of requests that were received and have no response yet.
 func (t *Target) Inflight() int { return int(t.inflight.Load()) }
 
 // ServeHTTP serves the control paths and runs everything else.
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -292,11 +292,11 @@
 }
 
 // refuse refuses a request without running it.
-func (w *Worker) shed(k *conn, id, after string) {
-	w.set(func() { w.sheds = append(w.sheds, Run{Request: id, Body: after, At: time.Now()}) })
+func (w *Worker) shed(k *conn, id, retryAfter string) {
+	w.set(func() { w.sheds = append(w.sheds, Run{Request: id, Body: retryAfter, At: time.Now()}) })
 	head := "HTTP/1.1 503 Service Unavailable\r\nPlumpitch-Not-Executed: 1\r\nPlumpitch-Request-Id: " + id + "\r\n"
-	if after != "" {
-		head += "Retry-After: " + after + "\r\n"
+	if retryAfter != "" {
+		head += "Retry-After: " + retryAfter + "\r\n"
 	}
 	_, _ = io.WriteString(k, head+"Content-Length: 0\r\n\r\n")
 }
@@ -318,13 +318,13 @@
 	if w.overdone(began) {
 		w.crash()
 	}
-	work := time.Duration(float64(w.work) * w.pace)
+	duration := time.Duration(float64(w.work) * w.pace)
 	w.mu.Unlock()
-	if work > 0 {
-		_ = k.SetReadDeadline(time.Now().Add(work))
+	if duration > 0 {
+		_ = k.SetReadDeadline(time.Now().Add(duration))
 		if _, err := k.br.Peek(1); err != nil && !isTimeout(err) {
 			w.set(func() { w.runs[i].Gone = time.Now() })
-		} else if rest := time.Until(began.Add(work)); rest > 0 {
+		} else if rest := time.Until(began.Add(duration)); rest > 0 {
 			time.Sleep(rest)
 		}
 		_ = k.SetReadDeadline(time.Time{})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -125,6 +125,7 @@
 	Leaving = "leaving"
 )
 
+// pause waits for the backoff delay after a failed attempt.
 func (s *Client) pause(ctx context.Context, attempt int) error {
 	s.mu.Lock()
 	d := s.backoff.Next(attempt, s.rand)
