--- a/internal/soak/check_repeats_test.go
+++ b/internal/soak/check_repeats_test.go
@@ -6,29 +6,31 @@
 	"time"
 )
 
-// The users' bounds on repeats.
+// The users' bounds on extra dispatches (retries and hedges) and on what follows a crash
+// or a request for a pause.
 const (
 	budgetSpan  = 10 * time.Second
-	budgetRatio = 0.2
-	budgetLate  = 500 * time.Millisecond // by which a target's time may end after the caller's
-	mostCrashes = 3                      // targets that a request may crash, and requests that may follow
-	pauseHeeded = 500 * time.Millisecond
-	pauseTime   = 2 * time.Second // as "wants nothing for 2 s" says
-	mostInPause = 2
+	budgetRatio = 0.2                    // extra dispatches per request
+	budgetLate  = 500 * time.Millisecond // from the caller's deadline to the deadline that the target receives
+	mostCrashes = 3                      // targets that a request may crash, and dispatches of it that may follow
+	pauseHeeded = 500 * time.Millisecond // from a request for a pause until the gateway has to apply it
+	pauseTime   = 2 * time.Second        // as requested by the requestPause fault
+	mostInPause = 2                      // requests from one gateway to a target that asked for a pause
 )
 
-// extremes are how near the bounds on repeats were.
+// peakValues are the highest values seen of those that the bounds on extra dispatches, crashes
+// and pauses limit.
 type extremes struct {
-	repeats float64       // part of those that are allowed to a service
-	late    time.Duration // by which a repeat's time at its target ended after the caller's
-	crashes int           // requests that followed when one had crashed enough targets
-	paused  int           // requests at a target that wanted nothing from their gateway
+	repeats float64       // extra dispatches to a service, relative to the number allowed
+	late    time.Duration // from a caller's deadline to the deadline of an extra dispatch
+	crashes int           // dispatches of a request after it had crashed maxCrashes targets
+	paused  int           // requests at a target that had asked their gateway for a pause
 }
 
-// deadline checks that a request that is sent once more leaves a target no time after its
-// caller's.
-func (c *check) deadline(r arrival, left time.Duration) {
-	late := r.At.Add(left).Sub(r.from.sent.Add(r.from.deadline))
+// checkDeadline checks that an extra dispatch of a request gives the target no time beyond the
+// caller's deadline, with a tolerance of maxDeadlineOverrun.
+func (c *check) deadline(r arrival, remaining time.Duration) {
+	late := r.At.Add(remaining).Sub(r.from.sent.Add(r.from.deadline))
 	around := span{r.from.sent.Add(-touch), r.At}
 	if r.At == c.runs[r.Request][0].At || overlaps(r.from.gateway.disturbances(), around) || overlaps(c.site.faulty, around) {
 		return
@@ -37,25 +39,25 @@
 	if late <= budgetLate {
 		return
 	}
-	c.breaks("%s was handed request %s until %v after its caller's deadline", r.target.ID, r.Request, late)
+	c.breaks("%s received request %s with a deadline %v after the caller's", r.target.ID, r.Request, late)
 }
 
-// attempted checks that a request runs at no more targets than its route allows, but for
-// those that crashed.
+// checkTargetCount checks that a request runs at no more targets than its route allows.
+// Targets that crashed don't count.
 func (c *check) attempted(a *attempt) {
-	at := make(map[*target]bool)
+	ranAt := make(map[*target]bool)
 	for _, r := range c.runs[a.id] {
 		if !r.target.crashed {
-			at[r.target] = true
+			ranAt[r.target] = true
 		}
 	}
-	if len(at) > a.kind.attempts {
-		c.breaks("request %s ran at %d targets, its route allows %d", a.id, len(at), a.kind.attempts)
+	if len(ranAt) > a.kind.attempts {
+		c.breaks("request %s ran at %d targets, its route allows %d", a.id, len(ranAt), a.kind.attempts)
 	}
 }
 
-// poisoned checks that a request that has crashed some targets reaches no more of them a
-// while later.
+// checkPoison checks that a request that has crashed maxCrashes targets is dispatched at most
+// maxCrashes more times, counted from settleTime after the last of these crashes.
 func (c *check) poisoned() {
 	crashes := make(map[string][]time.Time)
 	after := make(map[string]int)
@@ -63,9 +65,9 @@
 		if r.from == nil || !strings.Contains(r.Path, poison) {
 			continue
 		}
-		seen := crashes[r.Path]
-		crashes[r.Path] = append(seen, r.At)
-		if len(seen) < mostCrashes || r.At.Sub(seen[mostCrashes-1]) <= touch || overlaps(r.from.gateway.disturbances(), span{r.At.Add(-touch), r.At}) {
+		earlier := crashes[r.Path]
+		crashes[r.Path] = append(earlier, r.At)
+		if len(earlier) < mostCrashes || r.At.Sub(earlier[mostCrashes-1]) <= touch || overlaps(r.from.gateway.disturbances(), span{r.At.Add(-touch), r.At}) {
 			continue
 		}
 		after[r.Path]++
@@ -73,12 +75,14 @@
 	for path, n := range after {
 		c.most.crashes = max(c.most.crashes, n)
 		if n > mostCrashes {
-			c.breaks("%s reached %d targets after it had crashed %d", path, n, mostCrashes)
+			c.breaks("%s was dispatched %d times after it had crashed %d targets", path, n, mostCrashes)
 		}
 	}
 }
 
-// pauses checks that a target that wants nothing for a time gets nearly nothing.
+// checkPauses checks that a target that asked a gateway for a pause receives at most
+// maxRequestsInPause requests from that gateway during the pause, from pauseDelay after the refusal
+// on.
 func (c *check) pauses(k *target) {
 	for _, refused := range k.Sheds() {
 		from := c.byID[refused.Request]
@@ -96,17 +100,18 @@
 		}
 		c.most.paused = max(c.most.paused, n)
 		if n > mostInPause {
-			c.breaks("%s, which wanted nothing for %v from %s, got %d requests", k.ID, pauseTime, from.gateway.name, n)
+			c.breaks("%s, which asked for a pause of %v from %s, received %d requests", k.ID, pauseTime, from.gateway.name, n)
 			return
 		}
 	}
 }
 
-// budget checks that repeats over all gateways keep to their share at each service.
+// checkRetryBudget checks that the extra dispatches of all gateways together stay within the
+// retry budget of each service.
 func (c *check) budget(sv service) {
 	seen := make(map[string]bool)
-	var repeats []time.Time
-	worst, window := 0.0, "" // of the windows
+	var extra []time.Time       // extra dispatches in the window
+	highest, message := 0.0, "" // of all windows
 	for _, r := range c.arrivals {
 		if r.target.service.name != sv.name {
 			continue
@@ -118,9 +123,9 @@
 		if r.At.Before(c.site.ratioAt) {
 			continue
 		}
-		repeats = append(repeats, r.At)
-		for r.At.Sub(repeats[0]) > budgetSpan {
-			repeats = repeats[1:]
+		extra = append(extra, r.At)
+		for r.At.Sub(extra[0]) > budgetSpan {
+			extra = extra[1:]
 		}
 		sent := 0
 		for _, a := range c.attempts {
@@ -129,14 +134,14 @@
 			}
 		}
 		allowed := int(budgetRatio*float64(sent)) + c.site.slack
-		part := float64(len(repeats)) / float64(allowed)
-		c.most.repeats = max(c.most.repeats, part)
-		if part > worst {
-			worst = part
-			window = fmt.Sprintf("%s: %d repeats in %v by %s, allowed %d of %d requests", sv.name, len(repeats), budgetSpan, c.site.at(r.At), allowed, sent)
+		used := float64(len(extra)) / float64(allowed)
+		c.most.repeats = max(c.most.repeats, used)
+		if used > highest {
+			highest = used
+			message = fmt.Sprintf("%s: %d extra dispatches in the %v before %s, allowed %d for %d requests", sv.name, len(extra), budgetSpan, c.site.at(r.At), allowed, sent)
 		}
 	}
-	if worst > 1 {
-		c.breaks("%s", window)
+	if highest > 1 {
+		c.breaks("%s", message)
 	}
 }
--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -19,32 +19,32 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// attempt is one request of a client, and what came of it.
+// attempt is one request that a client sent, and its result.
 type attempt struct {
 	kind     kind
 	id       string
 	path     string
-	text     string // body that was sent
-	once     bool
+	text     string
+	once     bool // it must not run twice
 	gateway  *gateway
 	sent     time.Time
 	ended    time.Time
-	deadline time.Duration
-	dialled  bool // the connection was there
-	status   int
-	after    time.Duration // when to come back, as the answer says
-	echo     string        // id that the answer names
-	signer   string        // target that signed it
+	deadline time.Duration // counted from sentAt
+	dialled  bool          // a connection was established
+	status   int           // 0 if there was no complete response
+	after    time.Duration // Retry-After of the response
+	echo     string        // request ID of the response
+	signer   string        // ID of the target that signed the response
 	body     string
 	err      error
 }
 
-// load is what clients do.
+// loadGenerator runs the clients and records their attempts.
 type load struct {
 	site   *site
 	cancel context.CancelFunc
 	done   sync.WaitGroup
-	last   atomic.Uint64
+	last   atomic.Uint64 // number of the latest request or attempt
 
 	mu       sync.Mutex
 	attempts []*attempt
@@ -60,6 +60,7 @@
 	return s.load
 }
 
+// stop ends all clients and returns their attempts.
 func (l *load) stop() []*attempt {
 	l.cancel()
 	l.done.Wait()
@@ -68,15 +69,15 @@
 	return slices.Clone(l.attempts)
 }
 
-// client sends one request after the other on kept connections, each on the one to an
-// address that it was told, and keeps what it was told for some seconds.
+// client sends one request after the other over persistent connections to gateways that it
+// resolved. It caches the resolved addresses for 1 to 3 s.
 type client struct {
 	site  *site
 	load  *load
 	rnd   *rand.Rand
 	http  *http.Client
-	known []*gateway
-	until time.Time
+	known []*gateway // result of the latest resolve request
+	until time.Time  // when the result expires
 }
 
 func newClient(s *site, rnd *rand.Rand) *client {
@@ -98,13 +99,13 @@
 	}
 }
 
-// drawKind draws a kind of request by its share.
+// pickKind picks a kind of request at random, by weight.
 func (c *client) drawKind() kind {
-	all := 0
+	total := 0
 	for _, k := range c.site.kinds {
-		all += k.share
+		total += k.share
 	}
-	n := c.rnd.IntN(all)
+	n := c.rnd.IntN(total)
 	for _, k := range c.site.kinds {
 		if n -= k.share; n < 0 {
 			return k
@@ -113,7 +114,8 @@
 	return c.site.kinds[0]
 }
 
-// rest waits until the next request.
+// waitForNext waits until the client's next request: up to 20 ms if the profile sets no
+// rate, else an exponentially distributed time.
 func (c *client) rest() {
 	if c.site.rate == 0 {
 		time.Sleep(time.Duration(c.rnd.IntN(20)) * time.Millisecond)
@@ -123,29 +125,31 @@
 	time.Sleep(time.Duration(c.rnd.ExpFloat64() * mean * float64(time.Second)))
 }
 
-// request sends a request, and again where its kind has retries: at once where clients
-// insist, else when the answer says, and what may run once only after a refusal.
+// sendWithRetries sends a request and retries it as often as its kind and extraRetries allow.
+// It retries at once while extraRetries is set, else after the time in the response. A
+// request that must not run twice is retried only if the response guarantees that it
+// didn't run.
 func (c *client) request(k kind, n uint64) {
-	began := time.Now()
+	started := time.Now()
 	path := k.prefix + "p" + strconv.FormatUint(n%c.site.paths, 10)
-	insist := int(c.site.insist.Load())
-	for range 1 + k.retries + insist {
+	extraRetries := int(c.site.insist.Load())
+	for range 1 + k.retries + extraRetries {
 		a := c.once(k, path)
-		left := k.deadline - time.Since(began)
-		if a == nil || a.status == http.StatusOK || k.once && !promises(a.status) || left <= 0 {
+		remaining := k.deadline - time.Since(started)
+		if a == nil || a.status == http.StatusOK || k.once && !promises(a.status) || remaining <= 0 {
 			return
 		}
-		if insist == 0 {
-			time.Sleep(min(a.after, left/3))
+		if extraRetries == 0 {
+			time.Sleep(min(a.after, remaining/3))
 		}
 	}
 }
 
-// once sends one attempt; it returns nil where no address is known.
+// sendOnce sends one attempt. It returns nil if it knows no gateway.
 func (c *client) once(k kind, path string) *attempt {
 	if now := time.Now(); len(c.known) == 0 || now.After(c.until) {
-		if told := c.site.resolve(c.rnd); len(told) > 0 {
-			c.known, c.until = told, now.Add(time.Duration(1+c.rnd.IntN(3))*time.Second)
+		if list := c.site.resolve(c.rnd); len(list) > 0 {
+			c.known, c.until = list, now.Add(time.Duration(1+c.rnd.IntN(3))*time.Second)
 		}
 	}
 	if len(c.known) == 0 {
@@ -159,34 +163,36 @@
 	return a
 }
 
-// resolve asks some gateways where to connect.
-func (s *site) resolve(rnd *rand.Rand) (told []*gateway) {
+// resolve returns the gateways that clients should connect to. It asks a random gateway for
+// them, up to 3 times.
+func (s *site) resolve(rnd *rand.Rand) (list []*gateway) {
 	for range 3 {
 		g := s.gateways[rnd.IntN(len(s.gateways))]
 		res, err := quick.Get("http://" + g.ip + ":8546/resolve?region=metro&zone=" + g.place + "&name=" + host)
 		if err != nil {
 			continue
 		}
-		var w struct {
+		var response struct {
 			Addresses []string `json:"addresses"`
 		}
-		err = json.NewDecoder(res.Body).Decode(&w)
+		err = json.NewDecoder(res.Body).Decode(&response)
 		res.Body.Close()
 		if err != nil {
 			continue
 		}
-		for _, a := range w.Addresses {
+		for _, a := range response.Addresses {
 			for _, g := range s.gateways {
 				if a == g.ip+":8548" {
-					told = append(told, g)
+					list = append(list, g)
 				}
 			}
 		}
-		return told
+		return list
 	}
 	return nil
 }
 
+// send sends one attempt to a gateway and records it.
 func (l *load) send(c *http.Client, g *gateway, k kind, path string) *attempt {
 	n := l.last.Add(1)
 	a := &attempt{
@@ -203,7 +209,8 @@
 	default:
 		a.text = "b" + a.id
 	}
-	// A body of a type that the client's library can't send again by itself, also where it is empty.
+	// The body has no GetBody function, so net/http can't retry the request by itself. An empty
+	// body is sent with an unknown length for the same reason.
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(a.text)), int64(len(a.text))
 	if a.text == "" {
 		r.ContentLength, r.TransferEncoding = -1, []string{"identity"}
@@ -220,7 +227,7 @@
 	return a
 }
 
-// answer takes the answer. One that breaks off counts as none.
+// readResponse records the response. An incomplete response counts as none.
 func (a *attempt) answer(res *http.Response, err error) {
 	var op *net.OpError
 	a.dialled = !(errors.As(err, &op) && op.Op == "dial")
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,10 +1,10 @@
-// Package soak holds a randomized test of gateway processes. It injects faults from
-// outside them: connections through loopback proxies that delay, reset, swallow or cut one
-// way, signals that stop, pause, kill and restart, and a store and targets that misbehave.
-// It checks the promises to callers and targets by what these see on their sockets.
+// Package soak contains a randomized test of gateway processes. It injects faults from
+// outside the processes: loopback proxies delay, reset or drop the data of connections, in
+// both directions or one; signals stop, pause and kill gateways, which are then restarted; the
+// store and the targets fail. It checks the guarantees to callers and targets by the requests
+// and responses on their connections.
 //
 //	go test ./internal/soak -seeds 50 -time 40s
 //
-// Each seed plays one schedule of faults, which come in series and overlap. The package
-// has no code but its tests.
+// Each seed determines one schedule of overlapping faults. The package contains only tests.
 package soak
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -14,13 +14,15 @@
 	"plumpitch.example/plumpitch/internal/standin/worker"
 )
 
-// fault is one disturbance. begin starts it and returns what ends it, nil where it ends by
-// itself; it returns a name for the timeline, empty where nothing fits.
+// fault is a kind of disturbance. start begins the fault. It returns the text for the timeline,
+// or an empty one if the fault can't be injected now, and a function that ends the fault, or
+// nil if it ends by itself.
 type fault struct {
-	share int // how often it is drawn, of all shares
+	share int // probability, relative to the other faults
 	begin func(s *site, rnd *rand.Rand) (name string, end func())
 }
 
+// smallSiteFaults are the faults on small sites.
 var faults = []fault{
 	{2, pause},
 	{2, kill},
@@ -39,46 +41,48 @@
 	{2, join},
 }
 
-// mostAtOnce is how many faults overlap at the most, by seed: some promises are checked only
-// where little else is disturbed.
+// maxConcurrentFaults is how many faults may overlap, chosen by seed. Low values are needed
+// because some guarantees are checked only while few other faults are active.
 var mostAtOnce = []int{4, 1, 2}
 
-// injectFaults begins faults one after the other for so long, each for up to 3 s.
+// injectFaults starts random faults for the duration d. A fault ends after 0.3 to 3 s, unless
+// its end function takes longer.
 func (s *site) injectFaults(rnd *rand.Rand, d time.Duration) {
-	var ends sync.WaitGroup
-	running := make(chan struct{}, mostAtOnce[s.seed%uint64(len(mostAtOnce))])
+	var active sync.WaitGroup
+	slots := make(chan struct{}, mostAtOnce[s.seed%uint64(len(mostAtOnce))])
 	for stop := time.Now().Add(d); time.Now().Before(stop); {
 		time.Sleep(time.Duration(100+rnd.IntN(500)) * time.Millisecond)
-		hold := time.Duration(300+rnd.IntN(2700)) * time.Millisecond
+		duration := time.Duration(300+rnd.IntN(2700)) * time.Millisecond
 		f := draw(s.faults, rnd)
-		running <- struct{}{}
+		slots <- struct{}{}
 		name, end := f.begin(s, rnd)
 		if name == "" {
-			<-running
+			<-slots
 			continue
 		}
 		s.injected++
-		s.logf("%s, for %v", name, hold)
-		ends.Go(func() {
-			time.Sleep(hold)
+		s.logf("%s, for %v", name, duration)
+		active.Go(func() {
+			time.Sleep(duration)
 			if end != nil {
 				end()
-				s.logf("end of: %s", name)
+				s.logf("ended: %s", name)
 			}
-			<-running
+			<-slots
 		})
 	}
-	ends.Wait()
+	active.Wait()
 	s.rewrite()
 	s.logf("all faults have ended")
 }
 
+// pickFault picks a fault at random, by weight.
 func draw(faults []fault, rnd *rand.Rand) fault {
-	all := 0
+	total := 0
 	for _, f := range faults {
-		all += f.share
+		total += f.share
 	}
-	n := rnd.IntN(all)
+	n := rnd.IntN(total)
 	for _, f := range faults {
 		if n -= f.share; n < 0 {
 			return f
@@ -87,18 +91,21 @@
 	return faults[0]
 }
 
-// lock holds a gateway for one signal fault at a time.
+// acquiredGateways holds the gateways with a signal fault in progress. A gateway has at most
+// one at a time.
 var held sync.Map
 
-// hold takes a gateway that no other signal fault has; one always stays free.
+// acquireGateway picks a gateway for a signal fault. It returns nil if that gateway has one
+// already. It never picks the first gateway, so that one stays free of these faults.
 func (s *site) hold(rnd *rand.Rand) *gateway {
 	g := s.gateways[1+rnd.IntN(len(s.gateways)-1)]
-	if _, taken := held.LoadOrStore(g, true); taken {
+	if _, busy := held.LoadOrStore(g, true); busy {
 		return nil
 	}
 	return g
 }
 
+// pauseGateway suspends a gateway by SIGSTOP.
 func pause(s *site, rnd *rand.Rand) (string, func()) {
 	g := s.hold(rnd)
 	if g == nil {
@@ -113,6 +120,7 @@
 	}
 }
 
+// killGateway kills a gateway and starts it again at the end of the fault.
 func kill(s *site, rnd *rand.Rand) (string, func()) {
 	g := s.hold(rnd)
 	if g == nil {
@@ -127,7 +135,7 @@
 	}
 }
 
-// terminate stops a gateway as planned and starts it again once it has ended.
+// terminateGateway stops a gateway by SIGTERM and starts it again after it has exited.
 func terminate(s *site, rnd *rand.Rand) (string, func()) {
 	g := s.hold(rnd)
 	if g == nil {
@@ -136,67 +144,71 @@
 	g.leave()
 	g.signal(syscall.SIGTERM)
 	from := time.Now()
-	return g.name + " is told to stop", func() {
+	return g.name + " receives SIGTERM", func() {
 		g.wait()
-		ended := time.Now()
+		exitedAt := time.Now()
 		g.mu.Lock()
-		g.planned = append(g.planned, span{from, ended})
+		g.planned = append(g.planned, span{from, exitedAt})
 		g.mu.Unlock()
 		g.start()
-		g.disturbed(ended, time.Now())
+		g.disturbed(exitedAt, time.Now())
 		held.Delete(g)
 	}
 }
 
+// reloadSettings makes a gateway reload its settings by SIGHUP. In 1 of 3 cases the settings
+// are invalid.
 func hangup(s *site, rnd *rand.Rand) (string, func()) {
 	g := s.gateways[rnd.IntN(len(s.gateways))]
 	if rnd.IntN(3) == 0 {
 		g.spoil()
 		g.signal(syscall.SIGHUP)
-		return g.name + " reads bad settings", func() { g.settings("3s") }
+		return g.name + " reloads invalid settings", func() { g.settings("3s") }
 	}
 	g.settings(strconv.Itoa(3+rnd.IntN(3)) + "s")
 	g.signal(syscall.SIGHUP)
-	return g.name + " reads its settings", func() { g.settings("3s") }
+	return g.name + " reloads its settings", func() { g.settings("3s") }
 }
 
+// failStore disturbs the calls to the store, of one gateway or of all.
 func storeFault(s *site, rnd *rand.Rand) (string, func()) {
 	kinds := []struct {
 		name  string
 		fault objects.Fault
 	}{
 		{"down", objects.Fault{Down: true}},
-		{"silent", objects.Fault{Silent: true}},
+		{"doesn't respond", objects.Fault{Silent: true}},
 		{"slow", objects.Fault{Delay: 300 * time.Millisecond}},
-		{"loses answers", objects.Fault{Lost: true}},
+		{"loses responses", objects.Fault{Lost: true}},
 	}
 	k := kinds[rnd.IntN(len(kinds))]
-	one := ""
+	only := "" // the one gateway whose calls fail; empty: all
 	if rnd.IntN(2) == 0 {
-		one = s.gateways[rnd.IntN(len(s.gateways))].name
+		only = s.gateways[rnd.IntN(len(s.gateways))].name
 	}
 	from := time.Now()
 	s.store.Fail(func(r *http.Request) objects.Fault {
-		if one != "" && r.Header.Get("User-Agent") != one {
+		if only != "" && r.Header.Get("User-Agent") != only {
 			return objects.Fault{}
 		}
 		return k.fault
 	})
-	return strings.TrimSpace("store " + k.name + " " + one), func() {
+	return strings.TrimSpace("store " + k.name + " " + only), func() {
 		s.store.Fail(nil)
 		s.disturbed(from, time.Now())
 	}
 }
 
-// restore has the store go back to a copy; what was lost is written again a second later.
+// restoreStore copies the store and restores the copy later, which loses the changes in
+// between. They are written again 1 s after that.
 func restore(s *site, rnd *rand.Rand) (string, func()) {
-	c := s.store.Copy()
+	backup := s.store.Copy()
 	from := time.Now()
-	back := time.Duration(300+rnd.IntN(2000)) * time.Millisecond
-	return fmt.Sprintf("store copied, restored %v later", back), func() {
-		time.Sleep(back)
+	delay := time.Duration(300+rnd.IntN(2000)) * time.Millisecond
+	return fmt.Sprintf("store backed up, restored %v after the fault", delay), func() {
+		time.Sleep(delay)
 		s.mu.Lock()
-		s.store.Restore(c)
+		s.store.Restore(backup)
 		s.mu.Unlock()
 		s.logf("store restored")
 		time.Sleep(time.Second)
@@ -205,22 +217,25 @@
 	}
 }
 
+// compactStore stops the store's watch events, then drops its history, so that watches from
+// an earlier revision fail.
 func compact(s *site, _ *rand.Rand) (string, func()) {
 	s.store.Deafen(true)
 	from := time.Now()
-	return "store deaf, then without history", func() {
+	return "store sends no watch events, then drops its history", func() {
 		s.store.Deafen(false)
 		s.store.Compact()
 		s.disturbed(from, time.Now())
 	}
 }
 
+// changeConfig writes a new version of the configuration.
 func configure(s *site, _ *rand.Rand) (string, func()) {
 	s.configure()
 	return "a new configuration", nil
 }
 
-// misbehave has one target fail a share of its requests.
+// failTarget makes one target fail a random share of its requests.
 func misbehave(s *site, rnd *rand.Rand) (string, func()) {
 	k := s.some(rnd)
 	if k == nil {
@@ -232,21 +247,22 @@
 	}{
 		{"refuses", worker.Fault{Shed: true}},
 		{"fails", worker.Fault{Fail: true}},
-		{"loses answers", worker.Fault{Lose: true}},
-		{"cuts answers", worker.Fault{Cut: true}},
-		{"answers twice", worker.Fault{Extra: true, ExtraIn: 2 * time.Millisecond}},
-		{"doesn't sign", worker.Fault{Unsigned: true}},
-		{"answers for others", worker.Fault{Crossed: true}},
-		{"answers 503 after the run", worker.Fault{Plain503: true}},
-		{"has no length", worker.Fault{Unframed: true}},
+		{"loses responses", worker.Fault{Lose: true}},
+		{"truncates responses", worker.Fault{Cut: true}},
+		{"responds twice", worker.Fault{Extra: true, ExtraIn: 2 * time.Millisecond}},
+		{"doesn't sign responses", worker.Fault{Unsigned: true}},
+		{"responds with the ID of another request", worker.Fault{Crossed: true}},
+		{"responds 503 after the run", worker.Fault{Plain503: true}},
+		{"omits the length of the body", worker.Fault{Unframed: true}},
 	}
 	n := rnd.IntN(len(kinds))
 	share := 0.1 + 0.9*rnd.Float64()
 	k.Fail(sometimes(rand.NewPCG(rnd.Uint64(), 3), share, kinds[n].fault))
-	return fmt.Sprintf("%s %s, %.2f of all", k.ID, kinds[n].name, share), func() { k.Fail(nil) }
+	return fmt.Sprintf("%s %s, %.2f of requests", k.ID, kinds[n].name, share), func() { k.Fail(nil) }
 }
 
-// sometimes gives a share of all requests a fault. It may serve several targets.
+// withProbability returns a function that gives a random share of the requests the fault f.
+// Several targets may use it at the same time.
 func sometimes(source rand.Source, share float64, f worker.Fault) func(*http.Request) worker.Fault {
 	var mu sync.Mutex
 	rnd := rand.New(source)
@@ -260,17 +276,18 @@
 	}
 }
 
-// wantNothing has a target refuse all and say for how long it wants nothing.
+// requestPause makes a target refuse all requests and ask for a pause of 2 s.
 func wantNothing(s *site, rnd *rand.Rand) (string, func()) {
 	k := s.some(rnd)
 	if k == nil {
 		return "", nil
 	}
 	k.Fail(func(*http.Request) worker.Fault { return worker.Fault{Shed: true, After: "2"} })
-	return k.ID + " wants nothing for 2 s", func() { k.Fail(nil) }
+	return k.ID + " asks for a pause of 2 s", func() { k.Fail(nil) }
 }
 
-// some draws a target that is in service.
+// pickTarget picks a target at random that neither leaves nor has crashed. It returns nil if
+// there are fewer than 3.
 func (s *site) some(rnd *rand.Rand) *target {
 	list := s.those(func(k *target) bool { return k.left.IsZero() && k.drained.IsZero() && !k.crashed })
 	if len(list) < 3 {
@@ -279,7 +296,7 @@
 	return list[rnd.IntN(len(list))]
 }
 
-// link disturbs the connections to a target or to the store.
+// disturbLink disturbs the connections to a target or to the store.
 func link(s *site, rnd *rand.Rand) (string, func()) {
 	p, name := s.front, "store"
 	if k := s.some(rnd); k != nil && rnd.IntN(4) > 0 {
@@ -287,22 +304,22 @@
 	}
 	m := mode(rnd.IntN(4))
 	delay := time.Duration(0)
-	what := []string{"slow", "swallows", "deaf", "reset"}[m]
+	effect := []string{"slow", "drops all data", "drops responses", "resets connections"}[m]
 	if m == pass {
 		delay = time.Duration(10+rnd.IntN(200)) * time.Millisecond
 	}
 	from := time.Now()
 	p.set(m, delay)
-	return fmt.Sprintf("link to %s %s", name, what), func() {
+	return fmt.Sprintf("link to %s: %s", name, effect), func() {
 		if m == swallow || m == deaf {
-			p.set(refuse, 0) // what was swallowed never comes
+			p.set(refuse, 0) // dropped data never arrives, so the open connections are unusable
 		}
 		p.set(pass, 0)
 		s.disturbed(from, time.Now())
 	}
 }
 
-// leave takes a target out as planned, by its record.
+// leaveByRecord announces in a target's record that it leaves.
 func leave(s *site, rnd *rand.Rand) (string, func()) {
 	k := s.some(rnd)
 	if k == nil {
@@ -312,10 +329,10 @@
 	defer s.mu.Unlock()
 	k.drained = time.Now()
 	s.record(k)
-	return k.ID + " leaves by its record", nil
+	return k.ID + " leaves, by its record", nil
 }
 
-// leaveByResponse has a target say in its responses alone that it leaves.
+// leaveByResponse makes a target announce that it leaves, in its responses only.
 func leaveByResponse(s *site, rnd *rand.Rand) (string, func()) {
 	k := s.some(rnd)
 	if k == nil {
@@ -328,10 +345,10 @@
 	}
 	k.Leave()
 	k.left = time.Now()
-	return k.ID + " says that it leaves", nil
+	return k.ID + " leaves, by its responses", nil
 }
 
-// nameLimit has a target name a limit, for longer than other faults last.
+// reportLimit makes a target report a limit, for 5 s longer than other faults last.
 func nameLimit(s *site, rnd *rand.Rand) (string, func()) {
 	k := s.some(rnd)
 	if k == nil {
@@ -345,7 +362,7 @@
 	rate := []float64{0.5, 2, 2.6, 10}[rnd.IntN(4)]
 	k.limits = append(k.limits, limit{rate, span{from: time.Now()}})
 	k.Limit(strconv.FormatFloat(rate, 'f', -1, 64))
-	return fmt.Sprintf("%s names a limit of %v", k.ID, rate), func() {
+	return fmt.Sprintf("%s reports a limit of %v", k.ID, rate), func() {
 		time.Sleep(5 * time.Second)
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -354,6 +371,7 @@
 	}
 }
 
+// joinTarget adds a target.
 func join(s *site, rnd *rand.Rand) (string, func()) {
 	return s.addTarget(s.someService(rnd)).ID + " joins", nil
 }
--- a/internal/soak/gateway_test.go
+++ b/internal/soak/gateway_test.go
@@ -17,6 +17,7 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
+// settingsTemplate is the settings file of a gateway.
 const settings = `
 nodeName: "%s"
 zone: %s
@@ -29,7 +30,7 @@
 platform: {address: "%s"}
 `
 
-// gateway is a gateway process, started again under the same name.
+// gateway is a gateway process. It keeps its name over restarts.
 type gateway struct {
 	site  *site
 	name  string
@@ -38,16 +39,17 @@
 	boot  string
 	log   string
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	cmd     *exec.Cmd
 	ended   chan struct{}
-	down    bool   // it was killed or told to stop
-	bad     bool   // its settings are
+	down    bool   // it was killed or received SIGTERM
+	bad     bool   // the settings file is invalid
 	hurt    []span // kills, starts and pauses
-	planned []span // from a SIGTERM to the end
+	planned []span // each from SIGTERM to exit
 }
 
-// lastHost gives each gateway a loopback address of its own, so that ports can be fixed.
+// lastAddress is the number of the latest loopback address in use. Each gateway has an address
+// of its own, so that all can use the same ports.
 var lastHost atomic.Int64
 
 func (s *site) addGateway() *gateway {
@@ -65,7 +67,7 @@
 	return g
 }
 
-// spoil writes settings that can't be used.
+// writeBadSettings writes an invalid settings file.
 func (g *gateway) spoil() {
 	g.mu.Lock()
 	g.bad = true
@@ -73,6 +75,7 @@
 	g.site.q.Assert(os.WriteFile(g.boot, []byte("nodeName: 7\nip: x"), 0o600), qt.IsNil)
 }
 
+// writeSettings writes a valid settings file.
 func (g *gateway) settings(grace string) {
 	g.mu.Lock()
 	g.bad = false
@@ -85,46 +88,47 @@
 	out, err := os.OpenFile(g.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	g.site.q.Assert(err, qt.IsNil)
 	defer out.Close()
-	cmd, ended := exec.Command(g.site.program, "gateway", "--metrics", "9464"), make(chan struct{})
+	cmd, exited := exec.Command(g.site.program, "gateway", "--metrics", "9464"), make(chan struct{})
 	cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+g.boot)
 	cmd.Stdout, cmd.Stderr = out, out
 	g.site.q.Assert(cmd.Start(), qt.IsNil)
 	g.mu.Lock()
-	g.cmd, g.ended, g.down = cmd, ended, false
+	g.cmd, g.ended, g.down = cmd, exited, false
 	g.mu.Unlock()
 	go func() {
 		_ = cmd.Wait()
-		down, bad := g.state() // of this process: once its end is known another may be started
-		close(ended)
-		if !down {
-			g.again(bad)
+		stopping, badSettings := g.state() // read before close, after which another process may be started
+		close(exited)
+		if !stopping {
+			g.again(badSettings)
 		}
 	}()
 }
 
-// again starts a process again that has ended by itself, as the platform does. None may
-// but one that was started with bad settings.
-func (g *gateway) again(bad bool) {
+// restart restarts a process that exited by itself, as the platform does. The test fails
+// unless the process was started with invalid settings.
+func (g *gateway) again(badSettings bool) {
 	const platformDelay = 300 * time.Millisecond
 	from := time.Now()
-	if !bad {
-		g.site.t.Errorf("seed %d: %s ended by itself at %s", g.site.seed, g.name, g.site.at(from))
+	if !badSettings {
+		g.site.t.Errorf("seed %d: %s exited unexpectedly at %s", g.site.seed, g.name, g.site.at(from))
 	}
 	time.Sleep(platformDelay)
-	if down, _ := g.state(); down {
+	if stopping, _ := g.state(); stopping {
 		return
 	}
 	g.start()
 	g.disturbed(from, time.Now())
 }
 
-func (g *gateway) state() (down, bad bool) {
+// state reports whether the process is stopping and whether its settings are invalid.
+func (g *gateway) state() (stopping, badSettings bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.down, g.bad
 }
 
-// leave notes that the process is to end.
+// markStopping marks the process as stopping, so that its exit is expected.
 func (g *gateway) leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -146,18 +150,20 @@
 
 func (g *gateway) wait() {
 	g.mu.Lock()
-	ended := g.ended
+	exited := g.ended
 	g.mu.Unlock()
-	<-ended
+	<-exited
 }
 
+// addDisturbance records a time when the process was down, started or paused.
 func (g *gateway) disturbed(from, to time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.hurt = append(g.hurt, span{from, to})
 }
 
-// disturbances are the times in which the process was killed, started or paused.
+// disturbances returns the times when the process was down because of a kill, started or
+// paused.
 func (g *gateway) disturbances() []span {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -173,10 +179,10 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// quick is the client of checks.
+// checkClient is the HTTP client for status checks and resolve requests.
 var quick = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// status is the part of a gateway's status that is checked.
+// status is the part of a gateway's status that the tests read.
 type status struct {
 	Boot     uint64 `json:"boot"`
 	Version  int    `json:"version"`
--- a/internal/soak/profile_test.go
+++ b/internal/soak/profile_test.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// profile is the shape of a site and of its load.
+// profile is the size of a site, its services and its load.
 type profile struct {
 	gatewayCount int
 	clientCount  int
-	cores        float64 // of a gateway, as its settings say
+	cores        float64 // of a gateway, as in its settings
 	places       []string
-	firstRatio   float64 // of repeats, as the settings say at the start; lowered before the first fault
-	slack        int     // repeats allowed beyond their share
+	firstRatio   float64 // retry budget ratio in the settings at the start; lowered to retryBudgetRatio before the first fault
+	slack        int     // extra dispatches allowed beyond the retry budget ratio
 	services     []service
 	kinds        []kind
-	paths        uint64  // of a kind; requests with one path look alike
-	rate         float64 // requests a second of all clients; 0: each sends one after the other
-	served       float64 // share of the requests that is served once all is well, at least
+	paths        uint64  // paths of a kind; requests with the same path look alike
+	rate         float64 // requests a second of all clients together; 0: each client waits up to 20 ms between requests
+	served       float64 // minimum share of requests served after recovery
 	faults       []fault
 }
 
@@ -23,9 +23,9 @@
 	name    string
 	targets int
 	slots   int
-	queue   int           // requests that wait at a target; 0: it has no bound
-	work    time.Duration // of a request
-	noisy   bool          // a quarter of the targets is slow at any moment
+	queue   int           // queued requests at a target; 0: unlimited
+	work    time.Duration // duration of a request at its target
+	noisy   bool          // each target is slow a quarter of the time
 }
 
 // kind is a kind of request.
@@ -34,16 +34,16 @@
 	service  string
 	method   string
 	prefix   string
-	once     bool // it may run once only
-	attempts int
+	once     bool // it must not run twice
+	attempts int  // most targets at which a request may run
 	goal     time.Duration
 	timeout  time.Duration
 	deadline time.Duration
-	retries  int // of its clients
-	share    int // of all requests
+	retries  int // by its clients
+	share    int // relative to the other kinds
 }
 
-// small is a site on which every target can be watched.
+// smallSite is the profile of a site with one service, small enough to observe every target.
 func small() profile {
 	return profile{
 		gatewayCount: *gateways, clientCount: *clients, cores: 1, places: []string{"hall"}, firstRatio: budgetRatio, slack: 50,
@@ -62,8 +62,8 @@
 	}
 }
 
-// full is a site of the users' size, with targets that refuse what they have no room for
-// and clients that come again. Its faults bring repeats.
+// fullSizeSite is the profile of a site of the users' size. Its targets refuse requests
+// when their queue is full and its clients retry. Its faults cause extra dispatches.
 func full() profile {
 	return profile{
 		gatewayCount: 13, clientCount: 120, cores: 0.32, places: []string{"fremantle", "subiaco", "joondalup"}, firstRatio: 1, slack: 56,
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -9,24 +9,24 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// mode is what a proxy does to the bytes that come.
+// proxyMode is how a proxy treats the data it receives.
 type mode uint8
 
 const (
 	pass    mode = iota
-	swallow      // both ways, connections stay open
-	deaf         // answers are swallowed
-	refuse       // connections are reset, new ones as well
+	swallow      // drops data in both directions and keeps connections open
+	deaf
+	refuse // resets open and new connections
 )
 
-// proxy passes bytes between gateways and one stand-in.
+// proxy forwards connections from gateways to one stand-in.
 type proxy struct {
 	l  net.Listener
 	to string
 
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	mode  mode
-	delay time.Duration // of each piece of an answer
+	delay time.Duration // before each write of response data
 	conns map[net.Conn]bool
 }
 
@@ -39,7 +39,7 @@
 	return p
 }
 
-// close ends all connections; new ones find no listener.
+// close stops the listener and resets all connections.
 func (p *proxy) close() {
 	p.l.Close()
 	p.set(refuse, 0)
@@ -47,7 +47,7 @@
 
 func (p *proxy) address() string { return p.l.Addr().String() }
 
-// set sets what the proxy does. Connections are reset where it refuses.
+// setMode sets the mode and the delay of responses. modeReset resets all open connections.
 func (p *proxy) set(m mode, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,6 +60,7 @@
 	}
 }
 
+// reset closes a connection with a TCP reset.
 func (p *proxy) reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -96,8 +97,8 @@
 	}
 }
 
-// copy passes one way of a connection on, until either end is closed.
-func (p *proxy) copy(to, from net.Conn, answers bool) {
+// copy forwards one direction of a connection until either end is closed.
+func (p *proxy) copy(to, from net.Conn, responses bool) {
 	defer func() {
 		p.mu.Lock()
 		delete(p.conns, from)
@@ -112,10 +113,10 @@
 			return
 		}
 		m, delay := p.state()
-		if m == swallow || m == deaf && answers {
+		if m == swallow || m == deaf && responses {
 			continue
 		}
-		if answers && delay > 0 {
+		if responses && delay > 0 {
 			time.Sleep(delay)
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
--- a/internal/soak/repeating_test.go
+++ b/internal/soak/repeating_test.go
@@ -10,7 +10,8 @@
 	"plumpitch.example/plumpitch/internal/standin/worker"
 )
 
-// repeating are faults that bring repeats, and those of gateways that share their budget.
+// extraDispatchFaults are faults that cause retries and hedges, and faults of gateways, which
+// share the retry budget.
 var repeating = []fault{
 	{2, pause},
 	{2, kill},
@@ -32,10 +33,11 @@
 	{1, join},
 }
 
-// reloadTime is how long settings may take to be in force after a signal.
+// maxReloadTime is the longest time from SIGHUP until a gateway has to apply its settings.
 const reloadTime = time.Second
 
-// lowerRatio has all gateways read the ratio of repeats that is checked.
+// lowerRetryRatio makes all gateways reload their settings with the retry budget ratio that
+// the test checks.
 func (s *site) lowerRatio() {
 	if s.firstRatio == budgetRatio {
 		return
@@ -45,11 +47,11 @@
 		g.settings("3s")
 		g.signal(syscall.SIGHUP)
 	}
-	s.logf("all gateways read a ratio of %g", budgetRatio)
+	s.logf("all gateways reload a retry budget ratio of %g", budgetRatio)
 	s.ratioAt = time.Now().Add(reloadTime)
 }
 
-// someService draws a service. Nothing is drawn where there is but one.
+// pickService picks a service at random. It uses no random number if there is only one.
 func (s *site) someService(rnd *rand.Rand) service {
 	if len(s.services) == 1 {
 		return s.services[0]
@@ -57,25 +59,25 @@
 	return s.services[rnd.IntN(len(s.services))]
 }
 
-// of are the targets of a service that run.
+// runningTargets returns the targets of a service that haven't crashed.
 func (s *site) of(name string) []*target {
 	return s.those(func(k *target) bool { return k.service.name == name && !k.crashed })
 }
 
-// killMany kills most gateways at the same moment.
+// killMostGateways kills up to two thirds of the gateways at the same time.
 func killMany(s *site, rnd *rand.Rand) (string, func()) {
-	var lost []*gateway
+	var killed []*gateway
 	for range 2 * len(s.gateways) / 3 {
 		if g := s.hold(rnd); g != nil {
-			lost = append(lost, g)
+			killed = append(killed, g)
 		}
 	}
 	from := time.Now()
-	for _, g := range lost {
+	for _, g := range killed {
 		g.kill()
 	}
-	return fmt.Sprintf("%d gateways are killed", len(lost)), func() {
-		for _, g := range lost {
+	return fmt.Sprintf("%d gateways are killed", len(killed)), func() {
+		for _, g := range killed {
 			g.start()
 			g.disturbed(from, time.Now())
 			held.Delete(g)
@@ -83,7 +85,7 @@
 	}
 }
 
-// misbehaveAll has all targets of a service fail a share of their requests.
+// failService makes all targets of a service fail a random share of their requests.
 func misbehaveAll(s *site, rnd *rand.Rand) (string, func()) {
 	sv := s.someService(rnd)
 	kinds := []struct {
@@ -92,25 +94,25 @@
 	}{
 		{"refuse", worker.Fault{Shed: true}},
 		{"fail", worker.Fault{Fail: true}},
-		{"lose answers", worker.Fault{Lose: true}},
-		{"answer 503 after the run", worker.Fault{Plain503: true}},
+		{"lose responses", worker.Fault{Lose: true}},
+		{"respond 503 after the run", worker.Fault{Plain503: true}},
 	}
 	n := rnd.IntN(len(kinds))
 	share := 0.3 + 0.7*rnd.Float64()
 	list := s.of(sv.name)
 	failAll(list, sometimes(rand.NewPCG(rnd.Uint64(), 4), share, kinds[n].fault))
-	return fmt.Sprintf("all targets of %s %s, %.2f of all", sv.name, kinds[n].name, share), func() { failAll(list, nil) }
+	return fmt.Sprintf("all targets of %s %s, %.2f of requests", sv.name, kinds[n].name, share), func() { failAll(list, nil) }
 }
 
-// failAll sets the faults of all targets of a list; nil ends them.
+// setFaults sets the faults of all targets in the list; nil ends them.
 func failAll(list []*target, f func(*http.Request) worker.Fault) {
 	for _, k := range list {
 		k.Fail(f)
 	}
 }
 
-// outage has the targets of all services fail nearly all requests, for as long as a window of
-// the budget.
+// failAllServices makes the targets of all services fail 90 % of requests. It lasts three
+// quarters of retryBudgetWindow longer than other faults, so about as long as the window.
 func outage(s *site, rnd *rand.Rand) (string, func()) {
 	const share = 0.9
 	kinds := []worker.Fault{{Shed: true}, {Fail: true}, {Plain503: true}}
@@ -126,7 +128,7 @@
 	}
 }
 
-// crashSome crashes targets of a service.
+// crashTargets crashes up to a third of the targets of a service, at least one.
 func crashSome(s *site, rnd *rand.Rand) (string, func()) {
 	sv := s.someService(rnd)
 	list := s.of(sv.name)
@@ -138,30 +140,31 @@
 	return fmt.Sprintf("%d targets of %s crash", n, sv.name), nil
 }
 
-// burst has clients send several times as often.
+// raiseLoad makes clients send 1.5 to 3 times as many requests.
 func burst(s *site, rnd *rand.Rand) (string, func()) {
-	x := 1.5 + 1.5*rnd.Float64()
-	s.rush.Store(int64(100 * x))
-	return fmt.Sprintf("clients send %.1f times as often", x), func() { s.rush.Store(100) }
+	factor := 1.5 + 1.5*rnd.Float64()
+	s.rush.Store(int64(100 * factor))
+	return fmt.Sprintf("clients send %.1f times as many requests", factor), func() { s.rush.Store(100) }
 }
 
-// abuse has clients send again at once, and more often.
+// retryAtOnce makes clients retry without a delay, and 3 times more than their requests' kind
+// allows.
 func abuse(s *site, _ *rand.Rand) (string, func()) {
-	const more = 3
-	s.insist.Store(more)
-	return fmt.Sprintf("clients send again at once, %d times more", more), func() { s.insist.Store(0) }
+	const extra = 3
+	s.insist.Store(extra)
+	return fmt.Sprintf("clients retry at once, with %d extra retries", extra), func() { s.insist.Store(0) }
 }
 
 const (
 	// poison is in the path of a request that crashes the target that runs it.
 	poison = "poison"
-	// amongRefusals is there too where every second one is refused.
+	// refusedSuffix is at the end of the path if targets refuse every second such request.
 	amongRefusals = "refused"
 )
 
-// poisoned has a client send a request that crashes targets, again and again.
+// sendPoison makes an additional client send a request that crashes targets every 300 ms.
 func poisoned(s *site, rnd *rand.Rand) (string, func()) {
-	const gap = 300 * time.Millisecond
+	const period = 300 * time.Millisecond
 	k := s.kinds[rnd.IntN(len(s.kinds))]
 	s.mu.Lock()
 	s.poisons++
@@ -170,23 +173,23 @@
 		path += amongRefusals
 	}
 	s.mu.Unlock()
-	end, done := make(chan struct{}), make(chan struct{})
+	stop, done := make(chan struct{}), make(chan struct{})
 	c := newClient(s, rand.New(rand.NewPCG(rnd.Uint64(), 5)))
 	go func() {
 		defer close(done)
 		defer c.close()
 		for {
 			select {
-			case <-end:
+			case <-stop:
 				return
-			case <-time.After(gap):
+			case <-time.After(period):
 				c.once(k, path)
 			}
 		}
 	}()
 	return path + " crashes targets", func() {
-		time.Sleep(touch + 3*time.Second) // the bound on such requests begins only then
-		close(end)
+		time.Sleep(touch + 3*time.Second) // checkPoison counts dispatches only after settleTime
+		close(stop)
 		<-done
 	}
 }
--- a/internal/soak/site_test.go
+++ b/internal/soak/site_test.go
@@ -22,7 +22,7 @@
 
 const host = "veil.example"
 
-// site is a site of gateway processes on stand-ins.
+// site is a test installation: gateway processes, with stand-ins for the store and the targets.
 type site struct {
 	profile
 	t        *testing.T
@@ -31,26 +31,26 @@
 	program  string
 	began    time.Time
 	store    *objects.Store
-	front    *proxy // of the store
+	front    *proxy // in front of the store
 	load     *load
-	poisoned atomic.Int64 // requests that crash targets and reached one
-	rush     atomic.Int64 // percent of the usual requests
-	insist   atomic.Int64 // how often clients send again beyond the usual, at once
-	ratio    atomic.Value // of repeats, as settings say: a float64
-	ratioAt  time.Time    // since when it holds everywhere
+	poisoned atomic.Int64 // requests with refusedSuffix that reached a target
+	rush     atomic.Int64 // request rate, in percent of the normal rate
+	insist   atomic.Int64 // retries that clients send at once, beyond those of the request's kind
+	ratio    atomic.Value // retry budget ratio in the settings files: a float64
+	ratioAt  time.Time    // when all gateways have to apply retryRatio; zero: from the start
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	gateways []*gateway
 	targets  []*target
-	poisons  int
+	poisons  int // poison paths used so far
 	version  int
-	started  int    // targets, those that have gone among them
-	faulty   []span // of faults of the store or of links
+	started  int    // targets started so far, including those that are gone
+	faulty   []span // disturbances of the store or of links
 	lines    []string
-	injected int
+	injected int // faults injected so far
 }
 
-// span is a time in which something was disturbed.
+// interval is a period of time.
 type span struct{ from, to time.Time }
 
 // target is a worker behind a proxy.
@@ -59,20 +59,21 @@
 	service service
 	place   string
 	proxy   *proxy
-	poisons *atomic.Int64 // requests that crash targets, at all of them
-	crashed bool          // its process has ended
-	lapsed  bool          // so has its record
-	left    time.Time     // when it began to say in its responses that it leaves
-	drained time.Time     // when the store took its leaving or its end
+	poisons *atomic.Int64 // counter of the site
+	crashed bool          // its process has exited
+	lapsed  bool          // its record in the store was deleted
+	left    time.Time     // since when its responses announce that it leaves
+	drained time.Time     // when the store recorded that it leaves
 	limits  []limit
 }
 
-// limit is one that a target named for a time.
+// limit is a limit that a target reported for some time.
 type limit struct {
-	rate float64
+	rate float64 // requests a second
 	span
 }
 
+// newSite starts a site and waits until all gateways are ready.
 func newSite(t *testing.T, seed uint64, p profile) *site {
 	s := &site{profile: p, t: t, q: qt.New(t), seed: seed, program: program(t), began: time.Now(), store: objects.New()}
 	s.rush.Store(100)
@@ -101,7 +102,8 @@
 	err  error
 }
 
-// program builds the program once.
+// buildProgram returns the path of the program to test. It builds the program at the first
+// call, unless a flag names one.
 func program(t *testing.T) string {
 	if *built != "" {
 		return *built
@@ -129,7 +131,7 @@
 	os.Exit(code)
 }
 
-// addTarget starts a target and puts it on record.
+// addTarget starts a target and writes its record to the store.
 func (s *site) addTarget(sv service) *target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,11 +157,11 @@
 
 const (
 	noiseTime  = 150 * time.Millisecond
-	noiseShare = 0.25
-	noisePace  = 5
+	noiseShare = 0.25 // of the intervals
+	noisePace  = 5    // factor on the service time
 )
 
-// disturbPace has a target be slow a quarter of the time.
+// varyPace makes a target slow during a random quarter of the time.
 func (s *site) disturbPace(k *target) {
 	rnd := rand.New(rand.NewPCG(s.seed, uint64(1000+s.started)))
 	ticker := time.NewTicker(noiseTime)
@@ -184,11 +186,12 @@
 	}()
 }
 
-// place deals the places of a site out.
+// place assigns the places of the site in turn.
 func (s *site) place(n int) string { return s.places[n%len(s.places)] }
 
-// Fail sets the faults of each request, as worker.Worker.Fail does. A request that crashes
-// its targets does so whatever else they do.
+// Fail sets the faults of each request, as the embedded worker's method does. A request that
+// crashes targets does so independently of f. Every second one with refusedSuffix is refused
+// instead.
 func (k *target) Fail(f func(*http.Request) worker.Fault) {
 	k.Worker.Fail(func(r *http.Request) worker.Fault {
 		switch {
@@ -204,19 +207,19 @@
 }
 
 const (
-	// crashTime is after how long another target stands in for one that has crashed,
-	// and lapseTime after how long the record of that one goes.
+	// replacementDelay is the time from a crash until another target replaces the crashed one.
 	crashTime = time.Second
+	// recordDeletionDelay is the time from a crash until the target's record is deleted.
 	lapseTime = 4500 * time.Millisecond
 )
 
-// crash ends the process of a target as a crash does, without a word to the store.
+// crashTarget ends a target without a notice to the store, as a crash does.
 func (s *site) crash(k *target) {
 	s.mu.Lock()
-	again := k.crashed
+	before := k.crashed
 	k.crashed = true
 	s.mu.Unlock()
-	if again {
+	if before {
 		return
 	}
 	s.logf("%s crashes", k.ID)
@@ -231,12 +234,12 @@
 	})
 }
 
-// onRecord are the targets of a service that the store knows.
+// recordedTargets returns the targets of a service that have a record in the store.
 func (s *site) onRecord(name string) []*target {
 	return s.those(func(k *target) bool { return k.service.name == name && !k.lapsed })
 }
 
-// those are the targets that a condition holds of. The lock is held for it.
+// targetsWhere returns the targets for which ok returns true. It calls ok with the lock held.
 func (s *site) those(ok func(k *target) bool) (list []*target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -248,13 +251,14 @@
 	return list
 }
 
-// later does something after a time, unless the play has ended.
+// schedule calls f after the duration d, unless the test has ended by then.
 func (s *site) later(d time.Duration, f func()) {
 	timer := time.AfterFunc(d, f)
 	s.t.Cleanup(func() { timer.Stop() })
 }
 
-// record writes what the store is to hold of a target. The lock is held.
+// writeRecord writes the record of a target to the store, unless the target has crashed. The
+// caller holds the lock.
 func (s *site) record(k *target) {
 	if k.crashed {
 		return
@@ -264,7 +268,7 @@
 	})
 }
 
-// configure writes a newer configuration.
+// publishConfig writes the configuration with the next version.
 func (s *site) configure() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -272,6 +276,7 @@
 	s.putConfig()
 }
 
+// writeConfig writes the configuration with the current version. The caller holds the lock.
 func (s *site) putConfig() {
 	var routes []objects.Route
 	var names []string
@@ -287,7 +292,8 @@
 	s.store.PutConfig(s.version, routes, names)
 }
 
-// rewrite writes again what the operator and the targets had written, as after a restore.
+// rewriteAll writes the configuration and the records of all targets again, as the operator
+// and the targets do after a restore of the store.
 func (s *site) rewrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -297,46 +303,46 @@
 	}
 }
 
-// disturbed notes a fault of the store or of links.
+// addDisturbance records a disturbance of the store or of links.
 func (s *site) disturbed(from, to time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faulty = append(s.faulty, span{from, to})
 }
 
-// overlaps reports whether one of the spans has a part in another one.
-func overlaps(list []span, with span) bool {
+// overlaps reports whether an interval of the list overlaps the other one.
+func overlaps(list []span, other span) bool {
 	for _, f := range list {
-		if f.from.Before(with.to) && with.from.Before(f.to) {
+		if f.from.Before(other.to) && other.from.Before(f.to) {
 			return true
 		}
 	}
 	return false
 }
 
-// logf notes a line of the timeline.
+// logf adds a line to the timeline.
 func (s *site) logf(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lines = append(s.lines, fmt.Sprintf("%7.3f ", time.Since(s.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// at is a time of the timeline.
+// timeOffset formats a time as seconds since the start of the site, as in the timeline.
 func (s *site) at(t time.Time) string { return fmt.Sprintf("%.3f", t.Sub(s.began).Seconds()) }
 
-// until waits for a condition.
+// waitUntil waits until ok returns true. The test fails after 20 s.
 func (s *site) until(what string, ok func() bool) {
 	s.t.Helper()
-	const bound = 20 * time.Second
-	for end := time.Now().Add(bound); !ok(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
+	const timeout = 20 * time.Second
+	for deadline := time.Now().Add(timeout); !ok(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			s.report()
-			s.t.Fatalf("seed %d: not within %v: %s", s.seed, bound, what)
+			s.t.Fatalf("seed %d: timeout after %v waiting for: %s", s.seed, timeout, what)
 		}
 	}
 }
 
-// report writes the timeline and keeps the gateways' logs.
+// report logs the timeline and copies the gateways' logs to a directory that outlasts the test.
 func (s *site) report() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -354,5 +360,5 @@
 			s.t.Log(err)
 		}
 	}
-	s.t.Logf("seed %d, logs of gateways: %s\n%s", s.seed, dir, strings.Join(s.lines, "\n"))
+	s.t.Logf("seed %d, gateway logs in %s, timeline:\n%s", s.seed, dir, strings.Join(s.lines, "\n"))
 }
