--- a/pkg/tree/check.go
+++ b/pkg/tree/check.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Check returns all faults of a document, nil when it has none.
+// Check validates a document and returns all problems found, nil for a valid one.
 func (d Document) Check() Problems {
 	var found Problems
 	if n, ok := d.Nodes[Root]; !ok || n.Kind != RootKind {
@@ -23,6 +23,7 @@
 	return found.sorted()
 }
 
+// paths returns the sorted paths of all nodes.
 func (d Document) paths() []string {
 	paths := make([]string, 0, len(d.Nodes))
 	for path := range d.Nodes {
@@ -74,27 +75,28 @@
 	if path == Root {
 		return nil
 	}
-	up := parentOf(path, n)
-	parent, ok := d.Nodes[up]
+	parentPath := parentOf(path, n)
+	parent, ok := d.Nodes[parentPath]
 	if !ok {
-		return Problems{{Path: path, Field: "parent", Found: "missing parent " + up, Expected: "a node " + up + " in the tree"}}
+		return Problems{{Path: path, Field: "parent", Found: "missing parent " + parentPath, Expected: "a node " + parentPath + " in the tree"}}
 	}
 	if parent.Kind == ServiceKind || parent.Kind == PlaceKind {
 		return Problems{{
-			Path: path, Field: "parent", Found: string(parent.Kind) + " " + up,
+			Path: path, Field: "parent", Found: string(parent.Kind) + " " + parentPath,
 			Expected: "a parent of kind group or root",
 		}}
 	}
-	if loop := d.cycle(path); loop != "" {
-		return Problems{{Path: path, Field: "parent", Found: "cycle " + loop, Expected: "parents that lead to /"}}
+	if cycle := d.cycle(path); cycle != "" {
+		return Problems{{Path: path, Field: "parent", Found: "cycle " + cycle, Expected: "parents that lead to /"}}
 	}
 	return nil
 }
 
-// cycle returns the parents by which a node inherits from itself, or nothing.
+// cycle describes the chain of parents through which a node inherits from itself.
+// It returns an empty string for a node that is not part of a cycle.
 func (d Document) cycle(path string) string {
-	chain, whole := d.chain(path)
-	if whole {
+	chain, complete := d.chain(path)
+	if complete {
 		return ""
 	}
 	last := chain[len(chain)-1]
@@ -110,7 +112,7 @@
 		return unknownField(name)
 	}
 	if !slices.Contains(f.Levels, k) {
-		return &Problem{Field: name, Found: "a node of kind " + string(k), Expected: "it at " + joinKinds(f.Levels)}
+		return &Problem{Field: name, Found: "a node of kind " + string(k), Expected: "a node of kind " + joinKinds(f.Levels)}
 	}
 	_, p := f.Canon(text)
 	return p
@@ -124,41 +126,41 @@
 	return strings.Join(texts, ", ")
 }
 
-// checkNames finds two services or two places of one name: callers and VMs use
-// the name alone.
+// checkUniqueNames reports services that share a name, and places that share a
+// name. Callers and VMs refer to them by name, without the path.
 func (d Document) checkNames() Problems {
 	var found Problems
-	first := map[string]string{}
+	firstPaths := map[string]string{} // keyed by kind and name
 	for _, path := range d.paths() {
 		k := d.Nodes[path].Kind
 		if k != ServiceKind && k != PlaceKind {
 			continue
 		}
-		id := string(k) + " " + Name(path)
-		if other, ok := first[id]; ok {
+		kindAndName := string(k) + " " + Name(path)
+		if other, ok := firstPaths[kindAndName]; ok {
 			found = append(found, Problem{
-				Path: path, Found: fmt.Sprintf("a second %s, after %s", id, other), Expected: "names that differ",
+				Path: path, Found: fmt.Sprintf("a second %s, after %s", kindAndName, other), Expected: "a unique name",
 			})
 			continue
 		}
-		first[id] = path
+		firstPaths[kindAndName] = path
 	}
 	return found
 }
 
-// checkServices checks what only the values in effect can show.
+// checkServices checks the rules that depend on the inherited values of services.
 func (d Document) checkServices() Problems {
 	var found Problems
-	known := []string{}
-	for _, l := range d.Places() {
-		known = append(known, l.Name)
+	placeNames := []string{}
+	for _, place := range d.Places() {
+		placeNames = append(placeNames, place.Name)
 	}
 	for _, s := range d.Services() {
 		for _, name := range s.Policy.Places {
-			if !slices.Contains(known, name) {
+			if !slices.Contains(placeNames, name) {
 				found = append(found, Problem{
 					Path: s.Path, Field: "places", Found: "unknown place " + quote(name),
-					Expected: "the name of a place in the tree", Hint: nearest(name, known),
+					Expected: "the name of a place in the tree", Hint: nearest(name, placeNames),
 				})
 			}
 		}
--- a/pkg/tree/conflict.go
+++ b/pkg/tree/conflict.go
@@ -2,67 +2,68 @@
 
 import "fmt"
 
-// Conflict says that what an edit touches was changed since its base revision.
+// Conflict is the error for an edit that depends on a value or node which another
+// edit has changed since the base revision.
 type Conflict struct {
 	Mine   Edit
-	Change Change // of Mine
-	Theirs Edit   // accepted since
-	Their  Change // of Theirs
+	Change Change // the conflicting change of Rejected
+	Theirs Edit   // the edit accepted since the base revision
+	Their  Change // the conflicting change of Accepted
 }
 
-// Error shows both edits.
+// Error describes both edits and their conflicting changes.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("conflict: your edit %s of revision %d would %s; edit %s by %s, revision %d, did %s",
 		c.Mine.ID, c.Mine.Base, c.Change, c.Theirs.ID, c.Theirs.Author, c.Theirs.Revision, c.Their)
 }
 
-// Stale says that the log no longer reaches back to the base of an edit, so
-// that conflicts can't be told.
+// StaleBase is the error for an edit whose base revision is older than the log, so
+// that conflicts cannot be detected.
 type Stale struct {
 	Base   uint64
-	Oldest uint64 // oldest base that can be judged
+	Oldest uint64 // oldest base revision for which conflicts can be detected
 }
 
-// Error names both revisions.
+// Error returns a message with both revisions.
 func (s *Stale) Error() string {
 	return fmt.Sprintf("conflict: found base revision %d, expected %d or newer; read the settings again", s.Base, s.Oldest)
 }
 
-// Ahead says that an edit is based on a revision which this document has not
-// reached.
+// FutureBase is the error for an edit whose base revision is newer than the
+// document.
 type Ahead struct {
 	Base     uint64
-	Revision uint64
+	Revision uint64 // of the document
 }
 
-// Error names both revisions.
-func (a *Ahead) Error() string {
-	return fmt.Sprintf("found base revision %d, expected %d or older", a.Base, a.Revision)
+// Error returns a message with both revisions.
+func (f *Ahead) Error() string {
+	return fmt.Sprintf("found base revision %d, expected %d or older", f.Base, f.Revision)
 }
 
-// Reused says that another edit was accepted under the same ID.
+// ReusedID is the error for an edit whose ID belongs to a different accepted edit.
 type Reused struct {
 	Edit Edit
 }
 
-// Error names the accepted edit.
+// Error returns a message with the accepted edit.
 func (r *Reused) Error() string {
 	return fmt.Sprintf("conflict: edit id %s was used by another edit, revision %d", r.Edit.ID, r.Edit.Revision)
 }
 
-// Dropped says that an accepted edit lost against another one when two
-// histories were joined; see Join.
+// DroppedEdit is the error for a resent edit that was accepted but later dropped
+// because of a conflict between diverged histories; see MergeDiverged.
 type Dropped struct {
 	Edit Edit
 }
 
-// Error names the edit.
+// Error returns a message with the dropped edit.
 func (d *Dropped) Error() string {
-	return fmt.Sprintf("conflict: edit %s lost against another edit when the store came back older, revision %d",
+	return fmt.Sprintf("conflict: edit %s, revision %d, was dropped because it conflicts with another edit; the store had lost data and diverged histories were merged",
 		d.Edit.ID, d.Edit.Revision)
 }
 
-// String tells the change in words.
+// String describes the change in the imperative.
 func (c Change) String() string {
 	switch c.Op {
 	case Set:
@@ -77,9 +78,10 @@
 	return fmt.Sprintf("%s %s", c.Op, c.Path)
 }
 
-// clash looks for an edit after e.Base that touched what e touches or what it
-// inherits. Without it the later of two operators would overwrite a value that
-// they never saw, and the earlier would believe theirs in force.
+// checkConflict returns an error if an edit accepted after e.Base changed what e
+// changes or inherits. Without this check, the later of two operators would
+// overwrite a value that they never saw, and the earlier would believe that their
+// value is in effect.
 func (d Document) clash(e Edit) error {
 	if e.Base > d.Revision {
 		return &Ahead{Base: e.Base, Revision: d.Revision}
@@ -87,14 +89,14 @@
 	if oldest := d.oldest(); e.Base < oldest {
 		return &Stale{Base: e.Base, Oldest: oldest}
 	}
-	for _, theirs := range d.Edits {
-		if theirs.Revision <= e.Base {
+	for _, accepted := range d.Edits {
+		if accepted.Revision <= e.Base {
 			continue
 		}
-		for _, mine := range e.Changes {
-			for _, their := range theirs.Changes {
-				if d.touches(mine, their) {
-					return &Conflict{Mine: e, Change: mine, Theirs: theirs, Their: their}
+		for _, change := range e.Changes {
+			for _, acceptedChange := range accepted.Changes {
+				if d.touches(change, acceptedChange) {
+					return &Conflict{Mine: e, Change: change, Theirs: accepted, Their: acceptedChange}
 				}
 			}
 		}
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// oldest returns the oldest base whose later edits the log holds in full.
+// oldestBase returns the oldest revision after which the log holds every edit.
 func (d Document) oldest() uint64 {
 	if len(d.Edits) == 0 {
 		return d.Revision
@@ -110,59 +112,62 @@
 	return d.Edits[0].Revision - 1
 }
 
-// touches tells whether their change alters what mine touches or inherits.
-func (d Document) touches(mine, their Change) bool {
+// conflicts reports whether an accepted change alters a node or value that change
+// alters or inherits, or relies on a node or value that change alters.
+func (d Document) touches(change, accepted Change) bool {
 	switch {
-	case mine.Path == their.Path && (structural(mine) || structural(their)):
+	case change.Path == accepted.Path && (structural(change) || structural(accepted)):
 		return true
-	case mine.Path == their.Path:
-		return mine.Field == their.Field && mine != their
-	case structural(their) && mine.Parent == their.Path:
+	case change.Path == accepted.Path:
+		return change.Field == accepted.Field && change != accepted
+	case structural(accepted) && change.Parent == accepted.Path:
 		return true
-	case !structural(mine) && !structural(their) && mine.Field != their.Field:
+	case !structural(change) && !structural(accepted) && change.Field != accepted.Field:
 		return false
-	case d.inherits(mine.Path, their.Path):
-		return structural(their) || !structural(mine) && !d.shielded(mine, their.Path)
-	case d.inherits(their.Path, mine.Path):
-		return structural(mine) || their.Op == Unset
+	case d.inherits(change.Path, accepted.Path):
+		return structural(accepted) || !structural(change) && !d.shielded(change, accepted.Path)
+	case d.inherits(accepted.Path, change.Path):
+		return structural(change) || accepted.Op == Unset
 	}
 	return false
 }
 
-// shielded tells whether a value below from keeps a change there from reaching
-// the node that mine touches.
-func (d Document) shielded(mine Change, from string) bool {
-	chain, _ := d.chain(mine.Path)
-	for _, p := range chain {
-		if p == from {
+// overridden reports whether a node below ancestor overrides the field of change,
+// so that a change of the field at ancestor does not reach the changed node. The
+// value that an Unset removes does not count.
+func (d Document) shielded(change Change, ancestor string) bool {
+	chain, _ := d.chain(change.Path)
+	for _, path := range chain {
+		if path == ancestor {
 			return false
 		}
-		if _, ok := d.Nodes[p].Values[mine.Field]; ok && (p != mine.Path || mine.Op != Unset) {
+		if _, ok := d.Nodes[path].Values[change.Field]; ok && (path != change.Path || change.Op != Unset) {
 			return true
 		}
 	}
 	return false
 }
 
-// structural tells whether a change is of a node itself and not of a value.
+// structural reports whether a change creates, removes or moves a node.
 func structural(c Change) bool {
 	return c.Op != Set && c.Op != Unset
 }
 
-// inherits tells whether a node lies under another one, by its parents or by
-// its path alone when it is new or gone.
-func (d Document) inherits(path, from string) bool {
-	up := path
+// inherits reports whether a node inherits from ancestor. It follows the parents
+// of existing nodes and the enclosing paths of nodes that are not in the document,
+// because the change creates them or an accepted edit removed them.
+func (d Document) inherits(path, ancestor string) bool {
+	current := path
 	for range len(d.Nodes) + maxDepth {
-		if n, ok := d.Nodes[up]; ok {
-			up = parentOf(up, n)
+		if n, ok := d.Nodes[current]; ok {
+			current = parentOf(current, n)
 		} else {
-			up = enclosing(up)
+			current = enclosing(current)
 		}
-		if up == from {
-			return path != from
+		if current == ancestor {
+			return path != ancestor
 		}
-		if up == "" {
+		if current == "" {
 			return false
 		}
 	}
--- a/pkg/tree/diff.go
+++ b/pkg/tree/diff.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// Diff returns the changes that lead from d to the nodes of other. It is empty
-// when they agree; revisions and logs aren't compared.
+// Diff returns the changes that turn the nodes of d into those of other. It ignores
+// revisions and logs.
 func (d Document) Diff(other Document) []Change {
-	var made, set, gone []Change
+	var structure, values, removed []Change
 	for _, path := range other.paths() {
 		n, old := other.Nodes[path], d.Nodes[path]
 		if old.Kind != n.Kind {
 			if old.Kind != "" {
-				made = append(made, Change{Op: Remove, Path: path})
+				structure = append(structure, Change{Op: Remove, Path: path})
 			}
-			made = append(made, Change{Op: Create, Path: path, Kind: n.Kind, Parent: n.Parent})
+			structure = append(structure, Change{Op: Create, Path: path, Kind: n.Kind, Parent: n.Parent})
 			old = Node{Kind: n.Kind, Parent: n.Parent}
 		}
 		if old.Parent != n.Parent {
-			made = append(made, Change{Op: Move, Path: path, Parent: n.Parent})
+			structure = append(structure, Change{Op: Move, Path: path, Parent: n.Parent})
 		}
-		set = append(set, diffValues(path, old.Values, n.Values)...)
+		values = append(values, diffValues(path, old.Values, n.Values)...)
 	}
 	for _, path := range d.paths() {
 		if _, ok := other.Nodes[path]; !ok {
-			gone = append(gone, Change{Op: Remove, Path: path})
+			removed = append(removed, Change{Op: Remove, Path: path})
 		}
 	}
-	return slices.Concat(made, set, gone)
+	return slices.Concat(structure, values, removed)
 }
 
 func diffValues(path string, old, values map[string]string) []Change {
 	var changes []Change
 	for _, name := range slices.Sorted(maps.Keys(values)) {
-		if was, ok := old[name]; !ok || was != values[name] {
+		if oldValue, ok := old[name]; !ok || oldValue != values[name] {
 			changes = append(changes, Change{Op: Set, Path: path, Field: name, Value: values[name]})
 		}
 	}
@@ -47,11 +47,11 @@
 	return changes
 }
 
-// Seed returns a document of revision 1 with the nodes of a parsed file, for a
-// store that holds none.
+// Seed returns a document of revision 1 with the nodes of a parsed file. It
+// initializes a store that holds no document.
 func Seed(file Document, now time.Time) (Document, error) {
 	d := New()
-	first := Edit{ID: "seed", Author: "seed", Changes: d.Diff(file)}
-	seeded, _, err := d.Apply(first, now)
+	initial := Edit{ID: "seed", Author: "seed", Changes: d.Diff(file)}
+	seeded, _, err := d.Apply(initial, now)
 	return seeded, err
 }
--- a/pkg/tree/doc_test.go
+++ b/pkg/tree/doc_test.go
@@ -11,7 +11,7 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// row is the line of docs/SETTINGS.md for a field.
+// documentedRow returns the table row of docs/SETTINGS.md for a field.
 func row(f tree.Field) string {
 	var levels []string
 	for _, k := range f.Levels {
@@ -25,6 +25,7 @@
 		f.Name, f.Unit, def, f.Range(), strings.Join(levels, ", "), f.Help)
 }
 
+// The table of docs/SETTINGS.md must contain exactly the rows of tree.Fields.
 func TestDocumentation(t *testing.T) {
 	q := qt.New(t)
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
--- a/pkg/tree/edit.go
+++ b/pkg/tree/edit.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Bounds of the log of edits in a document. The log is what lets a lost answer
-// be found and a peer be sent edits instead of the whole document.
+// Limits of the log of edits in a document. The log serves to recognize a resent
+// edit whose response was lost, to detect conflicts, and to send a peer only the
+// edits that it lacks instead of the whole document.
 const (
 	maxLog     = 128
-	maxChanges = 2048 // of all edits in the log together, but the last is always kept
+	maxChanges = 2048 // total of all edits in the log; the latest edit is kept even if it exceeds this
 )
 
-// Apply returns the document that an edit leads to and the edit as accepted at
-// time now. An edit whose ID is in the log is not applied again: it returns d
-// and the edit as it was accepted before. The error is a *Conflict, *Stale,
-// *Ahead, *Reused, *Dropped, or Problems.
+// Apply returns the document with an edit applied, and the edit as accepted at
+// time now. If the log already holds an edit with the same ID, Apply returns d
+// and the logged edit. An error is of type *Conflict, *StaleBase, *FutureBase,
+// *ReusedID, *DroppedEdit or Problems.
 func (d Document) Apply(e Edit, now time.Time) (Document, Edit, error) {
-	if old, ok := d.Find(e.ID); ok {
-		return d, old, sameEdit(old, e)
+	if logged, ok := d.Find(e.ID); ok {
+		return d, logged, sameEdit(logged, e)
 	}
 	e, err := canonical(e)
 	if err != nil {
@@ -37,7 +38,7 @@
 	return next, e, nil
 }
 
-// Find returns the edit with an ID when the log still holds it.
+// FindEdit returns the edit with an ID, if the log still holds it.
 func (d Document) Find(id string) (Edit, bool) {
 	for _, e := range d.Edits {
 		if e.ID == id {
@@ -47,18 +48,19 @@
 	return Edit{}, false
 }
 
-// sameEdit tells a resend from another edit under the same ID.
-func sameEdit(old, e Edit) error {
-	if len(old.Changes) == 0 {
-		return &Dropped{Edit: old}
+// checkResend returns an error unless e is a resend of the logged edit with the
+// same ID.
+func sameEdit(logged, e Edit) error {
+	if len(logged.Changes) == 0 {
+		return &Dropped{Edit: logged}
 	}
-	if c, err := canonical(e); err == nil && slices.Equal(c.Changes, old.Changes) {
+	if resent, err := canonical(e); err == nil && slices.Equal(resent.Changes, logged.Changes) {
 		return nil
 	}
-	return &Reused{Edit: old}
+	return &Reused{Edit: logged}
 }
 
-// canonical brings the values of an edit into canonical text.
+// canonicalizeEdit validates an edit and converts its values to canonical text.
 func canonical(e Edit) (Edit, error) {
 	var found Problems
 	if e.ID == "" {
@@ -69,13 +71,13 @@
 	}
 	e.Changes = slices.Clone(e.Changes)
 	for i, c := range e.Changes {
-		fixed, p := c.canonical()
+		canonical, p := c.canonical()
 		if p != nil {
 			p.Path = c.Path
 			found = append(found, *p)
 			continue
 		}
-		e.Changes[i] = fixed
+		e.Changes[i] = canonical
 	}
 	if len(found) > 0 {
 		return e, found
@@ -83,6 +85,8 @@
 	return e, nil
 }
 
+// canonicalize validates the operation and field of a change and converts its
+// value to canonical text.
 func (c Change) canonical() (Change, *Problem) {
 	switch c.Op {
 	case Set, Unset:
@@ -103,7 +107,8 @@
 	return c, p
 }
 
-// advance applies the changes of an accepted edit and logs it.
+// applyAccepted applies the changes of an accepted edit, checks the result and
+// appends the edit to the log.
 func (d Document) advance(e Edit) (Document, error) {
 	next := Document{Revision: e.Revision, Nodes: maps.Clone(d.Nodes)}
 	var found Problems
@@ -123,19 +128,22 @@
 	return next, nil
 }
 
+// trimLog returns the latest edits that fit within maxLogEdits and
+// maxLogChanges.
 func trim(log []Edit) []Edit {
-	changes, kept := 0, 0
+	changes, edits := 0, 0
 	for i := len(log) - 1; i >= 0; i-- {
 		changes += len(log[i].Changes)
-		if kept > 0 && (kept == maxLog || changes > maxChanges) {
+		if edits > 0 && (edits == maxLog || changes > maxChanges) {
 			break
 		}
-		kept++
+		edits++
 	}
-	return log[len(log)-kept:]
+	return log[len(log)-edits:]
 }
 
-// step changes the nodes of a document that is not yet shared.
+// applyChange applies a change to the nodes of d in place. The caller must own
+// the map d.Nodes; the values of a node are cloned.
 func (d Document) step(c Change) *Problem {
 	c, p := c.canonical()
 	if p != nil {
@@ -144,13 +152,13 @@
 	n, ok := d.Nodes[c.Path]
 	if c.Op == Create {
 		if ok {
-			return &Problem{Found: "an existing " + string(n.Kind), Expected: "a path that is free"}
+			return &Problem{Found: "an existing " + string(n.Kind), Expected: "an unused path"}
 		}
 		d.Nodes[c.Path] = Node{Kind: c.Kind, Parent: c.Parent}
 		return nil
 	}
 	if !ok {
-		return &Problem{Found: "no such node", Expected: "a node of the tree", Hint: nearest(c.Path, d.paths())}
+		return &Problem{Found: "no such node", Expected: "an existing node", Hint: nearest(c.Path, d.paths())}
 	}
 	switch c.Op {
 	case Remove:
--- a/pkg/tree/edit_test.go
+++ b/pkg/tree/edit_test.go
@@ -33,13 +33,15 @@
 	return tree.Edit{ID: id, Author: "ana", Base: base, Changes: changes}
 }
 
-// site is a document of revision 1: a group with a service that overrides slots.
+// newSite returns a document of revision 1 with a group of two services, one of
+// which overrides slots.
 func site(q *qt.C) tree.Document {
 	return apply(q, tree.New(), edit("first", 0,
 		create("/g", tree.GroupKind), create("/g/s", tree.ServiceKind), create("/g/t", tree.ServiceKind),
 		set("/g/s", "slots", "4")))
 }
 
+// apply applies edits to d in order and fails the test on an error.
 func apply(q *qt.C, d tree.Document, edits ...tree.Edit) tree.Document {
 	q.Helper()
 	for _, e := range edits {
@@ -50,19 +52,20 @@
 	return d
 }
 
-// Two operators read revision 1 and edit. The first is accepted as revision 2.
-// When the second touches the same value, or one that it inherits or that now
-// inherits from it, the second operator decided on what is no longer so; they
-// get both edits shown. Anything else is rebased without a word.
+// Two operators edit revision 1, and the first edit is accepted as revision 2. The
+// second edit was decided on outdated settings if the first one changed the same
+// value, a value that the second one inherits, or a node that now inherits the value
+// that the second one sets. It must then be rejected with a Conflict that holds both
+// edits. Any other edit is applied to revision 2.
 func TestRace(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		first  tree.Change
-		second tree.Change
-		clash  bool
+		name     string
+		first    tree.Change
+		second   tree.Change
+		conflict bool
 	}{
 		{"same value", set("/g/s", "timeout", "1s"), set("/g/s", "timeout", "3s"), true},
-		{"same value, alike", set("/g/s", "timeout", "1s"), set("/g/s", "timeout", "1000ms"), false},
+		{"same value, equal", set("/g/s", "timeout", "1s"), set("/g/s", "timeout", "1000ms"), false},
 		{"set and unset", set("/g/s", "slots", "8"), unset("/g/s", "slots"), true},
 		{"another field", set("/g/s", "slots", "8"), set("/g/s", "timeout", "3s"), false},
 		{"another node", set("/g/t", "timeout", "1s"), set("/g/s", "timeout", "3s"), false},
@@ -71,19 +74,19 @@
 		{"parent, then child that overrides", set("/g", "slots", "8"), set("/g/s", "slots", "5"), false},
 		{"parent, then child that stops overriding", set("/g", "slots", "8"), unset("/g/s", "slots"), true},
 		{"child, then parent", set("/g/s", "timeout", "1s"), set("/g", "timeout", "3s"), false},
-		{"child trusts parent, then parent", unset("/g/s", "slots"), set("/g", "slots", "8"), true},
-		{"child gone", remove("/g/s"), set("/g/s", "slots", "8"), true},
-		{"child gone, parent set", remove("/g/s"), set("/g", "slots", "8"), false},
+		{"child stops overriding, then parent", unset("/g/s", "slots"), set("/g", "slots", "8"), true},
+		{"child removed, then set", remove("/g/s"), set("/g/s", "slots", "8"), true},
+		{"child removed, then parent", remove("/g/s"), set("/g", "slots", "8"), false},
 		{"child set, then removed", set("/g/s", "slots", "8"), remove("/g/s"), true},
 		{"created twice", create("/g/u", tree.ServiceKind), create("/g/u", tree.ServiceKind), true},
-		{"created beside", create("/g/u", tree.ServiceKind), create("/g/v", tree.ServiceKind), false},
-		{"moved under another", tree.Change{Op: tree.Move, Path: "/g/s", Parent: "/"}, set("/g/s", "timeout", "1s"), true},
+		{"created next to each other", create("/g/u", tree.ServiceKind), create("/g/v", tree.ServiceKind), false},
+		{"moved to another parent, then set", tree.Change{Op: tree.Move, Path: "/g/s", Parent: "/"}, set("/g/s", "timeout", "1s"), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := qt.New(t)
 			d := apply(q, site(q), edit("one", 1, c.first))
 			next, _, err := d.Apply(edit("two", 1, c.second), start)
-			if !c.clash {
+			if !c.conflict {
 				q.Assert(err, qt.IsNil)
 				q.Assert(next.Revision, qt.Equals, uint64(3))
 				return
@@ -97,9 +100,9 @@
 	}
 }
 
-// The answer to an edit is lost after the write took effect, and the operator
-// sends the edit again. Without its ID in the log it would be applied twice, or
-// be reported as a conflict with itself.
+// The response to an edit is lost after the write took effect, and the operator
+// resends the edit. Without its ID in the log, the edit would be applied twice or
+// reported as a conflict with itself.
 func TestResend(t *testing.T) {
 	q := qt.New(t)
 	d := apply(q, site(q), edit("one", 1, set("/g/s", "timeout", "1s")), edit("two", 2, set("/g/s", "timeout", "2s")))
@@ -111,6 +114,7 @@
 	q.Assert(err, qt.ErrorMatches, "conflict: edit id one was used by another edit, revision 2")
 }
 
+// A rejected edit names the problem and leaves the document unchanged.
 func TestRefusedEdits(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -118,12 +122,12 @@
 		want string
 	}{
 		{"no id", edit("", 1, set("/g", "slots", "1")), `edit id: found nothing, expected an id`},
-		{"nothing", edit("x", 1), `edit changes: found none, expected at least one`},
-		{"ahead", edit("x", 9, set("/g", "slots", "1")), `found base revision 9, expected 1 or older`},
+		{"no changes", edit("x", 1), `edit changes: found none, expected at least one`},
+		{"base newer than document", edit("x", 9, set("/g", "slots", "1")), `found base revision 9, expected 1 or older`},
 		{"unknown field", edit("x", 1, set("/g", "slot", "1")), `/g slot: found unknown field, .*did you mean slots\?`},
 		{"bad value", edit("x", 1, set("/g", "slots", "many")), `/g slots: found "many", expected a count .*`},
 		{"no node", edit("x", 1, set("/g/z", "slots", "1")), `/g/z: found no such node, .*did you mean /g/s\?`},
-		{"exists", edit("x", 1, create("/g/s", tree.PlaceKind)), `/g/s: found an existing service, expected a path that is free`},
+		{"exists", edit("x", 1, create("/g/s", tree.PlaceKind)), `/g/s: found an existing service, expected an unused path`},
 		{"orphans", edit("x", 1, remove("/g")), `/g/s parent: found missing parent /g.*(\n.*)?`},
 		{"op", edit("x", 1, tree.Change{Op: "drop", Path: "/g"}), `/g op: found "drop", expected set, unset, .*`},
 		{
@@ -142,6 +146,8 @@
 	}
 }
 
+// The log is limited. An edit whose base revision is older than the log must be
+// rejected, and EditsFrom must report that it cannot return all edits.
 func TestStaleBase(t *testing.T) {
 	q := qt.New(t)
 	d := site(q)
@@ -158,6 +164,7 @@
 	q.Assert(edits, qt.HasLen, 4)
 }
 
+// Applying the changes that Diff returns must yield the other document.
 func TestDiffLeadsToOther(t *testing.T) {
 	q := qt.New(t)
 	d := site(q)
--- a/pkg/tree/field.go
+++ b/pkg/tree/field.go
@@ -7,27 +7,27 @@
 	"strings"
 )
 
-// Field describes one setting. The table Fields is the only place that knows
-// its name, unit, default, range and levels.
+// Field describes a setting. The table Fields is the single definition of its name,
+// type, default, range and the kinds of nodes that can set it.
 type Field struct {
 	Name    string
 	Unit    string // duration, share, size, count, flag, word, list
 	Default string
-	Low     string // least value; empty for none
-	High    string // greatest value; empty for none
-	Words   []string
-	Levels  []Kind // kinds of node that can set it
+	Low     string   // minimum; empty for none
+	High    string   // maximum; empty for none
+	Words   []string // accepted values; empty if not an enumeration
+	Levels  []Kind   // kinds of nodes that can set the field
 	Help    string
-	literal literal
-	expect  string
+	literal literal // type of the JSON value in a settings file
+	expect  string  // description of valid values for error messages
 	canon   func(string) (string, bool)
-	assign  func(*Policy, string)
+	assign  func(*Policy, string) // sets the field of a Policy from canonical text
 }
 
-// Fields is the table of all settings in the order of the documentation.
+// Fields lists all settings in the order of the documentation.
 var Fields = table()
 
-// Lookup returns the field with a name.
+// Lookup returns the field with the given name.
 func Lookup(name string) (f Field, ok bool) {
 	i := slices.IndexFunc(Fields, func(f Field) bool { return f.Name == name })
 	if i < 0 {
@@ -36,7 +36,7 @@
 	return Fields[i], true
 }
 
-// Range tells the accepted values for people.
+// Range describes the accepted values for documentation.
 func (f Field) Range() string {
 	switch {
 	case len(f.Words) > 0:
@@ -47,8 +47,8 @@
 	return f.expect
 }
 
-// Canon returns the canonical text of a value, or a Problem that lacks only its
-// place.
+// Canonicalize returns the canonical text of a value, or a Problem without file,
+// line and path.
 func (f Field) Canon(text string) (string, *Problem) {
 	if s, ok := f.canon(text); ok {
 		return s, nil
@@ -56,7 +56,7 @@
 	return "", &Problem{Field: f.Name, Found: quote(text), Expected: f.expect}
 }
 
-// spec is what a line of the table states.
+// fieldSpec holds the attributes of a Field that the table states explicitly.
 type spec struct {
 	name   string
 	def    string
@@ -67,27 +67,30 @@
 	help   string
 }
 
-func (s spec) field(unit, example string, l literal) Field {
+// newField returns a field without its functions. By default it can be set at every
+// node except places.
+func (s spec) field(typeName, example string, t literal) Field {
 	f := Field{
 		Name:    s.name,
-		Unit:    unit,
+		Unit:    typeName,
 		Default: s.def,
 		Low:     s.low,
 		High:    s.high,
 		Words:   s.words,
 		Levels:  s.levels,
 		Help:    s.help,
-		literal: l,
+		literal: t,
 	}
 	if f.Levels == nil {
 		f.Levels = []Kind{RootKind, GroupKind, ServiceKind}
 	}
-	f.expect = fmt.Sprintf("a %s such as %s", unit, example)
+	f.expect = fmt.Sprintf("a %s such as %s", typeName, example)
 	return f
 }
 
-// between makes a field whose values have an order and a range.
-func between[T cmp.Ordered](u unit[T], s spec, at func(*Policy) *T) Field {
+// rangeField returns a field whose values lie between a minimum and a maximum. The
+// function target returns the address of the field in a Policy.
+func between[T cmp.Ordered](u unit[T], s spec, target func(*Policy) *T) Field {
 	f := s.field(u.name, u.example, u.literal)
 	low, high := must(u, s.low), must(u, s.high)
 	f.expect += fmt.Sprintf(" from %s to %s", s.low, s.high)
@@ -98,12 +101,12 @@
 		}
 		return u.format(v), true
 	}
-	f.assign = func(p *Policy, text string) { *at(p) = must(u, text) }
+	f.assign = func(p *Policy, text string) { *target(p) = must(u, text) }
 	return f
 }
 
-// within makes a field whose values satisfy a condition.
-func within[T any](u unit[T], s spec, expect string, valid func(T) bool, at func(*Policy) *T) Field {
+// validatedField returns a field whose values satisfy a predicate.
+func within[T any](u unit[T], s spec, expect string, valid func(T) bool, target func(*Policy) *T) Field {
 	f := s.field(u.name, u.example, u.literal)
 	f.expect = expect
 	f.canon = func(text string) (string, bool) {
@@ -113,34 +116,36 @@
 		}
 		return u.format(v), true
 	}
-	f.assign = func(p *Policy, text string) { *at(p) = must(u, text) }
+	f.assign = func(p *Policy, text string) { *target(p) = must(u, text) }
 	return f
 }
 
-// oneOf makes a field which is one of a few words.
-func oneOf(s spec, at func(*Policy) *string) Field {
-	known := func(w string) bool { return slices.Contains(s.words, w) }
-	return within(words, s, "one of "+strings.Join(s.words, ", "), known, at)
+// enumField returns a field with an enumeration of values.
+func oneOf(s spec, target func(*Policy) *string) Field {
+	valid := func(value string) bool { return slices.Contains(s.words, value) }
+	return within(words, s, "one of "+strings.Join(s.words, ", "), valid, target)
 }
 
-// flag makes a field which is true or false.
-func flag(s spec, at func(*Policy) *bool) Field {
-	return within(flags, s, "true or false", func(bool) bool { return true }, at)
+// boolField returns a field that is true or false.
+func flag(s spec, target func(*Policy) *bool) Field {
+	return within(flags, s, "true or false", func(bool) bool { return true }, target)
 }
 
-// must parses text of the table itself or text that was checked before.
+// mustParse parses a value that is part of the table or already validated. It
+// panics on an invalid value.
 func must[T any](u unit[T], text string) T {
 	v, err := u.parse(text)
 	if err != nil {
-		panic("tree: unchecked " + u.name + " " + text)
+		panic("tree: invalid " + u.name + " " + text)
 	}
 	return v
 }
 
+// quote returns text in double quotes, shortened for an error message.
 func quote(text string) string {
-	const longest = 60
-	if len(text) > longest {
-		text = text[:longest] + "..."
+	const maxBytes = 60
+	if len(text) > maxBytes {
+		text = text[:maxBytes] + "..."
 	}
 	return fmt.Sprintf("%q", text)
 }
--- a/pkg/tree/merge.go
+++ b/pkg/tree/merge.go
@@ -6,22 +6,22 @@
 	"github.com/pkg/errors"
 )
 
-// Verdict is what Merge did with an incoming document.
+// MergeResult is the outcome of Merge.
 type Verdict int
 
-// Verdicts of Merge.
+// Outcomes of Merge.
 const (
-	Same     Verdict = iota // nothing new
-	Taken                   // newer, and holds every edit of the current one
-	Older                   // older, and nothing in it is unknown
-	Diverged                // each holds an edit that the other lacks: see Join
+	Same     Verdict = iota // the incoming document has the same revision and nothing new
+	Taken                   // the incoming document is newer and contains every edit of the current one
+	Older                   // the incoming document is older and the current one contains all its edits
+	Diverged                // each document has an edit that the other lacks; see MergeDiverged
 )
 
-// Merge returns the document to have in force after a checked one came in from
-// the store or a peer. The revision never goes down.
+// Merge chooses between the current document and a valid one received from the
+// store or a peer. The returned document is never older than the current one.
 //
-// A store restored from a backup returns older data, and without this the
-// entries would go back to settings that an operator has replaced.
+// This matters when the store is restored from a backup and returns older data:
+// entries would otherwise revert to settings that an operator has replaced.
 func Merge(current, incoming Document) (Document, Verdict) {
 	if current.Revision == 0 {
 		return newer(current, incoming)
@@ -37,6 +37,7 @@
 	return newer(current, incoming)
 }
 
+// mergeLinear chooses between documents of the same history by revision.
 func newer(current, incoming Document) (Document, Verdict) {
 	switch {
 	case incoming.Revision > current.Revision:
@@ -47,7 +48,8 @@
 	return current, Same
 }
 
-// Missing returns the edits of other that the log of d should hold and doesn't.
+// MissingEdits returns the edits of other that d lacks. Edits older than the log of
+// d are ignored.
 func Missing(d, other Document) []Edit {
 	var missing []Edit
 	for _, e := range other.Edits {
@@ -61,39 +63,40 @@
 	return missing
 }
 
-// Join brings two histories together that went apart, as happens when the
-// store loses its newest writes and takes an edit from an entry that doesn't
-// know of them. It adds the edits that a lacks to a. An edit that clashes with
-// one of a is kept in the log without its changes and is returned in dropped.
-func Join(a, b Document) (joined Document, dropped []Edit) {
-	joined = a
-	lost := Missing(a, b)
-	for _, e := range lost {
-		e.Revision = joined.Revision + 1
-		next, err := joined.rejoin(e, b)
+// MergeDiverged merges two diverged histories: it appends the edits of other that
+// d lacks to d. Histories diverge when the store loses its latest writes and then
+// accepts an edit from an entry that has not received them. An edit that conflicts
+// with one of d is logged without its changes and returned in dropped.
+func Join(d, other Document) (merged Document, dropped []Edit) {
+	merged = d
+	missing := Missing(d, other)
+	for _, e := range missing {
+		e.Revision = merged.Revision + 1
+		next, err := merged.rejoin(e, other)
 		if err != nil {
 			dropped = append(dropped, e)
 			e.Changes = nil
-			next, err = joined.advance(e)
+			next, err = merged.advance(e)
 		}
 		if err != nil {
-			return joined, dropped
+			return merged, dropped
 		}
-		joined = next
+		merged = next
 	}
-	return joined, dropped
+	return merged, dropped
 }
 
-// rejoin applies an edit of b unless it clashes with an edit that b lacks.
-func (d Document) rejoin(e Edit, b Document) (Document, error) {
-	for _, theirs := range d.Edits {
-		if _, ok := b.Find(theirs.ID); ok || theirs.Revision <= b.oldest() {
+// applyMissing applies an edit of other to d, unless it conflicts with an edit of
+// d that other lacks.
+func (d Document) rejoin(e Edit, other Document) (Document, error) {
+	for _, accepted := range d.Edits {
+		if _, ok := other.Find(accepted.ID); ok || accepted.Revision <= other.oldest() {
 			continue
 		}
-		for _, mine := range e.Changes {
-			for _, their := range theirs.Changes {
-				if d.touches(mine, their) {
-					return d, &Conflict{Mine: e, Change: mine, Theirs: theirs, Their: their}
+		for _, change := range e.Changes {
+			for _, acceptedChange := range accepted.Changes {
+				if d.touches(change, acceptedChange) {
+					return d, &Conflict{Mine: e, Change: change, Theirs: accepted, Their: acceptedChange}
 				}
 			}
 		}
@@ -101,13 +104,15 @@
 	return d.advance(e)
 }
 
-// ErrGap says that edits don't follow on a document.
-var ErrGap = errors.New("edits do not follow the revision in force")
+// ErrHistoryMismatch means that edits do not continue the history of a document.
+var ErrGap = errors.New("edits do not continue the history of the document")
 
-// Since returns the edits from the one that led to a revision, that one
-// included, and whether the log reaches back so far. The overlap shows the
-// receiver that its own history is the same: without it two histories that went
-// apart would mix unnoticed, each entry with settings that nobody accepted.
+// EditsFrom returns the edits from the given revision on, including the edit that
+// created it, and reports whether the log reaches back that far.
+//
+// The first edit lets the receiver verify that its own history is the same.
+// Without it, diverged histories would mix unnoticed and entries would use
+// settings that nobody accepted.
 func (d Document) Since(revision uint64) (edits []Edit, ok bool) {
 	if revision <= d.oldest() || revision > d.Revision {
 		return nil, false
@@ -120,9 +125,9 @@
 	return edits, true
 }
 
-// Replay applies edits which were accepted elsewhere, skipping those that d
-// already holds. The first must be one of these: see Since. Each entry that
-// replays the same edits gets the same document.
+// Replay applies edits that were accepted at another entry and skips those that d
+// already contains. The first edit must be one that d contains; see EditsFrom.
+// Replaying the same edits yields the same document at every entry.
 func (d Document) Replay(edits []Edit) (next Document, err error) {
 	defer func() { err = errors.WithMessage(err, "replay") }()
 	next = d
@@ -131,7 +136,7 @@
 	}
 	for _, e := range edits {
 		if e.Revision <= next.Revision {
-			if old, ok := next.Find(e.ID); !ok || old.Revision != e.Revision {
+			if logged, ok := next.Find(e.ID); !ok || logged.Revision != e.Revision {
 				return d, ErrGap
 			}
 			continue
--- a/pkg/tree/merge_test.go
+++ b/pkg/tree/merge_test.go
@@ -10,10 +10,10 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// The store lost its newest writes and an entry that was cut off from its peers
-// got an edit accepted on the older data. Both histories hold accepted edits,
-// so neither may simply replace the other: an operator would see an accepted
-// edit vanish. Joined, all edits are in, and one that clashes is named.
+// The store loses its latest writes, and an entry without a connection to its peers
+// then gets an edit accepted on the older data. Both histories contain accepted
+// edits, so neither may replace the other: an accepted edit would vanish. The
+// merged document must contain all edits, and conflicting ones must be returned.
 func TestDiverged(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -24,35 +24,36 @@
 		{"one each", []tree.Change{set("/g/s", "timeout", "1s")}, []tree.Change{set("/g/t", "timeout", "2s")}, 0},
 		{"more of ours", []tree.Change{set("/g/s", "timeout", "1s"), set("/g", "queue", "9")}, []tree.Change{set("/g/t", "timeout", "2s")}, 0},
 		{"more of theirs", []tree.Change{set("/g/s", "timeout", "1s")}, []tree.Change{set("/g/t", "timeout", "2s"), set("/g", "queue", "9")}, 0},
-		{"clash", []tree.Change{set("/g/s", "timeout", "1s")}, []tree.Change{set("/g/s", "timeout", "2s")}, 1},
+		{"conflict", []tree.Change{set("/g/s", "timeout", "1s")}, []tree.Change{set("/g/s", "timeout", "2s")}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := qt.New(t)
 			base := site(q)
-			grow := func(side string, changes []tree.Change) tree.Document {
+			applyAll := func(side string, changes []tree.Change) tree.Document {
 				d := base
 				for i, change := range changes {
 					d = apply(q, d, edit(fmt.Sprint(side, i), d.Revision, change))
 				}
 				return d
 			}
-			ours, theirs := grow("ours", c.ours), grow("theirs", c.theirs)
-			kept, verdict := tree.Merge(ours, theirs)
-			q.Assert(verdict, qt.Equals, tree.Diverged)
-			q.Assert(kept.Revision, qt.Equals, ours.Revision)
-			joined, dropped := tree.Join(theirs, ours)
+			ours, theirs := applyAll("ours", c.ours), applyAll("theirs", c.theirs)
+			current, result := tree.Merge(ours, theirs)
+			q.Assert(result, qt.Equals, tree.Diverged)
+			q.Assert(current.Revision, qt.Equals, ours.Revision)
+			merged, dropped := tree.Join(theirs, ours)
 			q.Assert(dropped, qt.HasLen, c.dropped)
-			q.Assert(joined.Revision, qt.Equals, uint64(1+len(c.ours)+len(c.theirs)))
+			q.Assert(merged.Revision, qt.Equals, uint64(1+len(c.ours)+len(c.theirs)))
 			for _, side := range []tree.Document{ours, theirs} {
-				_, verdict := tree.Merge(side, joined)
-				q.Assert(verdict, qt.Equals, tree.Taken)
+				_, result := tree.Merge(side, merged)
+				q.Assert(result, qt.Equals, tree.Taken)
 			}
 		})
 	}
 }
 
-// An entry at 2' asks one at 3 for the edits since 2. Its own edit 2' is not in
-// that history: the edits must not be replayed on top of it.
+// Two histories diverged at revision 2. An entry with one of them receives the edits
+// from revision 2 on from an entry that is at revision 3 of the other. It must not
+// replay them, because that history lacks its own edit 2.
 func TestReplayRefusesAnotherHistory(t *testing.T) {
 	q := qt.New(t)
 	base := site(q)
@@ -60,18 +61,19 @@
 	theirs := apply(q, base, edit("a", 1, set("/g/t", "queue", "9")), edit("b", 2, set("/g/t", "slots", "9")))
 	edits, ok := theirs.Since(ours.Revision)
 	q.Assert(ok, qt.IsTrue)
-	kept, err := ours.Replay(edits)
+	current, err := ours.Replay(edits)
 	q.Assert(err, qt.ErrorIs, tree.ErrGap)
-	q.Assert(kept.Revision, qt.Equals, ours.Revision)
+	q.Assert(current.Revision, qt.Equals, ours.Revision)
 	_, err = base.Replay(edits)
 	q.Assert(err, qt.ErrorIs, tree.ErrGap)
 }
 
-// copies is a model of entries that hold copies of the document and pass them
-// on in any order, through a store that may come back older.
+// replicas models entries that each hold a copy of the document. They exchange
+// documents and edits in any order, and read documents from a store that may be
+// restored to older data.
 type copies struct {
-	held    []tree.Document
-	history []tree.Document // each accepted document
+	held    []tree.Document // by entry
+	history []tree.Document // the document after each accepted edit, oldest first
 	joins   int
 }
 
@@ -80,6 +82,9 @@
 	values = map[string][]string{"timeout": {"1s", "2s", "3s"}, "slots": {"1", "2"}, "queue": {"5", "6"}}
 )
 
+// applyRandomEdit applies a random edit to the newest document. Its base revision
+// lies between the document of a random entry, which gets the result, and the
+// newest document.
 func (m *copies) edit(t *rapid.T, n int) {
 	i := rapid.IntRange(0, len(m.held)-1).Draw(t, "entry")
 	field := rapid.SampledFrom([]string{"timeout", "slots", "queue"}).Draw(t, "field")
@@ -100,18 +105,22 @@
 	m.take(t, i, next)
 }
 
+// merge merges a document into the copy of entry i and checks that its revision does
+// not decrease.
 func (m *copies) take(t *rapid.T, i int, incoming tree.Document) {
 	before := m.held[i]
-	after, verdict := tree.Merge(before, incoming)
+	after, result := tree.Merge(before, incoming)
 	if after.Revision < before.Revision {
-		t.Fatalf("revision fell from %d to %d", before.Revision, after.Revision)
+		t.Fatalf("revision decreased from %d to %d", before.Revision, after.Revision)
 	}
-	if verdict == tree.Diverged {
-		t.Fatalf("one history can't diverge: %d and %d", before.Revision, incoming.Revision)
+	if result == tree.Diverged {
+		t.Fatalf("documents of one history reported as diverged: revisions %d and %d", before.Revision, incoming.Revision)
 	}
 	m.held[i] = after
 }
 
+// transfer updates a random entry with a document from the store, or with edits or a
+// document from another entry.
 func (m *copies) pass(t *rapid.T) {
 	to := rapid.IntRange(0, len(m.held)-1).Draw(t, "to")
 	if rapid.Bool().Draw(t, "store") {
@@ -129,11 +138,13 @@
 		t.Fatal(err)
 	}
 	if from.Revision >= next.Revision && string(tree.Encode(next)) != string(tree.Encode(from)) {
-		t.Fatalf("replayed edits gave another document at revision %d", next.Revision)
+		t.Fatalf("replayed edits led to a different document at revision %d", next.Revision)
 	}
 	m.take(t, to, next)
 }
 
+// Entries exchange documents in any order, and the store may return older ones. The
+// revision at an entry must never decrease.
 func TestMergeNeverGoesBack(t *testing.T) {
 	first := site(qt.New(t))
 	rapid.Check(t, func(t *rapid.T) {
@@ -151,6 +162,8 @@
 	})
 }
 
+// Two histories diverge by random edits. The merged document must be valid and
+// supersede both.
 func TestJoinKeepsEveryEdit(t *testing.T) {
 	first := site(qt.New(t))
 	rapid.Check(t, func(t *rapid.T) {
@@ -165,17 +178,17 @@
 			}
 			sides[i] = next
 		}
-		joined, dropped := tree.Join(sides[0], sides[1])
-		if faults := joined.Check(); len(faults) > 0 {
-			t.Fatal(faults)
+		merged, dropped := tree.Join(sides[0], sides[1])
+		if problems := merged.Check(); len(problems) > 0 {
+			t.Fatal(problems)
 		}
 		for _, side := range sides {
-			after, verdict := tree.Merge(side, joined)
-			if verdict != tree.Taken && verdict != tree.Same {
-				t.Fatalf("verdict %d at %d with %d, dropped %d", verdict, side.Revision, joined.Revision, len(dropped))
+			after, result := tree.Merge(side, merged)
+			if result != tree.Taken && result != tree.Same {
+				t.Fatalf("merge result %d: revision %d with %d, %d edits dropped", result, side.Revision, merged.Revision, len(dropped))
 			}
-			if after.Revision != joined.Revision {
-				t.Fatalf("found revision %d, expected %d", after.Revision, joined.Revision)
+			if after.Revision != merged.Revision {
+				t.Fatalf("found revision %d, expected %d", after.Revision, merged.Revision)
 			}
 		}
 	})
--- a/pkg/tree/parse.go
+++ b/pkg/tree/parse.go
@@ -10,16 +10,17 @@
 	"github.com/tailscale/hujson"
 )
 
-// Parse reads a settings file: JSON with comments, an object of nodes by path.
+// Parse parses a settings file: JSON with comments, an object of nodes keyed by
+// path.
 //
 //	{
 //	  "/": {"kind": "root", "set": {"timeout": "2s"}},
-//	  // parent is the enclosing path when it is left out
+//	  // parent defaults to the enclosing path
 //	  "/swanbourne/deposit-ledger": {"kind": "service", "set": {"requirekey": true}},
 //	}
 //
-// The result has revision 0 and no edits, and has passed Check. The error is
-// Problems with the lines of the file.
+// The returned document has revision 0, an empty log, and has passed Check. An
+// error is of type Problems and carries line numbers of the file.
 func Parse(file string, text []byte) (d Document, err error) {
 	root, err := hujson.Parse(text)
 	if err != nil {
@@ -37,6 +38,8 @@
 	return d, nil
 }
 
+// syntaxProblem converts an error of the JSON parser into a Problem. The line
+// number is only available as part of the error text.
 func syntaxProblem(file string, err error) Problem {
 	p := Problem{File: file, Path: Root, Found: err.Error(), Expected: "JSON with comments"}
 	text := strings.TrimPrefix(err.Error(), "hujson: ")
@@ -54,56 +57,62 @@
 	return p
 }
 
-// parser collects the nodes of a file, the lines they stand on, and faults.
+// parser collects the nodes of a file, their line numbers, and the problems
+// found.
 type parser struct {
 	file  string
-	ends  []int // offsets of the line ends
+	ends  []int // byte offsets of the newlines, ascending
 	nodes map[string]Node
-	lines map[string]int // by path, and by path, space and member
+	lines map[string]int // line numbers, keyed by path and by "path member"
 	found Problems
 }
 
+// lineOf returns the line number of a JSON value, starting at 1.
 func (p *parser) line(v hujson.Value) int {
 	return 1 + sort.SearchInts(p.ends, v.StartOffset)
 }
 
-func lineEnds(text []byte) (ends []int) {
+// newlineOffsets returns the byte offsets of the newlines in text.
+func lineEnds(text []byte) (offsets []int) {
 	for i, c := range text {
 		if c == '\n' {
-			ends = append(ends, i)
+			offsets = append(offsets, i)
 		}
 	}
-	return ends
+	return offsets
 }
 
+// report appends a problem at the line of v.
 func (p *parser) fault(v hujson.Value, path, field, found, expected, hint string) {
 	p.found = append(p.found, Problem{
 		File: p.file, Line: p.line(v), Path: path, Field: field, Found: found, Expected: expected, Hint: hint,
 	})
 }
 
-// members calls each for the members of an object and reports duplicates.
-func (p *parser) members(v hujson.Value, path, field, expected string, each func(name string, at, v hujson.Value)) {
-	o, ok := v.Value.(*hujson.Object)
+// eachMember calls visit with the name, the name's JSON value and the value of
+// each member of an object. It reports duplicate names, and v if it is not an
+// object.
+func (p *parser) members(v hujson.Value, path, field, expected string, visit func(name string, nameValue, v hujson.Value)) {
+	object, ok := v.Value.(*hujson.Object)
 	if !ok {
 		p.fault(v, path, field, describe(v), expected, "")
 		return
 	}
 	seen := map[string]bool{}
-	for _, m := range o.Members {
+	for _, m := range object.Members {
 		name := text(m.Name)
 		if seen[name] {
 			p.fault(m.Name, path, field, "a second "+quote(name), "each name once", "")
 			continue
 		}
 		seen[name] = true
-		each(name, m.Name, m.Value)
+		visit(name, m.Name, m.Value)
 	}
 }
 
 func (p *parser) document(v hujson.Value) {
-	p.members(v, Root, "", "an object of nodes by path", func(path string, at, v hujson.Value) {
-		p.lines[path] = p.line(at)
+	p.members(v, Root, "", "an object of nodes by path", func(path string, nameValue, v hujson.Value) {
+		p.lines[path] = p.line(nameValue)
 		p.node(path, v)
 	})
 }
@@ -112,8 +121,8 @@
 
 func (p *parser) node(path string, v hujson.Value) {
 	n := Node{}
-	p.members(v, path, "", "an object with kind, parent and set", func(name string, at, v hujson.Value) {
-		p.lines[path+" "+name] = p.line(at)
+	p.members(v, path, "", "an object with kind, parent and set", func(name string, nameValue, v hujson.Value) {
+		p.lines[path+" "+name] = p.line(nameValue)
 		switch name {
 		case "kind":
 			n.Kind = Kind(p.text1(path, name, v))
@@ -122,38 +131,40 @@
 		case "set":
 			n.Values = p.values(path, v)
 		default:
-			p.fault(at, path, name, "unknown member", "kind, parent or set", nearest(name, nodeMembers))
+			p.fault(nameValue, path, name, "unknown member", "kind, parent or set", nearest(name, nodeMembers))
 		}
 	})
 	p.nodes[path] = n
 }
 
+// parseString returns the string v, or reports that it is not one.
 func (p *parser) text1(path, name string, v hujson.Value) string {
-	if l, ok := v.Value.(hujson.Literal); ok && l.Kind() == '"' {
-		return l.String()
+	if literal, ok := v.Value.(hujson.Literal); ok && literal.Kind() == '"' {
+		return literal.String()
 	}
 	p.fault(v, path, name, describe(v), "a string", "")
 	return ""
 }
 
+// parseSettings returns the settings of a node in canonical text.
 func (p *parser) values(path string, v hujson.Value) map[string]string {
 	values := map[string]string{}
-	p.members(v, path, "set", "an object of settings", func(name string, at, v hujson.Value) {
-		p.lines[path+" "+name] = p.line(at)
+	p.members(v, path, "set", "an object of settings", func(name string, nameValue, v hujson.Value) {
+		p.lines[path+" "+name] = p.line(nameValue)
 		f, ok := Lookup(name)
 		if !ok {
-			u := unknownField(name)
-			p.fault(at, path, name, u.Found, u.Expected, u.Hint)
+			unknown := unknownField(name)
+			p.fault(nameValue, path, name, unknown.Found, unknown.Expected, unknown.Hint)
 			return
 		}
-		raw, ok := plain(v, f.literal)
+		text, ok := plain(v, f.literal)
 		if !ok {
 			p.fault(v, path, name, describe(v), f.expect, "")
 			return
 		}
-		value, bad := f.Canon(raw)
-		if bad != nil {
-			p.fault(v, path, name, bad.Found, bad.Expected, "")
+		value, problem := f.Canon(text)
+		if problem != nil {
+			p.fault(v, path, name, problem.Found, problem.Expected, "")
 			return
 		}
 		values[name] = value
@@ -161,7 +172,7 @@
 	return values
 }
 
-// locate adds file and line to the faults that Check found.
+// addLines sets the file and line of the problems that Check returned.
 func (p *parser) locate(found Problems) Problems {
 	for i := range found {
 		found[i].File = p.file
@@ -174,12 +185,14 @@
 	return found
 }
 
+// literalText returns the text of a literal, such as the name of a member.
 func text(v hujson.Value) string {
-	l, _ := v.Value.(hujson.Literal)
-	return l.String()
+	literal, _ := v.Value.(hujson.Literal)
+	return literal.String()
 }
 
-// plain returns the text of a JSON value of the expected form.
+// settingText returns a JSON value as the text of a setting, if the value has the
+// wanted JSON type.
 func plain(v hujson.Value, want literal) (string, bool) {
 	switch value := v.Value.(type) {
 	case *hujson.Array:
@@ -197,13 +210,15 @@
 	return "", false
 }
 
-func plainList(a *hujson.Array, want literal) (string, bool) {
+// settingListText joins the strings of an array with commas. It rejects elements
+// that splitList would not return unchanged.
+func plainList(array *hujson.Array, want literal) (string, bool) {
 	if want != listLiteral {
 		return "", false
 	}
 	var parts []string
-	for _, e := range a.Elements {
-		s, ok := plain(e, textLiteral)
+	for _, element := range array.Elements {
+		s, ok := plain(element, textLiteral)
 		if !ok || strings.Contains(s, ",") || strings.TrimSpace(s) != s || s == "" {
 			return "", false
 		}
@@ -212,28 +227,30 @@
 	return strings.Join(parts, ","), true
 }
 
-// describe names a JSON value as it was found.
+// describe returns a JSON value without comments and white space, shortened for an
+// error message.
 func describe(v hujson.Value) string {
-	c := v.Clone()
-	c.Standardize()
+	standard := v.Clone()
+	standard.Standardize()
 	var b bytes.Buffer
-	if json.Compact(&b, c.Pack()) != nil {
-		return "something else"
+	if json.Compact(&b, standard.Pack()) != nil {
+		return "a value that cannot be shown"
 	}
 	return shorten(b.String())
 }
 
 func shorten(s string) string {
-	const longest = 60
-	if len(s) > longest {
-		return s[:longest] + "..."
+	const maxBytes = 60
+	if len(s) > maxBytes {
+		return s[:maxBytes] + "..."
 	}
 	return s
 }
 
-// AsProblems returns the faults that an error carries, if it does.
+// AsProblems returns the Problems that err wraps, and reports whether there are
+// any.
 func AsProblems(err error) (Problems, bool) {
-	var l Problems
-	ok := errors.As(err, &l)
-	return l, ok
+	var problems Problems
+	ok := errors.As(err, &problems)
+	return problems, ok
 }
--- a/pkg/tree/parse_test.go
+++ b/pkg/tree/parse_test.go
@@ -96,11 +96,11 @@
 		},
 		{
 			"level", `{"/": {"kind": "root"}, "/a": {"kind": "place", "set": {"timeout": "2s"}}}`,
-			[]string{`f:1: /a timeout: found a node of kind place, expected it at root, group, service`},
+			[]string{`f:1: /a timeout: found a node of kind place, expected a node of kind root, group, service`},
 		},
 		{
 			"same name", `{"/": {"kind": "root"}, "/a": {"kind": "group"}, "/s": {"kind": "service"}, "/a/s": {"kind": "service"}}`,
-			[]string{`f:1: /s: found a second service s, after /a/s, expected names that differ`},
+			[]string{`f:1: /s: found a second service s, after /a/s, expected a unique name`},
 		},
 		{
 			"duplicate", "{\"/\": {\"kind\": \"root\"},\n\"/\": {\"kind\": \"root\"}}",
@@ -111,7 +111,7 @@
 			[]string{`f:1: /s places: found unknown place "hal", expected the name of a place in the tree; did you mean hall\?`},
 		},
 		{
-			"hold shorter than locate", `{"/": {"kind": "root", "set": {"drainhold": "1s"}}, "/s": {"kind": "service"}}`,
+			"drainhold shorter than locatettl", `{"/": {"kind": "root", "set": {"drainhold": "1s"}}, "/s": {"kind": "service"}}`,
 			[]string{`f:1: /s drainhold: found 1s, expected at least locatettl, 10s`},
 		},
 	} {
--- a/pkg/tree/path.go
+++ b/pkg/tree/path.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// maxDepth is how many names a path may have.
+// maxDepth is the maximum number of names in a path. pathPattern has the same limit.
 const maxDepth = 8
 
 var pathForm = regexp.MustCompile(`^(/|(/[a-z0-9][a-z0-9.-]{0,62}){1,8})$`)
 
-// Name returns the last part of a path, by which callers and VMs name a
-// service or place.
+// Name returns the last name of a path. Callers and VMs refer to a service or place
+// by this name.
 func Name(path string) string {
 	return path[strings.LastIndexByte(path, '/')+1:]
 }
 
-// enclosing returns the path above another one; that of the root is empty.
+// enclosingPath returns the path without its last name, empty for the root.
 func enclosing(path string) string {
 	if path == Root {
 		return ""
@@ -28,7 +28,7 @@
 	return path[:i]
 }
 
-// parentOf returns the path that a node inherits from, empty for the root.
+// parentOf returns the path of the node that n inherits from, empty for the root.
 func parentOf(path string, n Node) string {
 	if n.Parent != "" && path != Root {
 		return n.Parent
@@ -36,9 +36,9 @@
 	return enclosing(path)
 }
 
-// chain returns the paths from a node up to the root. It is not whole when a
-// parent is missing or the chain meets itself.
-func (d Document) chain(path string) (paths []string, whole bool) {
+// chainToRoot returns the paths from a node up to the root. The chain is incomplete
+// if a parent is missing or the parents form a cycle.
+func (d Document) chain(path string) (paths []string, complete bool) {
 	seen := map[string]bool{}
 	for path != "" {
 		n, ok := d.Nodes[path]
--- a/pkg/tree/policy.go
+++ b/pkg/tree/policy.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Policy is all settings in effect at one node. The table Fields documents
-// each of them under the lower-case name.
+// Policy holds all settings in effect at one node. The table Fields documents each
+// setting under its name in lower case.
 type Policy struct {
 	Timeout    time.Duration
-	Idempotent []string // methods
+	Idempotent []string // HTTP methods
 	RequireKey bool
 	Entries    int
 	Slots      int
 	Queue      int
 	MaxWait    time.Duration
 	Policy     string
-	RetryShare float64 // of first tries
+	RetryShare float64 // of first dispatches
 	Attempts   int
 	Hedge      bool
 	HedgeAfter time.Duration
@@ -24,16 +24,16 @@
 	EjectShare float64 // of the targets
 	TrialMin   time.Duration
 	TrialMax   time.Duration
-	Warmup     int // answers
+	Warmup     int // responses
 	LeaveHold  time.Duration
 	DrainHold  time.Duration
 	MaxBody    int64 // bytes
 	LocateTTL  time.Duration
 	RetryAfter time.Duration
-	Places     []string // names; empty for every place
+	Places     []string // names; empty for all places
 }
 
-// Policies of target choice, by the names of package pool.
+// Load balancing policies. The names are those of package pool.
 const (
 	FreeSlot      = "freeslot"
 	LeastInFlight = "leastinflight"
--- a/pkg/tree/problem.go
+++ b/pkg/tree/problem.go
@@ -8,18 +8,20 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// Problem is one fault of a settings file or document.
+// Problem is a validation error of a settings file, document or edit.
 type Problem struct {
-	File     string // empty when it is not from a file
-	Line     int    // from 1; 0 when unknown
+	File     string // empty if the problem is not in a file
+	Line     int    // starting at 1; 0 if unknown
 	Path     string // of the node
-	Field    string // empty when the node itself is at fault
+	Field    string // empty if the problem concerns the node itself
 	Found    string
 	Expected string
-	Hint     string // a name that may be meant
+	Hint     string // a similar valid name
 }
 
-// Error gives file, line, path, what was found and what was expected.
+// Error returns a message in the form
+// "FILE:LINE: PATH FIELD: found X, expected Y; did you mean Z?". Parts that do not
+// apply are left out.
 func (p Problem) Error() string {
 	var b strings.Builder
 	if p.File != "" {
@@ -39,10 +41,11 @@
 	return b.String()
 }
 
-// Problems is a list of faults, never empty when it is returned as an error.
+// Problems is a list of validation errors. It is not empty when returned as an
+// error.
 type Problems []Problem
 
-// Error gives one problem a line.
+// Error returns the messages of all problems, one per line.
 func (l Problems) Error() string {
 	lines := make([]string, len(l))
 	for i, p := range l {
@@ -51,7 +54,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// sorted puts problems into the order of the file, or of the paths.
+// sorted sorts the problems in place by line, path and field.
 func (l Problems) sorted() Problems {
 	sort.SliceStable(l, func(i, j int) bool {
 		a, b := l[i], l[j]
@@ -66,18 +69,18 @@
 	return l
 }
 
-// nearest returns the known name that is closest to a mistyped one, or nothing
-// when none is near.
+// closestName returns the known name with the smallest edit distance to a misspelled
+// one, or an empty string if none is similar.
 func nearest(name string, known []string) string {
-	const farthest = 3
-	best, least := "", farthest+1
+	const maxDistance = 3
+	closest, least := "", maxDistance+1
 	for _, k := range known {
-		n := levenshtein.ComputeDistance(strings.ToLower(name), k)
-		if n < least && n < len(k) {
-			best, least = k, n
+		distance := levenshtein.ComputeDistance(strings.ToLower(name), k)
+		if distance < least && distance < len(k) {
+			closest, least = k, distance
 		}
 	}
-	return best
+	return closest
 }
 
 func fieldNames() []string {
--- a/pkg/tree/resolve.go
+++ b/pkg/tree/resolve.go
@@ -6,35 +6,37 @@
 	"github.com/pkg/errors"
 )
 
-// Origin tells where the value of one field comes from.
+// ResolvedValue is the value of a field in effect at a node, with its source.
 type Origin struct {
 	Field string
 	Value string // canonical text
-	From  string // path of the node that sets it; empty for the default
+	From  string // path of the node that sets the value; empty for the default
 }
 
-// ErrNoNode says that a path names no node.
+// ErrNoNode means that there is no node at a path.
 var ErrNoNode = errors.New("no such node")
 
-// Resolve returns the values in effect at a node and the origin of each, in the
+// Resolve returns the values in effect at a node, as a policy and as a list in the
 // order of Fields.
-func (d Document) Resolve(path string) (p Policy, origins []Origin, err error) {
+func (d Document) Resolve(path string) (p Policy, values []Origin, err error) {
 	defer func() { err = errors.WithMessage(err, path) }()
 	if _, ok := d.Nodes[path]; !ok {
 		return Policy{}, nil, ErrNoNode
 	}
-	chain, whole := d.chain(path)
-	if !whole {
+	chain, complete := d.chain(path)
+	if !complete {
 		return Policy{}, nil, errors.New("parents do not lead to the root")
 	}
 	for _, f := range Fields {
-		o := d.origin(f, chain)
-		f.assign(&p, o.Value)
-		origins = append(origins, o)
+		value := d.origin(f, chain)
+		f.assign(&p, value.Value)
+		values = append(values, value)
 	}
-	return p, origins, nil
+	return p, values, nil
 }
 
+// resolveField returns the value that the first node of chain sets, or the
+// default. The chain runs from a node to the root.
 func (d Document) origin(f Field, chain []string) Origin {
 	for _, path := range chain {
 		if v, ok := d.Nodes[path].Values[f.Name]; ok {
@@ -44,15 +46,15 @@
 	return Origin{Field: f.Name, Value: f.Default}
 }
 
-// Service is one service with its policy.
+// Service is a service with the policy in effect.
 type Service struct {
 	Name   string
 	Path   string
 	Policy Policy
 }
 
-// Services returns all services in order of their names. The document must
-// have passed Check.
+// Services returns all services, sorted by name. The document must have passed
+// Check.
 func (d Document) Services() []Service {
 	var list []Service
 	for path, n := range d.Nodes {
@@ -69,14 +71,14 @@
 	return list
 }
 
-// Place is one place with the region it lies in.
+// Place is a place with its region.
 type Place struct {
 	Name   string
 	Path   string
-	Region string // name of its parent
+	Region string // name of the parent node
 }
 
-// Places returns all places in order of their names.
+// Places returns all places, sorted by name.
 func (d Document) Places() []Place {
 	var list []Place
 	for path, n := range d.Nodes {
--- a/pkg/tree/table.go
+++ b/pkg/tree/table.go
@@ -12,10 +12,12 @@
 	nameForm   = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 )
 
-func each(form *regexp.Regexp) func([]string) bool {
+// distinctMatches returns a predicate that reports whether the strings of a list are
+// distinct and all match pattern.
+func each(pattern *regexp.Regexp) func([]string) bool {
 	return func(list []string) bool {
 		for i, s := range list {
-			if !form.MatchString(s) || slices.Contains(list[:i], s) {
+			if !pattern.MatchString(s) || slices.Contains(list[:i], s) {
 				return false
 			}
 		}
@@ -23,6 +25,8 @@
 	}
 }
 
+// isProbePath reports whether s is a URL path of at most 200 bytes without query,
+// fragment and white space.
 func isProbePath(s string) bool {
 	return strings.HasPrefix(s, "/") && len(s) <= 200 && !strings.ContainsAny(s, " ?#\r\n\t")
 }
--- a/pkg/tree/unit.go
+++ b/pkg/tree/unit.go
@@ -8,16 +8,17 @@
 	"github.com/pkg/errors"
 )
 
-// unit turns the text of a value into a T and back into canonical text.
+// valueType is the type of a setting: it parses text into a T and formats a T as
+// canonical text.
 type unit[T any] struct {
-	name    string
-	example string
-	literal literal // how a file writes it
+	name    string  // as documented and shown in error messages
+	example string  // shown in error messages
+	literal literal // type of the JSON value in a settings file
 	parse   func(string) (T, error)
 	format  func(T) string
 }
 
-// literal is a form of JSON value.
+// jsonType is the type of a JSON value.
 type literal string
 
 const (
@@ -79,8 +80,10 @@
 	}
 )
 
-var errForm = errors.New("wrong form")
+var errForm = errors.New("malformed value")
 
+// parseDuration parses a duration with a unit. Without the check,
+// time.ParseDuration would accept a bare 0.
 func parseSpan(s string) (time.Duration, error) {
 	if s == "0" {
 		return 0, errForm
@@ -88,7 +91,8 @@
 	return time.ParseDuration(s)
 }
 
-// formatSpan drops the zero parts that time.Duration prints: 1h, not 1h0m0s.
+// formatDuration formats a duration without trailing zero units: 1h instead of the
+// 1h0m0s that time.Duration.String returns.
 func formatSpan(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
@@ -100,20 +104,22 @@
 	return s
 }
 
+// parseScaled parses a number with a suffix, such as %, and multiplies it by scale.
+// It rejects NaN.
 func suffixed(s, suffix string, scale float64) (float64, error) {
-	n, ok := strings.CutSuffix(s, suffix)
+	number, ok := strings.CutSuffix(s, suffix)
 	if !ok {
 		return 0, errForm
 	}
-	f, err := strconv.ParseFloat(n, 64)
+	f, err := strconv.ParseFloat(number, 64)
 	if err != nil || f != f {
 		return 0, errForm
 	}
 	return f * scale, nil
 }
 
-// decimal prints at most six places, so that a share survives its way from
-// percent to part and back.
+// formatDecimal formats f with at most six decimal places, so that a share does not
+// change when it is converted from percent to a fraction and back.
 func decimal(f float64) string {
 	s := strconv.FormatFloat(f, 'f', 6, 64)
 	return strings.TrimSuffix(strings.TrimRight(s, "0"), ".")
@@ -125,16 +131,16 @@
 )
 
 func parseSize(s string) (int64, error) {
-	for _, u := range []struct {
+	for _, unit := range []struct {
 		suffix string
 		bytes  int64
 	}{{"KB", kilo}, {"MB", mega}, {"B", 1}} {
-		n, ok := strings.CutSuffix(s, u.suffix)
+		number, ok := strings.CutSuffix(s, unit.suffix)
 		if !ok {
 			continue
 		}
-		i, err := strconv.ParseInt(n, 10, 32)
-		return i * u.bytes, err
+		count, err := strconv.ParseInt(number, 10, 32)
+		return count * unit.bytes, err
 	}
 	return 0, errForm
 }
@@ -159,11 +165,12 @@
 	return false, errForm
 }
 
+// splitList splits a list at commas, trims white space and drops empty elements.
 func splitList(s string) []string {
 	var list []string
-	for _, part := range strings.Split(s, ",") {
-		if part = strings.TrimSpace(part); part != "" {
-			list = append(list, part)
+	for _, element := range strings.Split(s, ",") {
+		if element = strings.TrimSpace(element); element != "" {
+			list = append(list, element)
 		}
 	}
 	return list
--- a/pkg/tree/wire.go
+++ b/pkg/tree/wire.go
@@ -39,8 +39,8 @@
 	Parent string `json:"parent,omitempty"`
 }
 
-// Encode returns the stored form of a document. Equal documents have equal
-// bytes.
+// Encode returns the JSON that is stored for a document. Equal documents have
+// identical encodings.
 func Encode(d Document) []byte {
 	j := documentJSON{Revision: d.Revision, Nodes: map[string]nodeJSON{}, Edits: []editJSON{}}
 	for path, n := range d.Nodes {
@@ -51,12 +51,12 @@
 	}
 	b, err := json.Marshal(j)
 	if err != nil {
-		panic("tree: " + err.Error()) // only a year beyond 9999 fails, and Apply sets the time
+		panic("tree: " + err.Error()) // only years after 9999 cannot be encoded, and Apply sets the time
 	}
 	return b
 }
 
-// Decode reads the stored form of a document and checks it whole.
+// Decode decodes a stored document and validates its nodes and its log.
 func Decode(b []byte) (d Document, err error) {
 	defer func() { err = errors.WithMessage(err, "settings document") }()
 	var j documentJSON
@@ -76,7 +76,7 @@
 	return d, d.checkLog()
 }
 
-// EncodeEdit returns the form of an edit that entries send each other.
+// EncodeEdit returns the JSON of an edit that entries send to each other.
 func EncodeEdit(e Edit) []byte {
 	b, err := json.Marshal(editToJSON(e))
 	if err != nil {
@@ -85,7 +85,8 @@
 	return b
 }
 
-// DecodeEdit reads what EncodeEdit wrote. Replay checks the changes.
+// DecodeEdit decodes the output of EncodeEdit. It does not validate the changes;
+// Replay does.
 func DecodeEdit(b []byte) (e Edit, err error) {
 	defer func() { err = errors.WithMessage(err, "settings edit") }()
 	var j editJSON
@@ -98,6 +99,7 @@
 	return editFromJSON(j), nil
 }
 
+// decodeStrict decodes exactly one JSON value and rejects unknown members.
 func strict(b []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(b))
 	dec.DisallowUnknownFields()
@@ -110,10 +112,12 @@
 	return nil
 }
 
+// canonicalizeValues converts valid values to canonical text in place. Invalid
+// values stay unchanged for Check to report.
 func canonicalValues(set map[string]string) map[string]string {
 	for name, text := range set {
 		if f, ok := Lookup(name); ok {
-			if value, bad := f.Canon(text); bad == nil {
+			if value, problem := f.Canon(text); problem == nil {
 				set[name] = value
 			}
 		}
@@ -121,7 +125,8 @@
 	return set
 }
 
-// checkLog checks that the log leads to the revision without a gap.
+// checkLog checks that the log has consecutive revisions up to that of the document,
+// and distinct IDs.
 func (d Document) checkLog() error {
 	if len(d.Edits) == 0 && d.Revision > 0 {
 		return errors.Errorf("edits: found none, expected the one of revision %d", d.Revision)
@@ -133,7 +138,7 @@
 			return errors.Errorf("edits: found revision %d, expected %d", e.Revision, want)
 		}
 		if e.ID == "" || ids[e.ID] {
-			return errors.Errorf("edits: found id %q, expected one of its own", e.ID)
+			return errors.Errorf("edits: found id %q, expected a unique id", e.ID)
 		}
 		ids[e.ID] = true
 	}
--- a/pkg/tree/wire_test.go
+++ b/pkg/tree/wire_test.go
@@ -12,21 +12,21 @@
 )
 
 func TestDecodeErrors(t *testing.T) {
-	whole := string(tree.Encode(site(qt.New(t))))
+	encoded := string(tree.Encode(site(qt.New(t))))
 	for _, c := range []struct {
 		name string
 		text string
 		want string
 	}{
 		{"empty", "", "settings document: EOF"},
-		{"cut", whole[:len(whole)/2], "settings document: unexpected EOF"},
-		{"more", whole + "{}", "settings document: found more after the end.*"},
+		{"truncated", encoded[:len(encoded)/2], "settings document: unexpected EOF"},
+		{"trailing data", encoded + "{}", "settings document: found more after the end.*"},
 		{"unknown member", `{"rev": 1}`, `settings document: json: unknown field "rev"`},
 		{"no root", `{"revision": 0}`, `settings document: /: found no root.*`},
 		{"no log", `{"revision": 3, "nodes": {"/": {"kind": "root"}}}`, "settings document: edits: found none, expected the one of revision 3"},
-		{"gap in log", strings.Replace(whole, `"base":0,"revision":1`, `"base":0,"revision":7`, 1), "settings document: edits: found revision 7, expected 1"},
-		{"bad value", strings.Replace(whole, `"slots":"4"`, `"slots":"0"`, 1), `settings document: /g/s slots: found "0", expected a count .*`},
-		{"unknown field", strings.Replace(whole, `"slots":"4"`, `"slot":"4"`, 1), `settings document: /g/s slot: found unknown field.*`},
+		{"gap in log", strings.Replace(encoded, `"base":0,"revision":1`, `"base":0,"revision":7`, 1), "settings document: edits: found revision 7, expected 1"},
+		{"bad value", strings.Replace(encoded, `"slots":"4"`, `"slots":"0"`, 1), `settings document: /g/s slots: found "0", expected a count .*`},
+		{"unknown field", strings.Replace(encoded, `"slots":"4"`, `"slot":"4"`, 1), `settings document: /g/s slot: found unknown field.*`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := tree.Decode([]byte(c.text))
@@ -81,7 +81,7 @@
 		d := site(qt.New(t))
 		next, err := d.Replay([]tree.Edit{d.Edits[0], e})
 		if err != nil && next.Revision != d.Revision {
-			t.Fatalf("a refused edit left revision %d", next.Revision)
+			t.Fatalf("a rejected edit led to revision %d", next.Revision)
 		}
 		if err == nil {
 			roundTrip(t, next)
@@ -89,15 +89,15 @@
 	})
 }
 
-// roundTrip checks that an accepted document survives its stored form and that
-// every node resolves.
+// checkRoundTrip checks that a valid document does not change when it is encoded
+// and decoded, and that every node resolves.
 func roundTrip(t *testing.T, d tree.Document) {
-	again, err := tree.Decode(tree.Encode(d))
+	decoded, err := tree.Decode(tree.Encode(d))
 	if err != nil {
-		t.Fatalf("stored form: %v", err)
+		t.Fatalf("decode encoded document: %v", err)
 	}
-	if !bytes.Equal(tree.Encode(again), tree.Encode(d)) {
-		t.Fatalf("found %s, expected %s", tree.Encode(again), tree.Encode(d))
+	if !bytes.Equal(tree.Encode(decoded), tree.Encode(d)) {
+		t.Fatalf("found %s, expected %s", tree.Encode(decoded), tree.Encode(d))
 	}
 	for path := range d.Nodes {
 		if _, _, err := d.Resolve(path); err != nil {
