--- a/internal/lab/tail/entry.go
+++ b/internal/lab/tail/entry.go
@@ -7,24 +7,26 @@
 	"plumpitch.example/plumpitch/pkg/pool"
 )
 
-// entry drives one pool.
+// entry runs the balancer of one simulated entry.
 type entry struct {
 	pool   pool.Chooser
-	idle   []int // open connections to each worker that nobody uses
-	tick   int64 // when the next tick is scheduled
+	idle   []int // idle connections to each worker
+	tick   int64 // virtual time of the scheduled tick, in nanoseconds; 0 for none
 	tokens float64
-	out    []pool.Action
+	out    []pool.Action // buffer, reused between calls
 }
 
 const (
-	retryShare = 0.1 // of first tries
-	retryBurst = 10
-	maxTries   = 3
-	tryBits    = 3
+	retryShare = 0.1 // retry tokens that each new request adds
+	retryBurst = 10  // greatest number of retry tokens
+	maxTries   = 3   // dispatches per request, including the first
+	tryBits    = 3   // low bits of a dispatch ID that hold the attempt
 )
 
-func attempt(request, try int32) uint64 { return uint64(request)<<tryBits | uint64(try) }
+// dispatchID combines the index of a request and its attempt.
+func attempt(request, n int32) uint64 { return uint64(request)<<tryBits | uint64(n) }
 
+// handleArrival processes a new request at its entry.
 func (s *site) arrive(j job) {
 	r := &s.requests[j.request]
 	s.stat.offered++
@@ -36,6 +38,8 @@
 	s.offer(j.request, "")
 }
 
+// submit passes a request to the balancer of its entry, to be sent to a target
+// other than avoid if there is one.
 func (s *site) offer(i int32, avoid string) {
 	r := &s.requests[i]
 	e := &s.entries[r.entry]
@@ -43,7 +47,7 @@
 	s.do(r.entry, e.pool.Arrive(s.time(), a, e.out[:0]))
 }
 
-// do carries out what the pool of entry i decided.
+// execute carries out the actions that the balancer of entry i returned.
 func (s *site) do(i int32, out []pool.Action) {
 	e := &s.entries[i]
 	for _, a := range out {
@@ -85,7 +89,8 @@
 	s.at(s.now+int64(s.sc.shape.Target), event{kind: atTarget, job: job{request: -1, entry: i, worker: w}})
 }
 
-// tell passes a target's own word on to the other entries.
+// announceLeaving forwards a target's report that it is leaving to the other
+// entries.
 func (s *site) tell(from int32, a pool.Action) {
 	for i := range s.entries {
 		if int32(i) == from {
@@ -95,7 +100,8 @@
 	}
 }
 
-// plan schedules the tick that the pool asks for.
+// scheduleTick schedules the tick that the balancer of entry i asks for, unless an
+// earlier one is already scheduled.
 func (s *site) plan(i int32) {
 	e := &s.entries[i]
 	next := e.pool.Next()
@@ -110,6 +116,7 @@
 	s.at(when, event{kind: ticked, where: i})
 }
 
+// runTick runs a scheduled tick. It ignores a tick that has been rescheduled.
 func (s *site) tick(ev event) {
 	e := &s.entries[ev.where]
 	if e.tick != ev.at {
@@ -119,6 +126,7 @@
 	s.do(ev.where, e.pool.Tick(s.time(), e.out[:0]))
 }
 
+// receiveResponse processes the response to a dispatch or a probe at the entry.
 func (s *site) answer(j job) {
 	e := &s.entries[j.entry]
 	load := pool.Load{InFlight: j.end.load, Known: !s.sc.deaf, Leaving: j.end.leaving}
@@ -139,7 +147,8 @@
 	s.again(j)
 }
 
-// settle gives the caller its answer, if this one is final.
+// respondToCaller ends the request if the target processed it. It counts any
+// other outcome as a lost dispatch, which may be retried.
 func (s *site) settle(j job) {
 	r := &s.requests[j.request]
 	switch j.end.kind {
@@ -154,16 +163,17 @@
 	}
 }
 
-// again retries a request that surely did not run, or is idempotent, within
-// the budget.
+// retryOrFail retries a request that is idempotent or has not been executed, as
+// long as the attempt limit and the retry budget of the entry allow it. Any other
+// request fails.
 func (s *site) again(j job) {
 	r := &s.requests[j.request]
 	if r.over {
 		return
 	}
 	e := &s.entries[r.entry]
-	sure := j.end.kind == pool.Shed || j.end.kind == pool.RefusedConn
-	if !s.sc.retries || r.write && !sure || r.try+1 >= maxTries || e.tokens < 1 {
+	notExecuted := j.end.kind == pool.Shed || j.end.kind == pool.RefusedConn
+	if !s.sc.retries || r.write && !notExecuted || r.try+1 >= maxTries || e.tokens < 1 {
 		s.stat.failed++
 		s.close(j.request)
 		return
@@ -174,6 +184,7 @@
 	s.offer(j.request, strconv.Itoa(int(j.worker)))
 }
 
+// endRequest marks a request as ended.
 func (s *site) close(i int32) {
 	if s.requests[i].over {
 		return
--- a/internal/lab/tail/experiments.go
+++ b/internal/lab/tail/experiments.go
@@ -8,12 +8,12 @@
 	"plumpitch.example/plumpitch/pkg/pool"
 )
 
-// experiment is one table.
+// experiment describes one table.
 type experiment struct {
 	name string
 	note string
 	rows func(requests int) []row
-	hide []string // columns that say nothing here
+	hide []string // columns without meaning in this experiment
 }
 
 func (x experiment) columns() (cols []column) {
@@ -25,10 +25,11 @@
 	return cols
 }
 
-// marked tells whether the rows are held against the omniscient queue.
+// showsGapClosed reports whether the rows are compared with the omniscient queue.
 func (x experiment) marked() bool { return !slices.Contains(x.hide, "gap closed %") }
 
-// Names of the ways that other rows are held against.
+// Names of ways in the tables. The first two are the ends of the gap that
+// computeGapClosed measures.
 const (
 	wayMark = "omniscient queue"
 	wayTwo  = "two choices x14"
@@ -36,8 +37,8 @@
 )
 
 const (
-	owners      = 1 // entries that locate names first
-	probeBudget = 0.005
+	owners      = 1     // preferred entries of a resolve response
+	probeBudget = 0.005 // share of the time of all slots
 )
 
 var experiments = []experiment{
@@ -50,10 +51,13 @@
 	{"retry", "Overload and targets that fail fast.", retryRows, []string{"gap closed %", "used again ms", "worst 100 ms", "last new work ms"}},
 }
 
+// baseScenario returns a scenario without policy and faults.
 func base(s Shape, load float64, requests int) scenario {
 	return scenario{shape: s, load: load, requests: requests, deadline: time.Second, retries: true, listLag: 30 * time.Second}
 }
 
+// withPlumpitch returns the scenario with the policy, the owners and the probe
+// budget that Plumpitch uses.
 func (s scenario) own() scenario {
 	s.policy, s.owners, s.budget = pool.NameFreeSlot, owners, probeBudget
 	return s
@@ -64,7 +68,7 @@
 	return s
 }
 
-// baselines are the rows that each group holds the product's own against.
+// baselineRows returns the rows of a group that Plumpitch is compared with.
 func baselines(group string, sc scenario) []row {
 	return []row{
 		{group: group, way: wayMark, sc: sc.with(omniscient)},
@@ -100,6 +104,7 @@
 	return rows
 }
 
+// ownerWays returns the rows with various numbers of preferred entries.
 func ownerWays(group string, sc scenario) (rows []row) {
 	add := func(way string, change func(*scenario)) {
 		own := sc.own()
@@ -121,18 +126,18 @@
 	s := gownCatalogue
 	for _, load := range []float64{0.7, 0.85} {
 		sc := base(s, load, requests)
-		whole := time.Duration(sc.seconds() * float64(time.Second))
+		length := time.Duration(sc.seconds() * float64(time.Second))
 		cases := []struct {
 			name   string
 			faults []fault
 		}{
-			{"slow all the time", []fault{{kind: slow, worker: 3, from: 0, to: 10 * whole, factor: 10}}},
-			{"slow mid-run", []fault{{kind: slow, worker: 3, from: whole / 3, to: 2 * whole / 3, factor: 10}}},
-			{"stalls", stalls(whole)},
+			{"slow all the time", []fault{{kind: slow, worker: 3, from: 0, to: 10 * length, factor: 10}}},
+			{"slow mid-run", []fault{{kind: slow, worker: 3, from: length / 3, to: 2 * length / 3, factor: 10}}},
+			{"stalls", stalls(length)},
 		}
-		for _, x := range cases {
-			group := fmt.Sprintf("%s %.0f %%", x.name, 100*load)
-			sc.faults = x.faults
+		for _, c := range cases {
+			group := fmt.Sprintf("%s %.0f %%", c.name, 100*load)
+			sc.faults = c.faults
 			rows = append(rows, baselines(group, sc)...)
 			rows = append(rows, row{group: group, way: wayOwn, sc: sc.own()})
 		}
@@ -140,8 +145,9 @@
 	return rows
 }
 
-func stalls(whole time.Duration) (faults []fault) {
-	for i, at := 0, time.Second; at < whole; i, at = i+1, at+time.Second {
+// periodicStalls returns a stall of 300 ms in each second, at changing workers.
+func stalls(length time.Duration) (faults []fault) {
+	for i, at := 0, time.Second; at < length; i, at = i+1, at+time.Second {
 		faults = append(faults, fault{kind: stall, worker: i * 5 % 14, from: at, to: at + 300*time.Millisecond})
 	}
 	return faults
@@ -164,14 +170,14 @@
 	for _, s := range []Shape{gownCatalogue, paydesk, shiftboard} {
 		for _, load := range []float64{0.7, 0.85} {
 			sc := base(s, load, requests)
-			whole := time.Duration(sc.seconds() * float64(time.Second))
+			length := time.Duration(sc.seconds() * float64(time.Second))
 			for _, faulty := range []bool{false, true} {
 				group := fmt.Sprintf("%s %.0f %%", s.Name, 100*load)
 				if faulty {
 					group += ", straggler and crash"
 					sc.faults = []fault{
-						{kind: slow, worker: 3, from: whole / 3, to: 2 * whole / 3, factor: 10},
-						{kind: crash, worker: 1, from: whole / 2, to: whole * 2 / 3},
+						{kind: slow, worker: 3, from: length / 3, to: 2 * length / 3, factor: 10},
+						{kind: crash, worker: 1, from: length / 2, to: length * 2 / 3},
 					}
 				}
 				rows = append(rows, probeWays(group, sc)...)
@@ -181,17 +187,19 @@
 	return append(rows, quietRows(requests)...)
 }
 
-// quietRows are of a service with so few requests that targets are silent for
-// seconds, and one is gone half the time.
+// lowRateRows returns rows with so few requests that a target gets none for
+// seconds, and with one target that is down half of the time.
 func quietRows(requests int) []row {
 	sc := base(paydesk, 0.002, requests/10)
-	whole := time.Duration(sc.seconds() * float64(time.Second))
-	for at := time.Duration(0); at < whole; at += 20 * time.Second {
+	length := time.Duration(sc.seconds() * float64(time.Second))
+	for at := time.Duration(0); at < length; at += 20 * time.Second {
 		sc.faults = append(sc.faults, fault{kind: crash, worker: 1, from: at, to: at + 10*time.Second})
 	}
 	return probeWays("paydesk 0.2 %, one target gone each other 10 s", sc)
 }
 
+// probeWays returns the rows with a probe budget, without probes and with a fixed
+// probe interval.
 func probeWays(group string, sc scenario) []row {
 	own, none, fixed := sc.own(), sc.own(), sc.with(pool.NameTwoChoices)
 	none.budget = 0
@@ -206,7 +214,7 @@
 func drainRows(requests int) (rows []row) {
 	for _, load := range []float64{0.7} {
 		sc := base(gownCatalogue, load, requests)
-		whole := time.Duration(sc.seconds() * float64(time.Second))
+		length := time.Duration(sc.seconds() * float64(time.Second))
 		cases := []struct {
 			name string
 			kind faultKind
@@ -219,13 +227,13 @@
 			{"restart, cold", restart, 30 * time.Second},
 			{"fails fast", failFast, 30 * time.Second},
 		}
-		for _, x := range cases {
-			sc.faults = []fault{{kind: x.kind, worker: 3, from: whole / 3, to: 2 * whole / 3}}
-			sc.listLag = x.lag
-			if x.kind <= drainList && x.kind >= drainWord {
-				sc.faults[0].to = 10 * whole
+		for _, c := range cases {
+			sc.faults = []fault{{kind: c.kind, worker: 3, from: length / 3, to: 2 * length / 3}}
+			sc.listLag = c.lag
+			if c.kind <= drainList && c.kind >= drainWord {
+				sc.faults[0].to = 10 * length
 			}
-			group := fmt.Sprintf("%s %.0f %%", x.name, 100*load)
+			group := fmt.Sprintf("%s %.0f %%", c.name, 100*load)
 			rows = append(rows, row{group: group, way: wayTwo, sc: sc.with(pool.NameTwoChoices)},
 				row{group: group, way: "least in flight x14", sc: sc.with(pool.NameLeastInFlight)},
 				row{group: group, way: wayOwn, sc: sc.own()})
--- a/internal/lab/tail/mark.go
+++ b/internal/lab/tail/mark.go
@@ -6,13 +6,13 @@
 	"plumpitch.example/plumpitch/pkg/pool/heap"
 )
 
-// instant orders slots by when they come free.
+// slotRelease is the time at which a slot becomes free.
 type instant struct {
-	at   int64
-	slot int
+	at   int64 // nanoseconds of virtual time
+	slot int   // the slots of a worker have consecutive numbers
 }
 
-// Before orders by time, then by slot.
+// Before orders releases by time, then by slot.
 func (i instant) Before(o instant) bool {
 	if i.at != o.at {
 		return i.at < o.at
@@ -20,9 +20,10 @@
 	return i.slot < o.slot
 }
 
-// mark runs the omniscient queue: one queue that stands at the targets, knows
-// when each slot is free and which target is slow or stalled, and has the same
-// one-way delays. No entry can know as much; it is the mark to approach.
+// runOmniscient simulates the omniscient queue: one queue at the targets that knows
+// when each slot becomes free and which targets have a fault. The one-way network
+// delays are those of the other runs. No entry can have this knowledge, so the
+// result is the reference that the policies approach.
 func mark(sc scenario) *stats {
 	s := &site{sc: sc, stat: newStats(sc.shape.Workers)}
 	s.draw()
@@ -30,26 +31,27 @@
 	for i := range sc.shape.Workers * sc.shape.Slots {
 		free.Push(instant{slot: i})
 	}
-	way := int64(sc.shape.Target)
+	delay := int64(sc.shape.Target)
 	for _, r := range s.requests {
 		s.stat.offered++
-		now := r.at + way
+		now := r.at + delay
 		slot := takeSlot(&free, sc, now)
 		begin := max(now, slot.at)
 		end := stalled(sc, slot.slot/sc.shape.Slots, begin, begin+int64(r.demand))
-		s.stat.answer(end+way-r.at+2*int64(sc.shape.Caller), r.write)
-		s.stat.ended = max(s.stat.ended, end+way)
+		s.stat.answer(end+delay-r.at+2*int64(sc.shape.Caller), r.write)
+		s.stat.ended = max(s.stat.ended, end+delay)
 		free.Push(instant{at: end, slot: slot.slot})
 	}
 	s.stat.tries = s.stat.offered
 	return s.stat
 }
 
-// takeSlot takes the slot that is free first among those of no impaired worker.
+// takeEarliestSlot removes and returns the slot that becomes free first, other than
+// those of impaired workers. The last slot left is taken in any case.
 func takeSlot(free *heap.Heap[instant], sc scenario, now int64) instant {
-	var aside []instant
+	var skipped []instant
 	defer func() {
-		for _, a := range aside {
+		for _, a := range skipped {
 			free.Push(a)
 		}
 	}()
@@ -59,11 +61,12 @@
 		if !impaired(sc, slot.slot/sc.shape.Slots, begin) {
 			return slot
 		}
-		aside = append(aside, slot)
+		skipped = append(skipped, slot)
 	}
 	return free.Pop()
 }
 
+// impaired reports whether the worker has a fault at the given time.
 func impaired(sc scenario, worker int, at time.Duration) bool {
 	for _, f := range sc.faults {
 		if f.worker == worker && at >= f.from && at < f.to {
@@ -73,7 +76,8 @@
 	return false
 }
 
-// stalled moves the end of a request that a stall meets while it runs.
+// addStalls returns the end of a request, later by the length of each stall that
+// starts while the request runs.
 func stalled(sc scenario, worker int, begin, end int64) int64 {
 	for _, f := range sc.faults {
 		if f.kind == stall && f.worker == worker && begin < int64(f.from) && end > int64(f.from) {
--- a/internal/lab/tail/plot.go
+++ b/internal/lab/tail/plot.go
@@ -19,7 +19,7 @@
 	labelTurn  = math.Pi / 6
 )
 
-// plotRows draws the p99 of each way over the groups.
+// writePlot writes an SVG plot of the p99 of each way, by group.
 func plotRows(x experiment, rows []row, path string) (err error) {
 	defer func() { err = errors.WithMessage(err, "plot") }()
 	p := plot.New()
@@ -48,6 +48,7 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
+// groupsAndWays returns the names of the groups and ways in order of appearance.
 func axes(rows []row) (groups, ways []string) {
 	seenGroup, seenWay := map[string]bool{}, map[string]bool{}
 	for _, r := range rows {
@@ -63,6 +64,7 @@
 	return groups, ways
 }
 
+// points returns the p99 of one way in each group that has it.
 func points(rows []row, groups []string, way string) (xy plotter.XYs) {
 	for i, g := range groups {
 		if r := named(rows, g, way); r != nil {
@@ -72,8 +74,8 @@
 	return xy
 }
 
-// ticks labels enough values of a logarithmic axis that spans less than a
-// power of ten.
+// axisTicks returns the ticks of a logarithmic axis. It also labels values between
+// the powers of ten, since the axis may span less than one power.
 func ticks(low, high float64) (t []plot.Tick) {
 	for power := 1.0; power <= high; power *= 10 {
 		for _, step := range []float64{1, 1.5, 2, 3, 4, 5, 7} {
--- a/internal/lab/tail/shape.go
+++ b/internal/lab/tail/shape.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Shape is the size of one service and its distances, from the brief.
+// Shape describes one service: its size, network delays and service time.
 type Shape struct {
 	Name    string
 	Workers int
-	Slots   int           // requests that a worker runs at once
-	Entries int           // entries of the site
-	Caller  time.Duration // one way between caller and entry
-	Target  time.Duration // one way between entry and target
-	Connect time.Duration // cost of a new connection
-	Probe   time.Duration // target time of one probe
-	Service time.Duration // mean service time
-	Sigma   float64       // of the logarithm of the service time
-	Backlog int           // requests that a worker lets wait before it sheds
+	Slots   int           // requests that a worker processes at the same time
+	Entries int           // entries of the region
+	Caller  time.Duration // one-way network delay between caller and entry
+	Target  time.Duration // one-way network delay between entry and target
+	Connect time.Duration // time to open a connection to a target
+	Probe   time.Duration // time that a probe takes at the target
+	Service time.Duration // mean
+	Sigma   float64       // standard deviation of the logarithm of the service time
+	Backlog int           // requests that a worker queues before it sheds more
 }
 
 func shape(name string, workers int, caller, probe time.Duration) Shape {
@@ -33,13 +33,14 @@
 	}
 }
 
-// The services of the brief that the experiments use.
+// The services of the experiments.
 var (
 	gownCatalogue = shape("gown-catalogue", 14, time.Millisecond, time.Millisecond)
 	paydesk       = shape("paydesk", 6, 8*time.Millisecond, 6*time.Millisecond)
 	shiftboard    = shape("shiftboard", 15, 8*time.Millisecond, 6*time.Millisecond)
 )
 
+// capacity returns the requests per second that all workers can serve.
 func (s Shape) capacity() float64 {
 	return float64(s.Workers*s.Slots) / s.Service.Seconds()
 }
--- a/internal/lab/tail/site.go
+++ b/internal/lab/tail/site.go
@@ -11,32 +11,34 @@
 	"plumpitch.example/plumpitch/pkg/probe"
 )
 
-// request is one caller's request. Its times and its demand depend on the seed
-// only, so that all policies meet the same ones.
+// request is one caller's request. Its arrival and its service time depend on the
+// seed and the load only, so that all policies get the same requests.
 type request struct {
-	at     int64 // at the entry
+	at     int64 // at the entry, in nanoseconds of virtual time
 	entry  int32
-	demand float64
-	try    int32
+	demand float64 // nanoseconds, on a worker without faults
+	try    int32   // 0 for the first dispatch
 	over   bool
 	write  bool // not idempotent
 }
 
-// site is one service, its entries and callers in virtual time.
+// simulator simulates one service, its entries and its callers in virtual time.
 type site struct {
 	sc       scenario
-	now      int64
+	now      int64 // nanoseconds since the start of the run
 	seq      uint64
 	events   heap.Heap[event]
 	workers  []worker
 	entries  []entry
 	requests []request
 	stat     *stats
-	open     int
+	open     int // requests that have not ended
 }
 
+// epoch is the wall-clock time at the start of a run.
 var epoch = time.Unix(0, 0)
 
+// schedule adds an event at the given virtual time.
 func (s *site) at(when int64, e event) {
 	e.at, e.seq = when, s.seq
 	s.seq++
@@ -60,9 +62,9 @@
 	return s, nil
 }
 
-// draw makes the requests: Poisson arrivals, lognormal demands.
+// generateRequests draws the requests: Poisson arrivals, lognormal service times.
 func (s *site) draw() {
-	rnd, kinds := rand.New(rand.NewPCG(s.sc.seed, 1)), rand.New(rand.NewPCG(s.sc.seed, 1<<32))
+	rnd, writeRnd := rand.New(rand.NewPCG(s.sc.seed, 1)), rand.New(rand.NewPCG(s.sc.seed, 1<<32))
 	shape := s.sc.shape
 	mu := math.Log(float64(shape.Service)) - shape.Sigma*shape.Sigma/2
 	at := 0.0
@@ -70,13 +72,14 @@
 	for i := range s.requests {
 		at += rnd.ExpFloat64() / s.rate(at) * float64(time.Second)
 		s.requests[i] = request{at: int64(at), entry: s.meet(rnd), demand: math.Exp(mu + shape.Sigma*rnd.NormFloat64())}
-		s.requests[i].write = kinds.Float64() < s.sc.writes
+		s.requests[i].write = writeRnd.Float64() < s.sc.writes
 		s.at(int64(at), event{kind: atEntry, job: job{request: int32(i)}})
 	}
 	s.stat.until = int64(at)
 }
 
-// rate is the number of arrivals a second. A swing is a square wave.
+// arrivalRate returns the arrivals per second at the given virtual time. A swing
+// is a square wave.
 func (s *site) rate(at float64) float64 {
 	rate := s.sc.load * s.sc.shape.capacity()
 	if s.sc.swing > 1 && math.Mod(at, float64(s.sc.period)) < float64(s.sc.period)/2 {
@@ -85,14 +88,16 @@
 	return rate
 }
 
-// meet draws the entry that the caller uses, by what locate has told it.
+// chooseEntry draws the entry that a caller uses according to its resolve response.
+// It draws the same number of random values in each case, so that the rest of the
+// requests doesn't depend on the case.
 func (s *site) meet(rnd *rand.Rand) int32 {
-	all, home, astray := rnd.IntN(s.sc.shape.Entries), rnd.Float64(), rnd.Float64() < s.sc.stray
+	anyEntry, owner, stray := rnd.IntN(s.sc.shape.Entries), rnd.Float64(), rnd.Float64() < s.sc.stray
 	switch {
-	case s.sc.owners == 0 || astray:
-		return int32(all)
+	case s.sc.owners == 0 || stray:
+		return int32(anyEntry)
 	case s.sc.even:
-		return int32(home * float64(s.sc.owners))
+		return int32(owner * float64(s.sc.owners))
 	}
 	return 0
 }
@@ -118,6 +123,8 @@
 	return nil
 }
 
+// newProbeBudget returns the part of the probe budget that one entry may spend, or
+// nil if the entry sends no probes.
 func (s *site) share(entry int) *probe.Budget {
 	owners := s.sc.owners
 	if owners == 0 {
@@ -137,20 +144,21 @@
 	return b
 }
 
-// list is what the VM list says now.
-func (s *site) list() (list []pool.Target) {
+// targetList returns the targets as the VM list shows them now. A leaving worker
+// is shown as leaving only after listDelay.
+func (s *site) list() (targets []pool.Target) {
 	for i := range s.workers {
 		w := &s.workers[i]
 		t := pool.Target{ID: strconv.Itoa(i), Boot: w.boot}
 		if w.leaving && s.now-w.told > int64(s.sc.listLag) {
 			t.State = pool.Leaving
 		}
-		list = append(list, t)
+		targets = append(targets, t)
 	}
-	return list
+	return targets
 }
 
-// run goes through virtual time until every request has its answer.
+// run processes events until every request has ended.
 func (s *site) run() *stats {
 	s.open = len(s.requests)
 	for s.open > 0 && s.events.Len() > 0 {
--- a/internal/lab/tail/stats.go
+++ b/internal/lab/tail/stats.go
@@ -10,43 +10,45 @@
 )
 
 const (
-	lowest  = 1                 // microseconds
+	lowest  = 1
 	highest = 600 * 1000 * 1000 // ten minutes
-	digits  = 3
+	digits  = 3                 // precision of the histograms
 )
 
+// interval is a span of virtual time, in nanoseconds.
 type interval struct{ from, to int64 }
 
-// stats is what one run counted.
+// stats collects the measurements of one run.
 type stats struct {
-	took          *hdr.Histogram // microseconds from caller to caller, of served requests
-	tookWrite     *hdr.Histogram // the same of those that are not idempotent
-	writes        int
+	took          *hdr.Histogram // of served requests as their callers see it, in microseconds
+	tookWrite     *hdr.Histogram // the same, of non-idempotent requests only
+	writes        int            // non-idempotent requests
 	refusedWrites int
 	offered       int
 	served        int
-	failed        int // answered with an error or broken off
-	refused       int
-	late          int // refused after having waited in the queue
+	failed        int // requests that got an error or could not be retried
+	refused       int // requests that a balancer refused
+	late          int // requests whose deadline came near in the queue
 	tries         int
 	retries       int
-	trials        int
+	trials        int // trial requests to ejected targets
 	probes        []interval
 	denied        int
-	newest        time.Duration // last arrival of work at a leaving worker, after the notice
-	taken         time.Duration // the same, of work that it took
-	most          int           // requests queued or in flight at most
-	lost          int           // tries that met a dead worker or a crash
-	reached       [][]int       // requests at each worker in each reachStep
-	until         int64         // last arrival
-	ended         int64         // last answer
-	reasons       [8]int
+	newest        time.Duration // last request sent to a leaving worker, counted from the order to leave
+	taken         time.Duration // the same, of requests that the worker accepted
+	most          int           // peak of requests queued or in flight
+	lost          int           // dispatches that were shed or met a dead or crashing worker
+	reached       [][]int       // requests that arrived at each worker in each arrivalStep
+	until         int64         // virtual time of the last request, in nanoseconds
+	ended         int64         // virtual time when the last request ended, in nanoseconds
+	reasons       [8]int        // refusals by pool.Reason
 }
 
 func newStats(workers int) *stats {
 	return &stats{took: hdr.New(lowest, highest, digits), tookWrite: hdr.New(lowest, highest, digits), reached: make([][]int, workers)}
 }
 
+// addDrainArrival counts a request that arrives at a leaving worker.
 func (t *stats) afterDrain(age int64, took bool) {
 	t.newest = max(t.newest, time.Duration(age))
 	if took {
@@ -82,14 +84,17 @@
 	return sum
 }
 
-// worstWindow is the most target time spent on probes in any window.
-func (t *stats) worstWindow(window time.Duration) (worst time.Duration) {
+// peakProbeTime returns the most target time spent on probes in any window of the
+// given length.
+func (t *stats) worstWindow(window time.Duration) (peak time.Duration) {
 	for _, p := range t.probes {
-		worst = max(worst, t.within(p.from, p.from+int64(window)), t.within(p.to-int64(window), p.to))
+		peak = max(peak, t.within(p.from, p.from+int64(window)), t.within(p.to-int64(window), p.to))
 	}
-	return worst
+	return peak
 }
 
+// probeTimeBetween returns the target time spent on probes between two times. The
+// search starts one second early to include probes that run across from.
 func (t *stats) within(from, to int64) (sum time.Duration) {
 	first, _ := slices.BinarySearchFunc(t.probes, from-int64(time.Second), func(p interval, at int64) int {
 		return int(min(max(p.from-at, -1), 1))
@@ -105,8 +110,8 @@
 
 const (
 	reachStep  = 100 * time.Millisecond
-	reachSteps = 3
-	fairShare  = 0.8
+	reachSteps = 3   // steps that recovery is judged by
+	fairShare  = 0.8 // part of an equal share of the requests that counts as full use
 )
 
 func (t *stats) reach(worker int32, now int64) {
@@ -117,8 +122,9 @@
 	t.reached[worker][step]++
 }
 
-// usedAgain is the time from the end of a fault until the worker gets its share
-// of the requests again, zero where it never ends within the run.
+// recoveryTime returns the time from the end of a fault until the worker gets its
+// share of the requests again. It returns 0 if the fault doesn't end within the run,
+// and the rest of the run if the worker doesn't get its share in it.
 func (t *stats) usedAgain(worker int, end time.Duration) time.Duration {
 	last := int(t.until/int64(reachStep)) - reachSteps
 	first := int(end / reachStep)
@@ -134,6 +140,8 @@
 	return time.Duration(last-first) * reachStep
 }
 
+// windowArrivals returns the requests that arrived at one worker and at all workers
+// in the recoverySteps steps that start with from.
 func (t *stats) share(worker, from int) (own, all float64) {
 	for w, counts := range t.reached {
 		for step := from; step < min(from+reachSteps, len(counts)); step++ {
--- a/internal/lab/tail/table.go
+++ b/internal/lab/tail/table.go
@@ -8,12 +8,12 @@
 	"github.com/olekukonko/tablewriter"
 )
 
-// column is one figure of a row.
+// column is a column of the table, with one figure of each row.
 type column struct {
 	name   string
 	value  func(r *row) spread
 	digits int
-	spread bool // print the lowest and highest too
+	spread bool // also print the lowest and the highest value
 }
 
 var columns = []column{
@@ -80,7 +80,7 @@
 	return line
 }
 
-// jsonFigure and jsonRow are the form of a row in JSON lines.
+// jsonFigure and jsonRow are the JSON format of a row.
 type jsonFigure struct {
 	Mid  float64 `json:"median"`
 	Low  float64 `json:"low"`
--- a/internal/lab/tail/tail.go
+++ b/internal/lab/tail/tail.go
@@ -1,7 +1,7 @@
-// Package tail measures the decisions of pkg/pool on a seeded fake of one
-// service's targets in virtual time. It drives the very code that the entry
-// drives, and is a fake at that interface only. The same seed gives the same
-// bytes.
+// Package tail compares load balancing policies by their tail latency. It
+// simulates the callers, entries and targets of one service in virtual time.
+// The balancers are those of pkg/pool that an entry runs; everything around
+// them is simulated. The same seed prints the same bytes.
 package tail
 
 import (
@@ -12,14 +12,14 @@
 	"github.com/pkg/errors"
 )
 
-// Config says what to measure.
+// Config selects the experiment, its size and its output.
 type Config struct {
 	Name     string // one of Names
-	Seeds    int    // runs of each row; zero means 5
-	Seed     uint64 // the first seed; zero means 1
-	Requests int    // requests of each run; zero means 60000
-	JSON     bool   // JSON lines instead of a table
-	Plot     string // path of an SVG to write, or empty
+	Seeds    int    // runs per row, each with its own seed; 0 means 5
+	Seed     uint64 // first seed; 0 means 1
+	Requests int    // requests per run; 0 means 60000
+	JSON     bool   // print JSON lines instead of a table
+	Plot     string // path of the SVG file to write; empty for none
 }
 
 const (
@@ -36,7 +36,7 @@
 	return names
 }
 
-// Run runs one experiment and prints its table.
+// Run runs one experiment and prints its results.
 func Run(cfg Config, w io.Writer) (err error) {
 	defer func() { err = errors.WithMessagef(err, "experiment %s", cfg.Name) }()
 	cfg = cfg.withDefaults()
@@ -82,29 +82,29 @@
 	return x, errors.Errorf("name: found %q, expected one of %v", name, Names())
 }
 
-// measure runs every row with every seed, a few at a time. Each run stands
-// alone, so the order in which they end does not matter.
+// runAll runs every row with every seed, up to maxParallelRuns at a time. The
+// runs share no state, so the results don't depend on their order.
 func measure(cfg Config, rows []row) (err error) {
 	results := make([]*stats, len(rows)*cfg.Seeds)
-	fails := make([]error, len(results))
-	next := make(chan int)
-	var wait sync.WaitGroup
+	errs := make([]error, len(results))
+	indices := make(chan int)
+	var wg sync.WaitGroup
 	for range min(maxThreads, runtime.GOMAXPROCS(0)) {
-		wait.Go(func() {
-			for i := range next {
+		wg.Go(func() {
+			for i := range indices {
 				sc := rows[i/cfg.Seeds].sc
 				sc.seed = cfg.Seed + uint64(i%cfg.Seeds)
-				results[i], fails[i] = runOne(sc)
+				results[i], errs[i] = runOne(sc)
 			}
 		})
 	}
 	for i := range results {
-		next <- i
+		indices <- i
 	}
-	close(next)
-	wait.Wait()
+	close(indices)
+	wg.Wait()
 	for i := range rows {
-		if err = firstError(fails[i*cfg.Seeds : (i+1)*cfg.Seeds]); err != nil {
+		if err = firstError(errs[i*cfg.Seeds : (i+1)*cfg.Seeds]); err != nil {
 			return err
 		}
 		rows[i].sum(results[i*cfg.Seeds : (i+1)*cfg.Seeds])
--- a/internal/lab/tail/tail_test.go
+++ b/internal/lab/tail/tail_test.go
@@ -7,16 +7,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The same seed prints the same bytes, whatever the threads do.
+// The same seed must print the same bytes, however the parallel runs are scheduled.
 func TestSameBytes(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			var a, b bytes.Buffer
+			var first, second bytes.Buffer
 			cfg := Config{Name: name, Seeds: 2, Requests: 300}
-			c.Assert(Run(cfg, &a), qt.IsNil)
-			c.Assert(Run(cfg, &b), qt.IsNil)
-			c.Assert(a.String(), qt.Equals, b.String())
+			c.Assert(Run(cfg, &first), qt.IsNil)
+			c.Assert(Run(cfg, &second), qt.IsNil)
+			c.Assert(first.String(), qt.Equals, second.String())
 		})
 	}
 }
--- a/internal/lab/tail/tweak.go
+++ b/internal/lab/tail/tweak.go
@@ -2,7 +2,7 @@
 
 import "plumpitch.example/plumpitch/pkg/pool"
 
-// tweak changes a pool's settings for one row.
+// poolOverride changes the configuration of the balancers for one row.
 type tweak func(*pool.Config)
 
 func (t tweak) apply(cfg pool.Config) pool.Config {
--- a/internal/lab/tail/worker.go
+++ b/internal/lab/tail/worker.go
@@ -2,27 +2,27 @@
 
 import "plumpitch.example/plumpitch/pkg/pool"
 
-// end is what comes back from a worker.
+// result is the outcome of a job and the load report that comes with it.
 type end struct {
 	kind    pool.Kind
 	load    int
 	leaving bool
 }
 
-// worker is the fake of one target: slots, a backlog, and what is wrong with it.
+// worker simulates one target: its slots, its queue and its faults.
 type worker struct {
 	running []job
 	waiting []job
-	factor  float64
-	stalled int64 // until then
-	dead    bool
-	failing bool
+	factor  float64 // multiplies the service time; 1 without a fault
+	stalled int64   // virtual time, in nanoseconds
+	dead    bool    // refuses connections
+	failing bool    // answers each request with an error at once
 	leaving bool
 	refuses bool
-	silent  bool // leaves without a word
-	boot    uint64
-	cold    int   // requests until it is warm
-	told    int64 // when it was told to leave
+	silent  bool   // is leaving without reporting it
+	boot    uint64 // incarnation
+	cold    int    // requests until the worker is warmed up
+	told    int64  // virtual time of the order to leave, in nanoseconds
 }
 
 const (
@@ -53,16 +53,16 @@
 }
 
 func (s *site) begin(w *worker, j job) {
-	took := float64(s.sc.shape.Probe)
+	duration := float64(s.sc.shape.Probe)
 	if j.request >= 0 {
-		took = s.requests[j.request].demand
+		duration = s.requests[j.request].demand
 		if w.cold > 0 {
 			w.cold--
-			took *= coldFactor
+			duration *= coldFactor
 		}
 	}
-	took *= w.factor
-	j.finish = max(s.now, w.stalled) + int64(took)
+	duration *= w.factor
+	j.finish = max(s.now, w.stalled) + int64(duration)
 	if j.request < 0 {
 		s.stat.probeRan(s.now, j.finish)
 	}
@@ -70,7 +70,8 @@
 	s.at(j.finish, event{kind: finished, where: j.worker, job: j})
 }
 
-// finish ends a job, unless a stall or a crash has moved it meanwhile.
+// finishJob completes a job. It ignores the event if a stall has postponed the
+// job or a crash has ended it since the event was scheduled.
 func (s *site) finish(e event) {
 	w := &s.workers[e.where]
 	for i := range w.running {
@@ -89,13 +90,15 @@
 	}
 }
 
-// reply sends the answer on its way with the load of this moment.
+// sendResponse schedules the arrival of the response at the entry. The response
+// reports the current load of the worker, including this job.
 func (s *site) reply(j job, kind pool.Kind) {
 	w := &s.workers[j.worker]
 	j.end = end{kind: kind, load: len(w.running) + len(w.waiting) + 1, leaving: w.leaving && !w.silent && !w.refuses}
 	s.at(s.now+int64(s.sc.shape.Target), event{kind: answered, where: j.entry, job: j})
 }
 
+// stallWorker postpones the running jobs by the length of the stall.
 func (s *site) halt(w *worker, until int64) {
 	for i := range w.running {
 		j := &w.running[i]
@@ -112,6 +115,7 @@
 	w.running, w.waiting, w.dead = nil, nil, true
 }
 
+// applyFault starts or ends a fault.
 func (s *site) fault(f fault, on bool) {
 	w := &s.workers[f.worker]
 	switch f.kind {
