--- a/internal/lab/hop/hop.go
+++ b/internal/lab/hop/hop.go
@@ -1,6 +1,6 @@
-// Package hop measures what an entry adds to a call: the same load goes to the
-// targets directly and through one entry, in turns, in one process. What the
-// second costs more in latency, processor time and allocations is the entry's.
+// Package hop measures the overhead of an entry for each request. The same load goes
+// in turns to the targets directly and through an entry, all in one process. The
+// difference in latency, CPU time and allocations is the overhead.
 package hop
 
 import (
@@ -22,34 +22,34 @@
 	"plumpitch.example/plumpitch/internal/site"
 )
 
-// Config of a measurement.
+// Config configures a measurement.
 type Config struct {
-	Rounds   int     // turns of direct and through
-	Requests int     // in each half of a turn
-	Rate     float64 // requests a second
-	Writes   float64 // share of keyed non-idempotent requests
-	Entries  int     // live entries; keyed requests need replicas
-	Settings []byte  // settings file that names the service
+	Rounds   int     // each runs the load directly and through an entry
+	Requests int     // per round, directly and again through an entry
+	Rate     float64 // requests per second
+	Writes   float64 // share of non-idempotent requests, which carry an idempotency key
+	Entries  int     // live entries; requests with an idempotency key need replicas
+	Settings []byte  // settings file that configures the service
 	Service  string
 	JSON     bool
 }
 
-// side is what one way cost.
+// pathStats is the cost of the requests on one path: direct or through an entry.
 type side struct {
 	latency *hdrhistogram.Histogram
 	cpu     time.Duration
-	allocs  uint64
+	allocs  uint64 // heap allocations
 	sent    int
-	bad     int
+	bad     int // sent but not answered
 }
 
-// warmUp is the number of requests before anything is measured.
+// warmUpRequests is the number of unmeasured requests on each path at the start.
 const warmUp = 500
 
-// longest start of the site.
+// startTimeout limits the time until the site is ready.
 const startTime = 20 * time.Second
 
-// Run prints the table.
+// Run measures both paths and prints the results.
 func Run(ctx context.Context, cfg Config, w io.Writer) (err error) {
 	defer func() { err = errors.WithMessage(err, "hop") }()
 	s, err := site.Start(site.Config{
@@ -73,6 +73,7 @@
 	return show(w, cfg, direct, through)
 }
 
+// applySettings applies the settings and waits until the site is ready.
 func start(ctx context.Context, s *site.Site, settings []byte) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, startTime)
 	defer cancel()
@@ -82,41 +83,42 @@
 	return s.Ready(ctx)
 }
 
+// measure runs the load on both paths in turns and adds up the cost of each path.
 func measure(ctx context.Context, s *site.Site, cfg Config) (direct, through side, err error) {
-	straight := load.Config{
+	directLoad := load.Config{
 		Services: []string{cfg.Service}, Rate: cfg.Rate, Writes: cfg.Writes, Timeout: 5 * time.Second,
 	}
 	for _, t := range s.Targets {
-		straight.Direct = append(straight.Direct, t.Addr)
+		directLoad.Direct = append(directLoad.Direct, t.Addr)
 	}
-	routed := straight
-	routed.Direct, routed.Entries = nil, s.Callers()
+	entryLoad := directLoad
+	entryLoad.Direct, entryLoad.Entries = nil, s.Callers()
 	direct.latency = hdrhistogram.New(1, 60_000_000, 3)
 	through.latency = hdrhistogram.New(1, 60_000_000, 3)
-	for _, c := range []load.Config{straight, routed} {
+	for _, c := range []load.Config{directLoad, entryLoad} {
 		c.Requests = warmUp
 		if _, err := load.Run(ctx, c); err != nil {
 			return direct, through, err
 		}
 	}
 	for n := range cfg.Rounds {
-		straight.Seed, routed.Seed = uint64(n), uint64(n)
-		straight.Requests, routed.Requests = cfg.Requests, cfg.Requests
-		if err := direct.add(ctx, straight); err != nil {
+		directLoad.Seed, entryLoad.Seed = uint64(n), uint64(n)
+		directLoad.Requests, entryLoad.Requests = cfg.Requests, cfg.Requests
+		if err := direct.add(ctx, directLoad); err != nil {
 			return direct, through, err
 		}
-		if err := through.add(ctx, routed); err != nil {
+		if err := through.add(ctx, entryLoad); err != nil {
 			return direct, through, err
 		}
 	}
 	return direct, through, nil
 }
 
-// add runs one half of a turn and adds what it cost.
+// addRound runs the load of one round on the path and adds its cost.
 func (s *side) add(ctx context.Context, cfg load.Config) (err error) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	cpu, err := cpuTime()
+	cpuBefore, err := cpuTime()
 	if err != nil {
 		return err
 	}
@@ -124,12 +126,12 @@
 	if err != nil {
 		return err
 	}
-	end, err := cpuTime()
+	cpuAfter, err := cpuTime()
 	if err != nil {
 		return err
 	}
 	runtime.ReadMemStats(&after)
-	s.cpu += end - cpu
+	s.cpu += cpuAfter - cpuBefore
 	s.allocs += after.Mallocs - before.Mallocs
 	s.sent += report.Sent
 	s.bad += report.Sent - report.Answered
@@ -137,14 +139,15 @@
 	return nil
 }
 
-// cpuTime is the processor time of this process.
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime() (d time.Duration, err error) {
 	var u syscall.Rusage
 	err = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), err
 }
 
-// result is one line of the table.
+// result is one line of the table. Times are in microseconds; CPU time and
+// allocations are per request.
 type result struct {
 	Way    string  `json:"way"`
 	Sent   int     `json:"sent"`
@@ -164,6 +167,7 @@
 	}
 }
 
+// writeResults prints both paths and their difference.
 func show(w io.Writer, cfg Config, direct, through side) (err error) {
 	d, t := direct.result("direct"), through.result("entry")
 	added := result{Way: "added", P50: t.P50 - d.P50, P99: t.P99 - d.P99, CPU: t.CPU - d.CPU, Allocs: t.Allocs - d.Allocs}
--- a/internal/lab/order/order.go
+++ b/internal/lab/order/order.go
@@ -1,6 +1,7 @@
-// Package order confirms the order of the policies over loopback: real entries,
-// stand-in targets and the load tool, one policy after the other in one run.
-// Only ratios count, since the machine has other work too.
+// Package order checks the ranking of the policies over loopback. For each policy in
+// turn, the load generator sends requests through a real entry to stand-in targets.
+// Only the ratios between policies are meaningful, since other processes share the
+// machine.
 package order
 
 import (
@@ -22,27 +23,28 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// Config of a run.
+// Config configures a run.
 type Config struct {
-	Requests int     // of each policy
-	Load     float64 // share of what the targets can do
-	Factor   float64 // how much slower the straggler is; 1 for none
-	Seed     uint64
-	Settings []byte // settings file that names Service
+	Requests int     // per policy
+	Load     float64 // share of the capacity of the targets
+	Factor   float64 // multiplies the service time of the first target, the straggler; 1 for no straggler
+	Seed     uint64  // of the arrivals
+	Settings []byte  // settings file that configures Service
 	Service  string
 	JSON     bool
 }
 
-// The site of each policy.
+// The site that each policy is measured on.
 const (
 	targets = 8
-	slots   = 2
+	slots   = 2 // per target
 	mean    = 10 * time.Millisecond
-	sigma   = 1.0
-	start   = 20 * time.Second
+	sigma   = 1.0              // standard deviation of the logarithm of the service time
+	start   = 20 * time.Second // until the site is ready
 )
 
-// row is one policy's result. Ratio is its p99 over that of the first policy.
+// row is the result of one policy. Ratio is its p99 divided by that of the first
+// policy.
 type row struct {
 	Policy   string  `json:"policy"`
 	Sent     int     `json:"sent"`
@@ -53,7 +55,7 @@
 	Ratio    float64 `json:"ratio"`
 }
 
-// Run prints one line for each policy.
+// Run measures every policy and prints one line for each.
 func Run(ctx context.Context, cfg Config, w io.Writer) (err error) {
 	defer func() { err = errors.WithMessage(err, "order") }()
 	var rows []row
@@ -74,6 +76,7 @@
 	return nil
 }
 
+// measurePolicy runs the load with one policy, on a site of its own.
 func measure(ctx context.Context, cfg Config, policy string) (r row, err error) {
 	s, err := site.Start(site.Config{
 		Region: "perth-metro", Places: []string{"fremantle-hall"}, Entries: 1,
@@ -99,21 +102,22 @@
 	return row{Policy: policy, Sent: report.Sent, Answered: report.Answered, Refused: report.Refused, P50: ms(50), P99: ms(99)}, nil
 }
 
-// prepare puts the settings with another policy in force.
-func prepare(ctx context.Context, s *site.Site, text []byte, policy string) (err error) {
+// applyPolicy applies the settings with the given policy at the root, and waits until
+// the site is ready.
+func prepare(ctx context.Context, s *site.Site, settings []byte, policy string) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, start)
 	defer cancel()
-	d, err := tree.Parse("settings", text)
+	doc, err := tree.Parse("settings", settings)
 	if err != nil {
 		return err
 	}
-	root := d.Nodes[tree.Root]
+	root := doc.Nodes[tree.Root]
 	if root.Values == nil {
 		root.Values = make(map[string]string)
 	}
 	root.Values["policy"] = policy
-	d.Nodes[tree.Root] = root
-	if err := site.ApplyDocument(ctx, s.Store, d); err != nil {
+	doc.Nodes[tree.Root] = root
+	if err := site.ApplyDocument(ctx, s.Store, doc); err != nil {
 		return err
 	}
 	return s.Ready(ctx)
