--- a/internal/lab/hop/hop.go
+++ b/internal/lab/hop/hop.go
@@ -40,7 +40,7 @@
 	cpu     time.Duration
 	allocs  uint64 // heap allocations
 	sent    int
-	bad     int // sent but not answered
+	bad     int
 }
 
 // warmUpRequests is the number of unmeasured requests on each path at the start.
--- a/internal/lab/order/order.go
+++ b/internal/lab/order/order.go
@@ -1,5 +1,5 @@
 // Package order checks the ranking of the policies over loopback. For each policy in
-// turn, the load generator sends requests through a real entry to stand-in targets.
+// turn, the load generator sends requests through a real entry to fake targets.
 // Only the ratios between policies are meaningful, since other processes share the
 // machine.
 package order
--- a/internal/lab/tail/entry.go
+++ b/internal/lab/tail/entry.go
@@ -24,7 +24,7 @@
 )
 
 // dispatchID combines the index of a request and its attempt.
-func attempt(request, n int32) uint64 { return uint64(request)<<tryBits | uint64(n) }
+func attempt(request, attempt int32) uint64 { return uint64(request)<<tryBits | uint64(attempt) }
 
 // handleArrival processes a new request at its entry.
 func (s *site) arrive(j job) {
@@ -48,9 +48,9 @@
 }
 
 // execute carries out the actions that the balancer of entry i returned.
-func (s *site) do(i int32, out []pool.Action) {
+func (s *site) do(i int32, actions []pool.Action) {
 	e := &s.entries[i]
-	for _, a := range out {
+	for _, a := range actions {
 		switch a.Kind {
 		case pool.Dispatch:
 			s.dispatch(i, a)
@@ -64,7 +64,7 @@
 			s.tell(i, a)
 		}
 	}
-	e.out = out[:0]
+	e.out = actions[:0]
 	s.plan(i)
 }
 
@@ -101,7 +101,7 @@
 }
 
 // scheduleTick schedules the tick that the balancer of entry i asks for, unless an
-// earlier one is already scheduled.
+// earlier tick is already scheduled.
 func (s *site) plan(i int32) {
 	e := &s.entries[i]
 	next := e.pool.Next()
--- a/internal/lab/tail/experiments.go
+++ b/internal/lab/tail/experiments.go
@@ -68,7 +68,8 @@
 	return s
 }
 
-// baselineRows returns the rows of a group that Plumpitch is compared with.
+// baselineRows returns the rows of a group that Plumpitch is compared with. The ways
+// that end in x14 use all 14 entries.
 func baselines(group string, sc scenario) []row {
 	return []row{
 		{group: group, way: wayMark, sc: sc.with(omniscient)},
@@ -104,7 +105,7 @@
 	return rows
 }
 
-// ownerWays returns the rows with various numbers of preferred entries.
+// ownerWays returns the rows with different numbers of preferred entries, k.
 func ownerWays(group string, sc scenario) (rows []row) {
 	add := func(way string, change func(*scenario)) {
 		own := sc.own()
--- a/internal/lab/tail/mark.go
+++ b/internal/lab/tail/mark.go
@@ -76,8 +76,8 @@
 	return false
 }
 
-// addStalls returns the end of a request, later by the length of each stall that
-// starts while the request runs.
+// addStalls delays the end of a request by the length of each stall that starts
+// while the request runs.
 func stalled(sc scenario, worker int, begin, end int64) int64 {
 	for _, f := range sc.faults {
 		if f.kind == stall && f.worker == worker && begin < int64(f.from) && end > int64(f.from) {
--- a/internal/lab/tail/scenario.go
+++ b/internal/lab/tail/scenario.go
@@ -31,12 +31,12 @@
 type scenario struct {
 	shape    Shape
 	policy   string
-	owners   int           // preferred entries that the callers use; 0: all entries
-	even     bool          // callers spread evenly over the owners; otherwise all use the first
-	stray    float64       // share of requests that go to a random entry
-	load     float64       // share of the capacity of all workers without faults
-	swing    float64       // the load is divided by this in the first half of each period; up to 1: constant load
-	period   time.Duration // of the swing
+	owners   int     // preferred entries that the callers use; 0: all entries
+	even     bool    // callers spread evenly over the owners; otherwise all use the first
+	stray    float64 // share of requests that go to a random entry
+	load     float64 // share of the capacity of all workers without faults
+	swing    float64 // divides the load in the first half of each swingPeriod; up to 1: constant load
+	period   time.Duration
 	requests int
 	seed     uint64
 	faults   []fault
--- a/internal/lab/tail/stats.go
+++ b/internal/lab/tail/stats.go
@@ -49,9 +49,9 @@
 }
 
 // addDrainArrival counts a request that arrives at a leaving worker.
-func (t *stats) afterDrain(age int64, took bool) {
+func (t *stats) afterDrain(age int64, accepted bool) {
 	t.newest = max(t.newest, time.Duration(age))
-	if took {
+	if accepted {
 		t.taken = max(t.taken, time.Duration(age))
 	}
 }
@@ -69,12 +69,12 @@
 	}
 }
 
-func (t *stats) answer(took int64, write bool) {
+func (t *stats) answer(latency int64, write bool) {
 	t.served++
 	if write {
-		_ = t.tookWrite.RecordValue(took / int64(time.Microsecond))
+		_ = t.tookWrite.RecordValue(latency / int64(time.Microsecond))
 	}
-	_ = t.took.RecordValue(took / int64(time.Microsecond))
+	_ = t.took.RecordValue(latency / int64(time.Microsecond))
 }
 
 func (t *stats) probeTime() (sum time.Duration) {
@@ -123,8 +123,8 @@
 }
 
 // recoveryTime returns the time from the end of a fault until the worker gets its
-// share of the requests again. It returns 0 if the fault doesn't end within the run,
-// and the rest of the run if the worker doesn't get its share in it.
+// share of the requests again. It returns 0 if the fault ends too late in the run to
+// judge the recovery, and the rest of the run if the worker doesn't recover in it.
 func (t *stats) usedAgain(worker int, end time.Duration) time.Duration {
 	last := int(t.until/int64(reachStep)) - reachSteps
 	first := int(end / reachStep)
--- a/internal/lab/tail/worker.go
+++ b/internal/lab/tail/worker.go
@@ -92,9 +92,9 @@
 
 // sendResponse schedules the arrival of the response at the entry. The response
 // reports the current load of the worker, including this job.
-func (s *site) reply(j job, kind pool.Kind) {
+func (s *site) reply(j job, outcome pool.Kind) {
 	w := &s.workers[j.worker]
-	j.end = end{kind: kind, load: len(w.running) + len(w.waiting) + 1, leaving: w.leaving && !w.silent && !w.refuses}
+	j.end = end{kind: outcome, load: len(w.running) + len(w.waiting) + 1, leaving: w.leaving && !w.silent && !w.refuses}
 	s.at(s.now+int64(s.sc.shape.Target), event{kind: answered, where: j.entry, job: j})
 }
 
