--- a/apply.go
+++ b/apply.go
@@ -19,7 +19,7 @@
 	w := newWriter()
 	var file string
 	sub := flaggy.NewSubcommand("apply")
-	sub.Description = "have the whole tree follow a settings file, as one edit"
+	sub.Description = "replace the whole settings tree by a settings file, as one edit"
 	sub.AddPositionalValue(&file, "FILE", 1, true, "settings file, JSON with comments")
 	w.attach(sub)
 	sub.AdditionalHelpAppend = "Example: plumpitch settings apply examples/swanbourne.json --wait --entry 127.0.0.1:8003"
@@ -76,10 +76,10 @@
 	Changes  []string `json:"changes"`
 }
 
-// awaitPeriod is the pause between two looks at the entries' revisions.
+// revisionPollPeriod is the pause between two polls of the entries' revisions.
 const awaitPeriod = 200 * time.Millisecond
 
-// forceView is what awaitRevision reads of an entry's status.
+// entryRevisionsView is the part of an entry's status that awaitRevision reads.
 type forceView struct {
 	Entries []struct {
 		Name     string `json:"name"`
@@ -88,7 +88,7 @@
 	} `json:"entries"`
 }
 
-// awaitRevision waits until every live entry has a revision in force.
+// awaitRevision waits until every live entry reports that a revision is in force.
 func awaitRevision(ctx context.Context, at string, revision uint64, within time.Duration) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -126,7 +126,8 @@
 	return late, nil
 }
 
-// showProgress tells a terminal which entries are waited for; a pipe gets none.
+// showProgress prints the entries that the command waits for to standard error, if that
+// is a terminal.
 func showProgress(revision uint64, late []string) {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 || len(late) == 0 {
--- a/ask.go
+++ b/ask.go
@@ -11,11 +11,11 @@
 	"github.com/pkg/errors"
 )
 
-// askTimeout bounds a question to an entry.
+// entryRequestTimeout bounds one request to an entry.
 const askTimeout = 10 * time.Second
 
-// ask sends a request without a body to an entry and returns the answer's
-// body, or an error that holds it.
+// requestEntry sends a request without a body to an entry and returns the body of the
+// response. If the status is not 200, the error contains the status and the body.
 func ask(ctx context.Context, method, addr, path string) (body []byte, err error) {
 	defer func() { err = errors.WithMessagef(err, "entry %s", addr) }()
 	if addr == "" {
@@ -41,7 +41,8 @@
 	return body, nil
 }
 
-// printAnswer asks and prints the answer as it came.
+// printResponse sends a GET request to an entry and prints the body of the response
+// unchanged.
 func printAnswer(ctx context.Context, addr, path string) (err error) {
 	body, err := ask(ctx, http.MethodGet, addr, path)
 	if err != nil {
--- a/check.go
+++ b/check.go
@@ -18,10 +18,10 @@
 	var asJSON bool
 	as := kindSettings
 	sub := flaggy.NewSubcommand("check")
-	sub.Description = "check a file without an entry"
+	sub.Description = "check a file without connecting to an entry"
 	sub.AddPositionalValue(&file, "FILE", 1, true, "file to check")
-	sub.String(&as, "", "as", "what the file is: settings (of the own interface, JSON with comments), boot (a gateway's settings file) or config (a configuration as the users' operators write it)")
-	sub.Bool(&asJSON, "j", "json", "print JSON, of settings only")
+	sub.String(&as, "", "as", "kind of file: settings (settings tree of the entries, JSON with comments), boot (a gateway's settings file) or config (a configuration of the users' platform)")
+	sub.Bool(&asJSON, "j", "json", "print JSON; for settings only")
 	sub.AdditionalHelpAppend = "Examples: plumpitch check examples/swanbourne.json\n" +
 		"          plumpitch check /etc/plumpitch/boot.yaml --as boot"
 	return &command{sub: sub, run: func(context.Context) error {
@@ -48,14 +48,15 @@
 	}}
 }
 
-// What a file to check may be.
+// Kinds of files that the check command accepts.
 const (
 	kindSettings = "settings"
 	kindBoot     = "boot"
 	kindConfig   = "config"
 )
 
-// checkPlatform checks what a gateway takes from the users' platform.
+// checkPlatform checks a file that a gateway reads: its settings file or a configuration
+// of the users' platform.
 func checkPlatform(out io.Writer, as, file string, text []byte) (err error) {
 	defer func() {
 		if err != nil {
--- a/dev.go
+++ b/dev.go
@@ -19,14 +19,14 @@
 //go:embed examples/swanbourne.json
 var swanbourne []byte
 
-// Load of a trial with --seconds: about half of what the targets can do.
+// Load that dev --seconds sends: about half of the targets' capacity.
 const (
 	devRate   = 600
 	devWrites = 0.2
 	devStart  = 20 * time.Second
 )
 
-// devSite is Swanbourne's site of today.
+// devSite returns the configuration of the example site, Swanbourne.
 func devSite(logger log.Interface) site.Config {
 	return site.Config{
 		Region: "perth-metro",
@@ -47,9 +47,9 @@
 	var asJSON, gateways bool
 	sub := flaggy.NewSubcommand("dev")
 	sub.Description = "run a whole small site in one process on loopback"
-	sub.Int(&seconds, "t", "seconds", "send a mixed load for so long, then stop; 0 serves until interrupted")
-	sub.Bool(&asJSON, "j", "json", "with --seconds: close with one JSON object")
-	sub.Bool(&gateways, "g", "gateway", "gateways on stand-ins of the users' platform")
+	sub.Int(&seconds, "t", "seconds", "duration of a mixed load, after which the command stops; 0 serves until interrupted")
+	sub.Bool(&asJSON, "j", "json", "with --seconds: print the result as one JSON object")
+	sub.Bool(&gateways, "g", "gateway", "run gateways on stand-ins of the users' platform instead of entries")
 	sub.AdditionalHelpAppend = "Example: plumpitch dev --seconds 5 --json"
 	return &command{sub: sub, run: func(ctx context.Context) error {
 		if gateways {
@@ -65,18 +65,18 @@
 		return err
 	}
 	defer s.Close()
-	start, cancel := context.WithTimeout(ctx, devStart)
+	startCtx, cancel := context.WithTimeout(ctx, devStart)
 	defer cancel()
-	if err := site.Apply(start, s.Store, "examples/swanbourne.json", swanbourne); err != nil {
+	if err := site.Apply(startCtx, s.Store, "examples/swanbourne.json", swanbourne); err != nil {
 		return err
 	}
-	if err := s.Ready(start); err != nil {
+	if err := s.Ready(startCtx); err != nil {
 		return err
 	}
 	if length == 0 {
 		printDev(s)
 		<-ctx.Done()
-		fmt.Println("stopping: entries serve until their locate answers have expired")
+		fmt.Println("stopping: entries keep serving until their locate responses have expired")
 		return nil
 	}
 	return loadDev(ctx, s, length, asJSON)
@@ -103,7 +103,7 @@
 `, callers[0], operators)
 }
 
-// devJSON is the result of a trial for scripts.
+// devJSON is the JSON form of the result of dev --seconds.
 type devJSON struct {
 	Sent     int     `json:"sent"`
 	Answered int     `json:"answered"`
--- a/dev_gateway.go
+++ b/dev_gateway.go
@@ -16,28 +16,29 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// devPause is the time between two requests of a trial with --seconds.
+// devSendInterval is the pause between two requests of dev --gateway --seconds.
 const devPause = 10 * time.Millisecond
 
-// runDevGateways runs Swanbourne's site on stand-ins of the users' platform.
+// runDevGateways runs the example site with gateways on stand-ins of the users'
+// platform.
 func runDevGateways(ctx context.Context, length time.Duration) (err error) {
-	lines := logs.New(os.Stderr)
-	defer lines.Close()
-	cfg := devSite(&log.Logger{Handler: lines, Level: log.WarnLevel})
+	handler := logs.New(os.Stderr)
+	defer handler.Close()
+	cfg := devSite(&log.Logger{Handler: handler, Level: log.WarnLevel})
 	s, err := site.StartGateways(cfg)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	start, cancel := context.WithTimeout(ctx, devStart)
+	startCtx, cancel := context.WithTimeout(ctx, devStart)
 	defer cancel()
-	if err := s.Ready(start); err != nil {
+	if err := s.Ready(startCtx); err != nil {
 		return err
 	}
 	if length == 0 {
 		printDevGateways(s)
 		<-ctx.Done()
-		fmt.Println("stopping: gateways serve until nobody is sent to them any more")
+		fmt.Println("stopping: gateways keep serving until no directory response names them")
 		return nil
 	}
 	return tryGateways(ctx, s, cfg, length)
@@ -55,7 +56,7 @@
   curl -H 'Host: %[2]s' -H '%s: q1' http://%s%sgowns
   curl http://%s/metrics
 
-evacuate a failure domain, watch it, take it back:
+evacuate a failure domain, watch the evacuation, end it:
   curl -X POST -d '{"metadata":{"name":"subiaco-hall"},"spec":{}}' http://%s/objects/evacuations
   curl http://%[6]s/status
   curl -X DELETE http://%[7]s/objects/evacuations/subiaco-hall
@@ -64,8 +65,8 @@
 `, a.Directory, site.Host, platform.HeaderRequest, a.Front, site.Prefix("gown-catalogue"), a.Metrics, s.Address)
 }
 
-// tryGateways sends requests to the gateways in turn and fails if one isn't
-// answered by a target.
+// sendToGateways sends requests to the gateways in turn for the given time. It returns
+// an error if any response isn't a 200.
 func tryGateways(ctx context.Context, s *site.Gateways, cfg site.Config, length time.Duration) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
@@ -83,7 +84,7 @@
 	}
 	fmt.Printf("%d requests, %d answered\n", sent, answered)
 	if answered < sent {
-		return errors.Errorf("%d of %d requests weren't answered", sent-answered, sent)
+		return errors.Errorf("%d of %d requests were not answered with status 200", sent-answered, sent)
 	}
 	return nil
 }
--- a/entry.go
+++ b/entry.go
@@ -16,7 +16,7 @@
 func entryCommand() *command {
 	var path string
 	sub := flaggy.NewSubcommand("entry")
-	sub.Description = "run an entry VM's process until it is told to stop"
+	sub.Description = "run an entry until SIGINT or SIGTERM"
 	sub.AddPositionalValue(&path, "FILE", 1, true, "the VM's own settings, JSON with comments")
 	sub.AdditionalHelpAppend = "Example: plumpitch entry examples/entry.json"
 	return &command{sub: sub, run: func(ctx context.Context) error {
--- a/explain.go
+++ b/explain.go
@@ -11,7 +11,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// explainView is one target as an entry judges it.
+// explainView is an entry's view of one target.
 type explainView struct {
 	Target   string  `json:"target"`
 	Chosen   bool    `json:"chosen"`
@@ -27,16 +27,16 @@
 	var at, service string
 	var asJSON bool
 	sub := flaggy.NewSubcommand("explain")
-	sub.Description = "tell why each target of a service would or would not be chosen, or what became of a request"
-	sub.AddPositionalValue(&service, "SERVICE", 1, true, "name of the service, or id of a request where logs follow")
+	sub.Description = "show why each target of a service would or would not be chosen, or how a request ended"
+	sub.AddPositionalValue(&service, "SERVICE", 1, true, "name of the service, or id of a request if log files follow")
 	files := fileValues(sub, 2)
 	sub.String(&at, "e", "entry", "host:port of an entry's operators' listener")
-	sub.Bool(&asJSON, "j", "json", "print the entry's JSON as it came")
+	sub.Bool(&asJSON, "j", "json", "print the entry's JSON response unchanged")
 	sub.AdditionalHelpAppend = "Examples: plumpitch explain gown-catalogue --entry 127.0.0.1:8003\n" +
 		"          plumpitch explain 9c41d07be2a35f68 gateway-1.log gateway-2.log"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		if logs := files(); len(logs) > 0 {
-			return traceRequest(os.Stdout, service, logs)
+		if paths := files(); len(paths) > 0 {
+			return traceRequest(os.Stdout, service, paths)
 		}
 		path := "/v1/explain?name=" + url.QueryEscape(service)
 		if asJSON {
--- a/gateway.go
+++ b/gateway.go
@@ -21,69 +21,73 @@
 func gatewayCommand() *command {
 	level, port := "info", 0
 	sub := flaggy.NewSubcommand("gateway")
-	sub.Description = "serve callers on the users' platform until told to stop"
-	sub.String(&level, "l", "level", "least severe log level: debug, info, warn, error")
-	sub.Int(&port, "m", "metrics", "port on which metrics are scraped; 0 takes a free one")
+	sub.Description = "run a gateway on the users' platform until SIGINT or SIGTERM"
+	sub.String(&level, "l", "level", "minimum log level: debug, info, warn, error")
+	sub.Int(&port, "m", "metrics", "port that serves metrics; 0 selects a free port")
 	sub.AdditionalHelpAppend = "The settings file is named by " + platform.SettingsVariable + "."
 	return &command{sub: sub, run: func(ctx context.Context) error {
 		return runGateway(ctx, level, port)
 	}}
 }
 
-// gatewayGC lets the heap double before a collection. A gateway's VM is small and
-// its memory counts: against 400 percent it takes 18 in place of 42 MB, for a
-// fifth more processor time (13 gateways, 110 requests a second).
+// gatewayGCPercent is the GC target of a gateway: the heap may double between
+// collections. Gateways run on small VMs, where memory matters more than CPU time:
+// compared with 400 percent, a gateway uses 18 MB instead of 42 MB and a fifth more
+// CPU time (13 gateways, 110 requests per second).
 const gatewayGC = 100
 
 func runGateway(ctx context.Context, level string, port int) (err error) {
-	least, err := log.ParseLevel(level)
+	minLevel, err := log.ParseLevel(level)
 	if err != nil {
 		return exitError{exitUsage, err}
 	}
 	path := os.Getenv(platform.SettingsVariable)
-	text, _ := os.ReadFile(path) // before they are read, so that no change is missed; a failure is told just below
+	// The raw text is read before the settings are parsed, so that a change in between
+	// is detected. ReadSettings reports a read error.
+	text, _ := os.ReadFile(path)
 	s, err := platform.ReadSettings(path)
 	if err != nil {
 		return exitError{exitInvalid, err}
 	}
 	debug.SetGCPercent(gatewayGC)
-	lines := logs.New(os.Stdout)
-	defer lines.Close()
-	logger := &log.Logger{Handler: lines, Level: least}
-	// net/http tells of unsolicited answers and broken connections by itself.
+	handler := logs.New(os.Stdout)
+	defer handler.Close()
+	logger := &log.Logger{Handler: handler, Level: minLevel}
+	// net/http logs unsolicited responses and broken connections to the standard logger.
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(lines.Writer("net/http"))
+	stdlog.SetOutput(handler.Writer("net/http"))
 	g, err := gateway.New(gateway.Config{
 		Settings: s, Boot: uint64(time.Now().UnixNano()), Metrics: port, Log: logger.WithField("entry", s.Name),
 	})
 	if err != nil {
 		return err
 	}
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	defer signal.Stop(hups)
-	following, stop := context.WithCancel(ctx)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go followSettings(following, g, path, text, hups)
+	go followSettings(watchCtx, g, path, text, hangups)
 	return g.Serve(ctx)
 }
 
-// settingsPeriod is how often the settings file is looked at, which may change without a
-// signal: well within the time in which a configuration has to be in force.
+// settingsPollPeriod is the interval at which the settings file is checked for changes
+// that come without a signal. It is well below the time within which a configuration
+// must be in force.
 const settingsPeriod = time.Second
 
-// followSettings has g read its settings at each signal, and when their file has changed
-// without one. last is what the file held before it was first read.
-func followSettings(ctx context.Context, g *gateway.Gateway, path string, last []byte, hups <-chan os.Signal) {
-	look := time.NewTicker(settingsPeriod)
-	defer look.Stop()
+// watchSettings makes g reload its settings at each signal and whenever the content of
+// the settings file changes. last is the content at the time of the first read.
+func followSettings(ctx context.Context, g *gateway.Gateway, path string, last []byte, hangups <-chan os.Signal) {
+	poll := time.NewTicker(settingsPeriod)
+	defer poll.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hups:
-			last, _ = os.ReadFile(path) // a failure is told by the reload
-		case <-look.C:
+		case <-hangups:
+			last, _ = os.ReadFile(path) // ReadSettings reports a read error
+		case <-poll.C:
 			now, _ := os.ReadFile(path)
 			if bytes.Equal(now, last) {
 				continue
--- a/gc.go
+++ b/gc.go
@@ -5,12 +5,12 @@
 	"runtime/debug"
 )
 
-// gcPercent lets the heap grow to five times what is live before a collection.
-// An entry keeps a few megabytes, so that the default collects several times a
-// second, and each collection delays the requests that it meets.
+// defaultGCPercent lets the heap grow to five times the live heap between collections.
+// An entry's live heap is a few megabytes. With Go's default it would be collected
+// several times per second, and each collection delays the requests in progress.
 const gcPercent = 400
 
-// tuneGC leaves the operator's own GOGC in force.
+// tuneGC sets the GC target, unless the operator has set GOGC.
 func tuneGC() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
--- a/load.go
+++ b/load.go
@@ -20,17 +20,17 @@
 	var asJSON bool
 	seconds := 5
 	sub := flaggy.NewSubcommand("load")
-	sub.Description = "send bounded traffic and judge every answer"
-	sub.String(&entries, "e", "entries", "host:port of entries, parted by commas")
-	sub.String(&direct, "d", "direct", "host:port of targets, to go past the entries")
-	sub.String(&services, "s", "services", "names of services, parted by commas")
-	sub.Float64(&cfg.Rate, "r", "rate", "requests a second")
-	sub.Int(&cfg.Requests, "n", "requests", "requests to send; 0 for as many as the seconds allow")
+	sub.Description = "send a bounded load and check every response"
+	sub.String(&entries, "e", "entries", "host:port of entries, separated by commas")
+	sub.String(&direct, "d", "direct", "host:port of targets, to bypass the entries")
+	sub.String(&services, "s", "services", "names of services, separated by commas")
+	sub.Float64(&cfg.Rate, "r", "rate", "requests per second")
+	sub.Int(&cfg.Requests, "n", "requests", "number of requests; 0 sends until --seconds have passed")
 	sub.Int(&seconds, "t", "seconds", "seconds to send for")
 	sub.Float64(&cfg.Writes, "w", "writes", "share of non-idempotent requests, 0 to 1")
 	sub.Bool(&cfg.Keyless, "", "keyless", "send non-idempotent requests without idempotency keys")
-	sub.Duration(&cfg.Timeout, "", "timeout", "longest wait for one answer")
-	sub.UInt64(&cfg.Seed, "", "seed", "seed of the arrivals")
+	sub.Duration(&cfg.Timeout, "", "timeout", "maximum time to wait for one response")
+	sub.UInt64(&cfg.Seed, "", "seed", "random seed of the arrival times")
 	sub.Bool(&asJSON, "j", "json", "print one JSON object")
 	sub.AdditionalHelpAppend = "Example: plumpitch load --entries 127.0.0.1:8001 --services gown-catalogue --rate 200 --seconds 5"
 	return &command{sub: sub, run: func(ctx context.Context) error {
@@ -48,7 +48,7 @@
 	}}
 }
 
-// list splits a comma-separated flag.
+// splitList splits the value of a comma-separated flag.
 func list(s string) []string {
 	if s == "" {
 		return nil
@@ -56,7 +56,7 @@
 	return strings.Split(s, ",")
 }
 
-// reportJSON is the form of a load's report for scripts.
+// reportJSON is the JSON form of a load report.
 type reportJSON struct {
 	Sent     int     `json:"sent"`
 	Answered int     `json:"answered"`
@@ -89,6 +89,6 @@
 		j.Sent, j.Answered, j.Refused, j.Unknown, j.Failed, j.Crossed, j.Lost)
 	fmt.Printf("p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", j.P50, j.P99, j.P999)
 	if j.Example != "" {
-		fmt.Println("first answer that was none:", j.Example)
+		fmt.Println("first failure:", j.Example)
 	}
 }
--- a/locate.go
+++ b/locate.go
@@ -10,7 +10,7 @@
 func locateCommand() *command {
 	var at, service string
 	sub := flaggy.NewSubcommand("locate")
-	sub.Description = "ask an entry which entries serve a service"
+	sub.Description = "query an entry for the entries that serve a service"
 	sub.AddPositionalValue(&service, "SERVICE", 1, true, "name of the service")
 	sub.String(&at, "e", "entry", "host:port of an entry's callers' listener")
 	sub.AdditionalHelpAppend = "Example: plumpitch locate gown-catalogue --entry 127.0.0.1:8001"
--- a/main.go
+++ b/main.go
@@ -1,5 +1,5 @@
 // Command plumpitch is a load balancer for services whose load shifts within
-// milliseconds. Each subcommand stands in a file of its own.
+// milliseconds.
 package main
 
 import (
@@ -26,11 +26,11 @@
 type command struct {
 	sub  *flaggy.Subcommand
 	subs []*command
-	// run is nil where only the subcommands do anything.
+	// run is nil for a command that only groups subcommands.
 	run func(ctx context.Context) error
 }
 
-// exitError is an error that ends the program with its own exit code.
+// exitError is an error that sets the program's exit code.
 type exitError struct {
 	code int
 	err  error
@@ -106,7 +106,7 @@
 	return c.run(ctx)
 }
 
-// attach hangs the command's own subcommands below it.
+// attach attaches the command's subcommands to it and returns its parser node.
 func (c *command) attach() *flaggy.Subcommand {
 	for _, s := range c.subs {
 		c.sub.AttachSubcommand(s.attach(), 1)
@@ -114,7 +114,7 @@
 	return c.sub
 }
 
-// chosen finds the innermost command that the arguments name.
+// selectedCommand returns the innermost command that the arguments name, or nil.
 func chosen(all []*command) *command {
 	for _, c := range all {
 		if !c.sub.Used {
--- a/metrics.go
+++ b/metrics.go
@@ -9,7 +9,7 @@
 func readyCommand() *command {
 	var at string
 	sub := flaggy.NewSubcommand("ready")
-	sub.Description = "succeed when an entry has settings and targets and isn't leaving"
+	sub.Description = "check that an entry has settings and targets and is not leaving"
 	sub.String(&at, "e", "entry", "host:port of an entry's operators' listener")
 	sub.AdditionalHelpAppend = "Example: plumpitch ready --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
@@ -20,7 +20,7 @@
 func metricsCommand() *command {
 	var at string
 	sub := flaggy.NewSubcommand("metrics")
-	sub.Description = "print an entry's metrics in the form that Prometheus scrapes"
+	sub.Description = "print an entry's metrics in the Prometheus text format"
 	sub.String(&at, "e", "entry", "host:port of an entry's operators' listener")
 	sub.AdditionalHelpAppend = "Example: plumpitch metrics --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
--- a/names.go
+++ b/names.go
@@ -7,11 +7,11 @@
 	"github.com/pkg/errors"
 )
 
-// nearDistance is the largest edit distance at which a name is suggested.
+// maxSuggestionDistance is the largest edit distance at which a name is suggested.
 const nearDistance = 3
 
-// checkNames refuses a mistyped command and suggests the nearest name. The
-// parser would take the word for a positional value.
+// checkCommandNames rejects an unknown command and suggests the closest name. The parser
+// itself would accept the word as a positional argument.
 func checkNames(all []*command, args []string) (err error) {
 	if len(args) == 0 || strings.HasPrefix(args[0], "-") || args[0] == "help" {
 		return nil
@@ -33,10 +33,10 @@
 }
 
 func nearest(word string, names []string) (best string) {
-	least := nearDistance + 1
+	bestDistance := nearDistance + 1
 	for _, n := range names {
-		if d := levenshtein.ComputeDistance(word, n); d < least {
-			least, best = d, n
+		if d := levenshtein.ComputeDistance(word, n); d < bestDistance {
+			bestDistance, best = d, n
 		}
 	}
 	return best
--- a/service.go
+++ b/service.go
@@ -21,7 +21,7 @@
 	}}
 }
 
-// createNode is the create command of services and places.
+// createNode returns the create command of services or places.
 func createNode(k tree.Kind, example string) *command {
 	w := newWriter()
 	var path string
@@ -55,7 +55,7 @@
 	return changes, nil
 }
 
-// removeNode is the remove command of services and places.
+// removeNode returns the remove command of services or places.
 func removeNode(k tree.Kind, example string) *command {
 	w := newWriter()
 	var name string
@@ -81,7 +81,7 @@
 	}}
 }
 
-// findNode returns the path of a node that is given by path or name.
+// findNode returns the path of a node, given its path or name.
 func findNode(d tree.Document, k tree.Kind, name string) (string, error) {
 	var known []string
 	for path, n := range d.Nodes {
@@ -113,7 +113,7 @@
 func serviceList() *command {
 	var r reader
 	sub := flaggy.NewSubcommand("list")
-	sub.Description = "list services with the values that matter most"
+	sub.Description = "list services with their main settings"
 	r.attach(sub)
 	sub.AdditionalHelpAppend = "Example: plumpitch service list --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
--- a/settings.go
+++ b/settings.go
@@ -26,7 +26,7 @@
 	}}
 }
 
-// reader is what the commands share that only look.
+// readFlags are the flags that all commands of the settings tree share.
 type reader struct {
 	at     string
 	asJSON bool
@@ -44,7 +44,7 @@
 	return settings.Client{Addr: r.at}, nil
 }
 
-// writer is what the commands share that edit.
+// editFlags are the flags that the editing commands share.
 type writer struct {
 	reader
 	id     string
@@ -54,7 +54,7 @@
 	within time.Duration
 }
 
-// noBase leaves the base of an edit to the entry.
+// noBase is the base value that lets the entry choose the base revision of an edit.
 const noBase = -1
 
 func newWriter() *writer {
@@ -67,11 +67,11 @@
 
 func (w *writer) attach(sub *flaggy.Subcommand) {
 	w.reader.attach(sub)
-	sub.String(&w.id, "", "id", "id of the edit, to send an edit again whose fate is not known")
-	sub.String(&w.author, "a", "author", "who edits, for the history")
-	sub.Int64(&w.base, "b", "base", "revision that you have seen; a later edit of the same value is then a conflict")
+	sub.String(&w.id, "", "id", "id of the edit, to resend an edit whose outcome is unknown")
+	sub.String(&w.author, "a", "author", "author of the edit, for the history")
+	sub.Int64(&w.base, "b", "base", "revision that the edit is based on; a later edit of the same value is a conflict")
 	sub.Bool(&w.wait, "w", "wait", "wait until the edit is in force at every live entry")
-	sub.Duration(&w.within, "", "within", "longest wait")
+	sub.Duration(&w.within, "", "within", "maximum time to wait")
 }
 
 func (w *writer) baseRevision() *uint64 {
@@ -89,7 +89,7 @@
 	return w.id
 }
 
-// edit has changes accepted and reports the outcome.
+// edit sends changes to the entry as one edit and prints the outcome.
 func (w *writer) edit(ctx context.Context, changes ...tree.Change) error {
 	c, err := w.client()
 	if err != nil {
@@ -100,8 +100,8 @@
 	return w.report(ctx, a, err)
 }
 
-// report prints what became of an edit, and waits until it is in force where
-// that was asked for.
+// report prints the outcome of an edit. With --wait it first waits until the edit is in
+// force.
 func (w *writer) report(ctx context.Context, a settings.Accepted, err error) error {
 	if err != nil {
 		return withExit(errors.WithMessagef(err, "edit %s", w.id))
@@ -121,11 +121,11 @@
 		fmt.Printf("nothing to change at revision %d\n", a.Revision)
 		return nil
 	}
-	where := "accepted"
+	state := "accepted"
 	if w.wait {
-		where = "in force at every live entry"
+		state = "in force at every live entry"
 	}
-	fmt.Printf("revision %d %s\n", a.Revision, where)
+	fmt.Printf("revision %d %s\n", a.Revision, state)
 	return nil
 }
 
@@ -144,7 +144,7 @@
 	return texts
 }
 
-// withExit gives an error of an entry its exit code.
+// withExitCode sets the exit code of an error that an entry returned.
 func withExit(err error) error {
 	var r *settings.Refused
 	if !errors.As(err, &r) {
@@ -168,7 +168,7 @@
 	path := tree.Root
 	sub := flaggy.NewSubcommand("get")
 	sub.Description = "show the values in effect at a node and where each comes from"
-	sub.AddPositionalValue(&path, "PATH", 1, false, "path of a node; / when left out")
+	sub.AddPositionalValue(&path, "PATH", 1, false, "path of a node; default /")
 	r.attach(sub)
 	sub.AdditionalHelpAppend = "Example: plumpitch settings get /swanbourne/deposit-ledger --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
@@ -237,7 +237,7 @@
 	w := newWriter()
 	var path, field string
 	sub := flaggy.NewSubcommand("unset")
-	sub.Description = "drop an override, so that the value is inherited again"
+	sub.Description = "remove an override, so that the value is inherited again"
 	sub.AddPositionalValue(&path, "PATH", 1, true, "path of a node")
 	sub.AddPositionalValue(&field, "SETTING", 2, true, "name of a setting")
 	w.attach(sub)
@@ -251,8 +251,8 @@
 	var r reader
 	count := 20
 	sub := flaggy.NewSubcommand("history")
-	sub.Description = "show the last edits"
-	sub.Int(&count, "n", "count", "how many edits")
+	sub.Description = "show the most recent edits"
+	sub.Int(&count, "n", "count", "number of edits")
 	r.attach(sub)
 	sub.AdditionalHelpAppend = "Example: plumpitch settings history --count 5 --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
--- a/standin.go
+++ b/standin.go
@@ -20,7 +20,7 @@
 
 func standinCommand() *command {
 	sub := flaggy.NewSubcommand("standin")
-	sub.Description = "run a small stand-in of an outside system, for tests and trials"
+	sub.Description = "run a small stand-in of an external system, for tests"
 	return &command{sub: sub, subs: []*command{standinStore(), standinTarget()}}
 }
 
@@ -30,7 +30,7 @@
 	sub := flaggy.NewSubcommand("store")
 	sub.Description = "stand-in of the platform: object store and VM list"
 	sub.String(&addr, "l", "listen", "host:port to listen on")
-	sub.String(&file, "", "settings", "settings file to hold from the start")
+	sub.String(&file, "", "settings", "settings file to load at the start")
 	sub.AdditionalHelpAppend = "Example: plumpitch standin store --listen 127.0.0.1:7400"
 	return &command{sub: sub, run: func(ctx context.Context) error {
 		return serveUntil(ctx, addr, platform.New(platform.Config{}), func(addr string) error {
@@ -54,12 +54,12 @@
 	sub.Description = "stand-in of a target: a worker with slots, a log and faults"
 	sub.String(&addr, "l", "listen", "host:port to listen on")
 	sub.String(&cfg.Name, "n", "name", "name of the target")
-	sub.String(&cfg.Service, "s", "service", "service that it works for")
-	sub.Int(&cfg.Slots, "", "slots", "requests served at once")
+	sub.String(&cfg.Service, "s", "service", "service of the target")
+	sub.Int(&cfg.Slots, "", "slots", "number of requests served concurrently")
 	sub.Duration(&cfg.Mean, "", "mean", "mean service time")
-	sub.Float64(&cfg.Sigma, "", "sigma", "spread of the lognormal service time")
-	sub.UInt64(&cfg.Seed, "", "seed", "seed of the service times")
-	sub.String(&at, "p", "platform", "URL of the platform stand-in whose VM list names the target")
+	sub.Float64(&cfg.Sigma, "", "sigma", "sigma of the lognormal service time")
+	sub.UInt64(&cfg.Seed, "", "seed", "random seed of the service times")
+	sub.String(&at, "p", "platform", "URL of the platform stand-in to register the target with")
 	sub.String(&place, "", "place", "place of the target, for the VM list")
 	sub.AdditionalHelpAppend = "Example: plumpitch standin target --service gown-catalogue --listen 127.0.0.1:7500"
 	return &command{sub: sub, run: func(ctx context.Context) error {
@@ -75,7 +75,7 @@
 	}}
 }
 
-// enlist puts a stand-in target into the VM list of a platform stand-in.
+// registerTarget adds a stand-in target to the VM list of a platform stand-in.
 func enlist(ctx context.Context, at string, vm platform.VM) (err error) {
 	defer func() { err = errors.WithMessage(err, "VM list") }()
 	body, err := json.Marshal(map[string]any{
@@ -99,32 +99,32 @@
 	return nil
 }
 
-// serveUntil serves on addr, prints the address that it got on the first line
-// of standard output, and lets requests in flight finish when ctx ends. up is
-// called with the address once it is open; it may be nil.
-func serveUntil(ctx context.Context, addr string, h http.Handler, up func(addr string) error) (err error) {
+// serveUntilDone serves h on addr until ctx ends, and then lets requests in flight
+// finish. It prints the listener's address as the first line of standard output. onListen
+// is called before that with the address, unless it is nil.
+func serveUntil(ctx context.Context, addr string, h http.Handler, onListen func(addr string) error) (err error) {
 	defer func() { err = errors.WithMessage(err, "stand-in") }()
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
-	failed := make(chan error, 1)
-	go func() { failed <- srv.Serve(l) }()
-	if up != nil {
-		if err := up(l.Addr().String()); err != nil {
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.Serve(l) }()
+	if onListen != nil {
+		if err := onListen(l.Addr().String()); err != nil {
 			return err
 		}
 	}
 	fmt.Fprintln(os.Stdout, l.Addr())
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
-	grace, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	if err := srv.Shutdown(grace); err != nil {
+	if err := srv.Shutdown(shutdownCtx); err != nil {
 		return srv.Close()
 	}
 	return nil
--- a/status.go
+++ b/status.go
@@ -13,7 +13,7 @@
 	"plumpitch.example/plumpitch/internal/gateway"
 )
 
-// statusView is what people see of an entry's status.
+// statusView is the part of an entry's status that the command prints.
 type statusView struct {
 	Entry    string `json:"entry"`
 	Settings uint64 `json:"settings"`
@@ -38,10 +38,10 @@
 	var at, gatewayAt string
 	var asJSON bool
 	sub := flaggy.NewSubcommand("status")
-	sub.Description = "show entries, services and who has which settings"
+	sub.Description = "show entries, services and the settings revision of each entry"
 	sub.String(&at, "e", "entry", "host:port of an entry's operators' listener")
-	sub.String(&gatewayAt, "g", "gateway", "host:port of a gateway's metrics, in place of an entry")
-	sub.Bool(&asJSON, "j", "json", "print the entry's JSON as it came")
+	sub.String(&gatewayAt, "g", "gateway", "host:port of a gateway's metrics listener, instead of an entry")
+	sub.Bool(&asJSON, "j", "json", "print the JSON response unchanged")
 	sub.AdditionalHelpAppend = "Example: plumpitch status --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
 		switch {
@@ -80,10 +80,11 @@
 	return nil
 }
 
-// newTable returns a table without lines, as a script's awk likes it.
-func newTable(heads ...string) *tablewriter.Table {
+// newTable returns a table without borders and separators, which scripts can split at
+// white space.
+func newTable(columns ...string) *tablewriter.Table {
 	t := tablewriter.NewWriter(os.Stdout)
-	t.SetHeader(heads)
+	t.SetHeader(columns)
 	t.SetAutoFormatHeaders(false)
 	t.SetBorder(false)
 	t.SetHeaderLine(false)
--- a/status_gateway.go
+++ b/status_gateway.go
@@ -10,7 +10,7 @@
 	"plumpitch.example/plumpitch/internal/gateway"
 )
 
-// showGateway prints what a gateway believes: of itself, the others, and the
+// showGateway prints a gateway's view of itself, of the other gateways and of the
 // targets.
 func showGateway(ctx context.Context, at string) (err error) {
 	body, err := ask(ctx, http.MethodGet, at, gateway.PathStatus)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// showEvacuations prints which failure domains get no requests, where there are any.
+// showEvacuations prints the evacuated failure domains, if there are any.
 func showEvacuations(s gateway.Status) {
 	if len(s.Evacuations) == 0 {
 		return
@@ -65,14 +65,14 @@
 	fmt.Printf("confirmed %.1f s ago\n\n", s.Marked)
 }
 
-// marks names what is out of the ordinary.
+// conditionsText lists the abnormal conditions of a gateway, each after a comma.
 func marks(leaving, strained, shut bool) (text string) {
-	for _, m := range []struct {
-		on   bool
-		name string
+	for _, c := range []struct {
+		active bool
+		name   string
 	}{{leaving, "leaving"}, {strained, "strained"}, {shut, "store lost"}} {
-		if m.on {
-			text += ", " + m.name
+		if c.active {
+			text += ", " + c.name
 		}
 	}
 	return text
--- a/trace.go
+++ b/trace.go
@@ -17,7 +17,7 @@
 func traceCommand() *command {
 	var id string
 	sub := flaggy.NewSubcommand("trace")
-	sub.Description = "tell from collected logs what became of a request, and why"
+	sub.Description = "show from collected logs how a request ended, and why"
 	sub.AddPositionalValue(&id, "ID", 1, true, "id of the request")
 	files := fileValues(sub, 2)
 	sub.AdditionalHelpAppend = "Example: cat gateway-*.log | plumpitch trace 9c41d07be2a35f68"
@@ -26,15 +26,15 @@
 	}}
 }
 
-// maxFiles is how many logs one command takes.
+// maxLogFiles is the maximum number of log files on one command line.
 const maxFiles = 64
 
-// fileValues adds optional logs as values from a position on, and returns how to
-// read those that were given.
+// addLogFileArgs adds optional positional arguments for log files, starting at position
+// from. The returned function returns the paths that were given.
 func fileValues(sub *flaggy.Subcommand, from int) (given func() []string) {
 	values := make([]string, maxFiles)
 	for i := range values {
-		sub.AddPositionalValue(&values[i], fmt.Sprintf("FILE%d", i+1), from+i, false, "log of one or several gateways; standard input without any")
+		sub.AddPositionalValue(&values[i], fmt.Sprintf("FILE%d", i+1), from+i, false, "log of one or several gateways; standard input if none is given")
 		sub.PositionalFlags[len(sub.PositionalFlags)-1].Hidden = i > 0
 	}
 	return func() (list []string) {
@@ -47,7 +47,8 @@
 	}
 }
 
-// openLogs opens logs to be read one after the other.
+// openLogs returns a reader of the concatenated logs, or of standard input if paths is
+// empty. closeAll closes the files.
 func openLogs(paths []string) (in io.Reader, closeAll func(), err error) {
 	var readers []io.Reader
 	var open []*os.File
@@ -93,17 +94,18 @@
 		for _, name := range l.Names() {
 			fields = append(fields, fmt.Sprintf("%s=%v", name, l.Fields[name]))
 		}
-		mark := " "
+		marker := " "
 		if l.Fields[logs.FieldRequest] == id {
-			mark = ">"
+			marker = ">"
 		}
-		fmt.Fprintf(out, "%s %s %s %s %s\n", mark, l.Time.Format("15:04:05.000"), l.Entry, l.Message, strings.Join(fields, " "))
+		fmt.Fprintf(out, "%s %s %s %s %s\n", marker, l.Time.Format("15:04:05.000"), l.Entry, l.Message, strings.Join(fields, " "))
 	}
 	return nil
 }
 
-// traceLost tells what may have become of a request of which there is no line:
-// a gateway that is killed takes its requests along.
+// reportLostGateways prints the gateways that were lost without a stop. It is called for
+// a request without log lines: a gateway that is killed writes no line about the
+// requests in flight.
 func traceLost(out io.Writer, id string, text []byte) (err error) {
 	lost, err := logs.Lost(bytes.NewReader(text))
 	if err != nil {
