--- a/internal/alarm/alarm.go
+++ b/internal/alarm/alarm.go
@@ -1,29 +1,28 @@
-// Package alarm wakes the driver of a decision package at the time that the
-// package asks for.
+// Package alarm provides a resettable timer. It calls a state machine's driver at the
+// time of the state machine's next event.
 package alarm
 
 import "time"
 
-// Alarm is a timer that is set anew only where the time it is wanted for has
-// changed. Its owner's lock guards it.
+// Alarm is a timer that is reset only if its due time changes. It is not safe for
+// concurrent use: the owner guards it with its own lock.
 type Alarm struct {
 	timer *time.Timer
-	due   time.Time // when it rings; zero when it is not set
+	due   time.Time // zero when it is not set
 }
 
-// never is how far off a new timer is until it is stopped.
+// initialDelay is the delay of a new timer, which New stops at once.
 const never = time.Hour
 
-// New returns an alarm that is not set. ring is called in a goroutine of its own
-// and calls Rang first.
-func New(ring func()) *Alarm {
-	a := &Alarm{timer: time.AfterFunc(never, ring)}
+// New returns an alarm that is not set. When it is due, it calls f in a separate
+// goroutine. f must call Fired first.
+func New(f func()) *Alarm {
+	a := &Alarm{timer: time.AfterFunc(never, f)}
 	a.timer.Stop()
 	return a
 }
 
-// Set has it ring at next, at once where that has passed, or not at all where
-// next is zero.
+// Set makes the alarm due at next, or at once if next has passed. A zero next stops it.
 func (a *Alarm) Set(now, next time.Time) {
 	if next.Equal(a.due) {
 		return
@@ -36,8 +35,8 @@
 	a.timer.Reset(max(next.Sub(now), 0))
 }
 
-// Rang notes that it has rung, so that the same time can be set again.
+// Fired records that the alarm has fired, so that the same time can be set again.
 func (a *Alarm) Rang() { a.due = time.Time{} }
 
-// Stop ends it.
+// Stop stops the alarm.
 func (a *Alarm) Stop() { a.timer.Stop() }
--- a/internal/alarm/alarm_test.go
+++ b/internal/alarm/alarm_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestAlarm(t *testing.T) {
-	rings := make(chan bool, 8)
-	a := New(func() { rings <- true })
+	fired := make(chan bool, 8)
+	a := New(func() { fired <- true })
 	now := time.Now()
 	tests := []struct {
 		name string
@@ -25,7 +25,7 @@
 			a.Set(now, now.Add(time.Hour))
 			a.Set(now, tt.next)
 			select {
-			case <-rings:
+			case <-fired:
 				a.Rang()
 				qt.Assert(t, tt.want, qt.IsTrue)
 			case <-time.After(map[bool]time.Duration{true: 10 * time.Second, false: 50 * time.Millisecond}[tt.want]):
--- a/internal/load/book.go
+++ b/internal/load/book.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// book keeps locate answers for as long as they say.
+// locateCache caches locate responses for their TTL.
 type book struct {
 	client  *http.Client
 	entries []string
@@ -22,7 +22,7 @@
 	places map[string]located
 }
 
-// located is one locate answer.
+// locateResult is one cached locate response.
 type located struct {
 	addrs []string
 	until time.Time
@@ -32,7 +32,8 @@
 	return &book{client: client, entries: entries, places: make(map[string]located)}
 }
 
-// find returns the preferred address for a service.
+// address returns the preferred address for a service. It queries an entry unless a
+// cached response is still valid.
 func (b *book) find(ctx context.Context, service string) (addr string, err error) {
 	b.mu.Lock()
 	at, ok := b.places[service]
@@ -45,8 +46,8 @@
 	return at.addrs[0], nil
 }
 
-// forget drops an answer whose address could not be reached: the next request
-// uses the next address, then asks again.
+// dropAddress removes the preferred address of a service after a request to it failed.
+// The next request uses the next address, or a new locate response if none is left.
 func (b *book) forget(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,7 +60,8 @@
 	delete(b.places, service)
 }
 
-// ask tries each entry once, from the one after the last used.
+// locate queries the entries in turn until one responds, beginning after the one that was
+// queried last.
 func (b *book) ask(ctx context.Context, service string) (at located, err error) {
 	if len(b.entries) == 0 {
 		return at, errors.New("entries: none given, expected at least one host:port")
@@ -97,15 +99,15 @@
 	if res.StatusCode != http.StatusOK {
 		return at, errors.Errorf("%s: %s", res.Status, body)
 	}
-	var answer struct {
+	var response struct {
 		Addresses []string `json:"addresses"`
 		TTL       int64    `json:"ttl"` // milliseconds
 	}
-	if err := json.Unmarshal(body, &answer); err != nil {
+	if err := json.Unmarshal(body, &response); err != nil {
 		return at, err
 	}
-	if len(answer.Addresses) == 0 {
+	if len(response.Addresses) == 0 {
 		return at, errors.New("addresses: found none, expected at least one")
 	}
-	return located{answer.Addresses, time.Now().Add(time.Duration(answer.TTL) * time.Millisecond)}, nil
+	return located{response.Addresses, time.Now().Add(time.Duration(response.TTL) * time.Millisecond)}, nil
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,7 @@
-// Package load sends bounded traffic to a site and judges the answers: each
-// must be whole and belong to its own request. It asks an entry which entries
-// to use, keeps that answer for the time it states, and connects there, as a
-// caller does.
+// Package load is a load generator. It sends a bounded load to a site and checks that
+// each response is complete and belongs to its own request. Like a caller, it queries an
+// entry for the entries of a service, caches the response for its TTL and connects to
+// these entries.
 package load
 
 import (
@@ -24,14 +24,14 @@
 
 // Config describes a load.
 type Config struct {
-	Entries  []string // host:port of callers' listeners, asked in turn for locate
-	Direct   []string // host:port of targets; when set, no entry is asked
-	Services []string // chosen evenly
-	Rate     float64  // requests a second, open loop
-	Requests int      // sent in all; 0 means as many as Length allows
+	Entries  []string // host:port of callers' listeners, queried in turn for locate
+	Direct   []string // host:port of targets; when set, requests bypass the entries
+	Services []string // chosen at random with equal probability
+	Rate     float64  // requests per second, open loop
+	Requests int      // total number of requests; 0 sends until Length has passed
 	Length   time.Duration
 	Writes   float64 // share of requests that are non-idempotent, 0 to 1
-	Keyless  bool    // whether these go without idempotency keys
+	Keyless  bool    // send these without idempotency keys
 	Timeout  time.Duration
 	Seed     uint64
 }
@@ -40,24 +40,24 @@
 type Report struct {
 	Sent     int
 	Answered int
-	Refused  int // told not-run
-	Unknown  int // told unknown
-	Failed   int // the target's own error answers
-	Crossed  int // another request's answer
-	Lost     int // no whole answer
+	Refused  int // outcome not-run
+	Unknown  int // outcome unknown
+	Failed   int // error responses of the target
+	Crossed  int // response that doesn't belong to the request
+	Lost     int // no complete response
 	Latency  *hdrhistogram.Histogram
-	Keys     []string // idempotency keys sent, to be held against targets' logs
-	Example  string   // first reason of a lost or crossed answer
+	Keys     []string // idempotency keys sent, to compare with the targets' logs
+	Example  string   // reason of the first request that wasn't answered, or of the last crossed one
 }
 
-// Limits of the latency histogram, in microseconds.
+// Range and precision of the latency histogram.
 const (
 	shortest = 1
 	longest  = 60_000_000
 	digits   = 3
 )
 
-// maxOpen bounds the requests in flight; more are sent late, never dropped.
+// maxInFlight bounds the requests in flight. Requests beyond it are delayed, not dropped.
 const maxOpen = 2048
 
 type runner struct {
@@ -69,7 +69,7 @@
 	report Report
 }
 
-// Run sends the load and waits for every answer.
+// Run sends the load and waits until every request has ended.
 func Run(ctx context.Context, cfg Config) (report Report, err error) {
 	defer func() { err = errors.WithMessage(err, "load") }()
 	if len(cfg.Services) == 0 {
@@ -95,11 +95,11 @@
 	}}
 }
 
-// send paces the requests by an exponential gap and waits for the last.
+// send sends the requests as a Poisson process and waits until the last one has ended.
 func (r *runner) send(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(r.cfg.Seed, 1))
-	open := make(chan struct{}, maxOpen)
-	var wait sync.WaitGroup
+	slots := make(chan struct{}, maxOpen)
+	var inFlight sync.WaitGroup
 	start := time.Now()
 	next := start
 	for n := 0; r.more(ctx, n, start); n++ {
@@ -108,13 +108,13 @@
 		service := r.cfg.Services[rnd.IntN(len(r.cfg.Services))]
 		write := rnd.Float64() < r.cfg.Writes
 		id := strconv.FormatUint(rnd.Uint64(), 36)
-		open <- struct{}{}
-		wait.Go(func() {
-			defer func() { <-open }()
+		slots <- struct{}{}
+		inFlight.Go(func() {
+			defer func() { <-slots }()
 			r.one(service, id, write)
 		})
 	}
-	wait.Wait()
+	inFlight.Wait()
 }
 
 func (r *runner) more(ctx context.Context, n int, start time.Time) bool {
@@ -127,7 +127,7 @@
 	return r.cfg.Length == 0 || time.Since(start) < r.cfg.Length
 }
 
-// one sends a request and files its answer.
+// sendOne sends a request and records its result.
 func (r *runner) one(service, id string, write bool) {
 	key := ""
 	if write && !r.cfg.Keyless {
@@ -138,7 +138,7 @@
 	r.file(v, key, time.Since(began))
 }
 
-// verdict is the judgement on one answer.
+// result is the outcome of one request, with the reason unless it was answered.
 type verdict struct {
 	kind   kind
 	reason string
@@ -201,8 +201,8 @@
 		req.Header.Set(call.HeaderKey, key)
 	}
 	if write {
-		// Without a body that can't be replayed the client's transport would
-		// resend it by itself.
+		// A body that can't be replayed prevents http.Transport from resending the
+		// request.
 		req.Body = io.NopCloser(strings.NewReader("x"))
 		req.ContentLength = 1
 	}
--- a/internal/logs/find.go
+++ b/internal/logs/find.go
@@ -28,17 +28,17 @@
 	Fields    map[string]any `json:"fields"`
 }
 
-// Context is how long before a request's first line the lines of its entry are
-// of use: by then the entry has learnt of what the store knows.
+// LookbackTime is how long before a request's first line the other lines of its entry are
+// included. Within this time an entry has received the changes in the store.
 const Context = 5 * time.Second
 
-// maxLine bounds a line.
+// maxLineBytes bounds the length of a line.
 const maxLine = 1 << 20
 
-// Find returns the lines about a request, and those in which an entry that
-// served it changed what it believes, from Context before its first line to its
-// last, in the order of time. What is no log line is passed over: collectors
-// put words of their own before them.
+// Find returns the log lines about a request in the order of time. It includes the lines
+// about no request that the entries serving it wrote from LookbackTime before its first
+// line to its last one: they show changes of the entry's state. Find ignores text that is
+// not a log line, and text before the JSON object, as collectors add prefixes.
 func Find(r io.Reader, id string) (found []Line, err error) {
 	lines, err := read(r)
 	if err != nil {
@@ -55,10 +55,10 @@
 		to[l.Entry] = l.Time
 	}
 	for _, l := range lines {
-		of, about := l.Fields[FieldRequest]
-		begin, served := from[l.Entry]
-		near := served && !l.Time.Before(begin) && !l.Time.After(to[l.Entry])
-		if of == id || !about && near {
+		request, aboutRequest := l.Fields[FieldRequest]
+		start, served := from[l.Entry]
+		inRange := served && !l.Time.Before(start) && !l.Time.After(to[l.Entry])
+		if request == id || !aboutRequest && inRange {
 			found = append(found, l)
 		}
 	}
@@ -69,12 +69,12 @@
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLine)
 	for s.Scan() {
-		at := bytes.IndexByte(s.Bytes(), '{')
-		if at < 0 {
+		start := bytes.IndexByte(s.Bytes(), '{')
+		if start < 0 {
 			continue
 		}
 		var w lineWire
-		if json.Unmarshal(s.Bytes()[at:], &w) != nil || w.Timestamp.IsZero() {
+		if json.Unmarshal(s.Bytes()[start:], &w) != nil || w.Timestamp.IsZero() {
 			continue
 		}
 		entry, _ := w.Fields["entry"].(string)
@@ -84,7 +84,7 @@
 	return lines, errors.WithMessage(s.Err(), "log")
 }
 
-// Names returns the names of the fields beside the request and the entry.
+// FieldNames returns the sorted names of the fields other than the request and the entry.
 func (l Line) Names() []string {
 	return slices.Sorted(maps.Keys(maps.Collect(func(yield func(string, any) bool) {
 		for k, v := range l.Fields {
--- a/internal/logs/find_test.go
+++ b/internal/logs/find_test.go
@@ -18,8 +18,8 @@
 {"fields":{"entry":"a"},"level":"info","timestamp":"2026-01-01T00:00:11Z","message":"later"}
 `
 
-// The engineer has the id of a request and the logs of all entries. The lines
-// about it come in the order of time, with what its own entry had learnt.
+// From the logs of all entries Find returns the lines about one request in the order of
+// time, together with the state changes of its own entry.
 func TestFind(t *testing.T) {
 	lines, err := Find(strings.NewReader(collected), "q1")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,4 +1,5 @@
-// Package logs writes log lines without ever holding up who logs.
+// Package logs writes JSON log lines without blocking the callers, and reads collected
+// log lines.
 package logs
 
 import (
@@ -12,32 +13,32 @@
 	"golang.org/x/time/rate"
 )
 
-// Handler is a log handler that never blocks and is bounded in lines. Lines about
-// single requests are many under overload, when the processor is needed most;
-// of these only so many a second are written, and the others are counted.
+// Handler is a log handler that never blocks its caller. Lines about single requests are
+// rate-limited, since under overload they would use CPU time that requests need. Lines
+// that exceed the rate or don't fit into the buffer are dropped and counted.
 type Handler struct {
 	lines   chan *log.Entry
 	out     *json.Handler
-	served  *rate.Limiter // lines about requests that went well
-	failed  *rate.Limiter // and about others
+	served  *rate.Limiter // limits lines about requests that succeeded
+	failed  *rate.Limiter // limits lines about other requests
 	omitted atomic.Int64
 }
 
 const (
-	// logBuffer is how many lines may wait for an output that isn't read.
+	// bufferedLines is how many lines may wait for an output that isn't read.
 	logBuffer = 1024
-	// servedLines and failedLines are how many lines a second are written
-	// about requests that went well and about others: a line costs about 20 µs,
-	// so that they take less than a hundredth of a core together.
+	// succeededLinesPerSecond and failedLinesPerSecond limit the lines about
+	// requests that succeeded and about other requests. A line costs about 20 µs,
+	// so both together take less than 1 percent of a core.
 	servedLines = 20
 	failedLines = 150
-	// burstSeconds is how many seconds' lines may come at once.
+	// burstSeconds is the size of a burst of lines, in seconds at the limited rate.
 	burstSeconds = 2
-	// omittedEvery is how often the number of omitted lines is told.
+	// omittedPeriod is how often the number of omitted lines is logged.
 	omittedEvery = time.Second
 )
 
-// FieldRequest marks a line as one about a request.
+// FieldRequest is the field with the id of the request that a line is about.
 const FieldRequest = "request"
 
 // New returns a handler that writes JSON lines to w.
@@ -78,7 +79,7 @@
 	for {
 		select {
 		case e := <-l.lines:
-			// Nothing is left to tell a failed output to.
+			// There is no other output to report a write error to.
 			_ = l.out.HandleLog(e)
 		case <-tick.C:
 			l.tellOmitted()
@@ -96,7 +97,8 @@
 	_ = l.out.HandleLog(e)
 }
 
-// Writer returns where the standard library's logger may write to.
+// Writer returns a writer for the standard library's logger. Each line gets the field
+// "from".
 func (l *Handler) Writer(from string) io.Writer {
 	return writer{&log.Logger{Handler: l, Level: log.InfoLevel}, from}
 }
@@ -106,14 +108,14 @@
 	from string
 }
 
-// Write implements io.Writer. The lines count as those about requests: a faulty
-// target causes one with each answer.
+// Write implements io.Writer. The lines are rate-limited like lines about requests, since
+// a faulty target can cause one with each response.
 func (w writer) Write(p []byte) (int, error) {
 	w.log.WithFields(log.Fields{"from": w.from, FieldRequest: ""}).Info(strings.TrimSpace(string(p)))
 	return len(p), nil
 }
 
-// Close writes what waits.
+// Close writes the buffered lines.
 func (l *Handler) Close() {
 	for range logBuffer {
 		select {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,8 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Nobody reads the output. Whoever logs must go on all the same, and what was
-// left out is counted.
+// The output isn't read. Logging must not block, and the omitted lines are counted.
 func TestBlockedOutput(t *testing.T) {
 	r, w := io.Pipe()
 	defer r.Close()
@@ -24,8 +23,8 @@
 	qt.Assert(t, h.omitted.Load() >= logBuffer, qt.IsTrue)
 }
 
-// Lines about requests are bounded. Those about requests that went well never
-// take the place of others.
+// Lines about requests are rate-limited. Lines about requests that succeeded must not use
+// up the limit of other lines.
 func TestRequestLines(t *testing.T) {
 	h := New(io.Discard)
 	l := &log.Logger{Handler: h, Level: log.InfoLevel}
--- a/internal/logs/lost.go
+++ b/internal/logs/lost.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Messages of gateways by which a loss is recognised.
+// Messages from which FindLost detects a lost gateway.
 const (
 	MessageStarted = "gateway started"
 	MessageStops   = "gateway stops"
 	MessageLive    = "live entries changed"
 )
 
-// Loss is a gateway that others missed though nobody had told it to stop.
+// LostGateway is a gateway that disappeared from the live entries without logging a stop.
 type Loss struct {
 	Entry   string
-	Last    time.Time // of its last line
-	Noticed time.Time // by the first that missed it
-	By      string
+	Last    time.Time // time of its last line
+	Noticed time.Time // when the first other gateway logged that it was gone
+	By      string    // name of that gateway
 }
 
-// Lost finds the gateways that were lost, in the order of time. A request that
-// one of them had leaves no line of its end.
+// FindLost returns the lost gateways in the order of time. Requests that were in flight
+// at a lost gateway have no line about their end.
 func Lost(r io.Reader) (losses []Loss, err error) {
 	lines, err := read(r)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return losses, nil
 }
 
-// missed are the entries that are no longer live.
+// departed returns the entries that the line reports as no longer live.
 func missed(l Line) (names []string) {
 	came := liveNames(l.Fields["came"])
 	for _, name := range liveNames(l.Fields["went"]) {
--- a/internal/logs/lost_test.go
+++ b/internal/logs/lost_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Logs of three gateways: one is told to stop, one is killed and starts again,
-// one stays. Only the kill is a loss, told once, with the first that missed it.
+// Of three gateways one stops, one is killed and restarted, and one keeps running. Only
+// the killed one is reported as lost, once, with the first gateway that noticed it.
 func TestLost(t *testing.T) {
 	line := func(at, entry, message, more string) string {
 		return `{"timestamp":"2026-01-02T03:04:` + at + `Z","level":"info","message":"` + message + `","fields":{"entry":"` + entry + `"` + more + `}}`
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,4 @@
-// Package metrics makes the instruments that a process reports by tally, in a
-// form that Prometheus scrapes.
+// Package metrics sets up tally metrics with an HTTP handler that Prometheus scrapes.
 package metrics
 
 import (
@@ -11,20 +10,20 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// Metrics holds a process's instruments.
+// Metrics holds the root scope of a process's metrics and its HTTP handler.
 type Metrics struct {
 	Scope   tally.Scope
-	Handler http.Handler // of scrapes
+	Handler http.Handler // serves scrapes
 	Close   func()
 }
 
-// reportPeriod is how often tally hands its values to the reporter.
+// reportPeriod is how often tally passes its values to the reporter.
 const reportPeriod = time.Second
 
 // LatencyBuckets cover 0.25 ms to about 8 s, doubling.
 var LatencyBuckets = tally.MustMakeExponentialDurationBuckets(250*time.Microsecond, 2, 16)
 
-// New returns the instruments of the entry of that name.
+// New returns the metrics of an entry. Each metric has the entry's name as a tag.
 func New(entry string) Metrics {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{
--- a/internal/site/gateways.go
+++ b/internal/site/gateways.go
@@ -21,15 +21,14 @@
 	Store    *objects.Store
 	Gateways []*gateway.Gateway
 	Targets  []*worker.Worker
-	Address  string // of the store, host:port
+	Address  string // host:port of the store
 
 	stop   context.CancelFunc
 	served sync.WaitGroup
 	server *http.Server
 }
 
-// Host is the host name that the site's routes serve, and Prefix the path of a
-// service's route.
+// Host is the host name of the site's routes.
 const Host = "studio.example"
 
 // Prefix returns the path prefix of a service's route.
@@ -47,7 +46,7 @@
 	siteWarmSlack  = 8
 )
 
-// StartGateways starts the stand-ins, puts a configuration with a route for each
+// StartGateways starts the stand-ins, stores a configuration with a route for each
 // service, and starts the gateways.
 func StartGateways(cfg Config) (s *Gateways, err error) {
 	defer func() { err = errors.WithMessage(err, "site of gateways") }()
@@ -131,7 +130,7 @@
 	return nil
 }
 
-// Ready waits until all gateways know the configuration and targets.
+// Ready waits until all gateways are ready, which requires the configuration and targets.
 func (s *Gateways) Ready(ctx context.Context) error {
 	for _, g := range s.Gateways {
 		for !g.Ready() {
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,6 +1,6 @@
-// Package site runs a whole small site in one process on loopback: the
-// platform's stand-in, stand-in targets and entries. It serves trials and
-// tests; the entries are the very ones that run on VMs.
+// Package site runs a small site in one process on loopback, for trials and tests: a
+// stand-in of the platform, stand-in targets, and entries or gateways. The entries and
+// gateways are the same code that runs on VMs.
 package site
 
 import (
@@ -26,21 +26,21 @@
 // Config describes a site.
 type Config struct {
 	Region   string
-	Places   []string // entries and targets are spread over them in turn
+	Places   []string // entries and targets are assigned to them round-robin
 	Services []Service
 	Entries  int
 	Log      log.Interface
-	Out      io.Writer // of traces
-	Trace    string    // exporter of the entries
+	Out      io.Writer // output of traces
+	Trace    string    // trace exporter of the entries
 }
 
-// Service is one service's targets.
+// Service describes the targets of one service.
 type Service struct {
 	Name    string
 	Targets int
 	Slots   int
 	Mean    time.Duration // mean service time
-	Sigma   float64       // of the lognormal service time
+	Sigma   float64       // sigma of the lognormal service time
 }
 
 // Site is a running site.
@@ -63,7 +63,7 @@
 	Addr    string
 }
 
-// Start brings the site up. Settings are not applied yet.
+// Start starts the stand-ins and the entries. The store holds no settings yet; see Apply.
 func Start(cfg Config) (s *Site, err error) {
 	defer func() { err = errors.WithMessage(err, "site") }()
 	s = &Site{Platform: platform.New(platform.Config{})}
@@ -83,8 +83,7 @@
 	return s, s.startEntries(cfg)
 }
 
-// Apply puts a settings file into an empty store, as the first accepted
-// document.
+// Apply stores a settings file as the first document of an empty store.
 func Apply(ctx context.Context, addr, file string, text []byte) (err error) {
 	defer func() { err = errors.WithMessage(err, "settings") }()
 	d, err := tree.Parse(file, text)
@@ -94,7 +93,7 @@
 	return ApplyDocument(ctx, addr, d)
 }
 
-// ApplyDocument puts a document into an empty store, as the first accepted one.
+// ApplyDocument stores a document as the first one of an empty store.
 func ApplyDocument(ctx context.Context, addr string, d tree.Document) (err error) {
 	d, err = tree.Seed(d, time.Now())
 	if err != nil {
@@ -160,7 +159,7 @@
 	return nil
 }
 
-// Callers are the addresses of the entries' callers' listeners.
+// Callers returns the addresses of the entries' callers' listeners.
 func (s *Site) Callers() (addrs []string) {
 	for _, e := range s.Entries {
 		addrs = append(addrs, e.Addresses().Callers)
@@ -168,10 +167,10 @@
 	return addrs
 }
 
-// readyPoll is the pause between questions to an entry that isn't ready.
+// readyPoll is the interval at which Ready polls an entry.
 const readyPoll = 20 * time.Millisecond
 
-// Ready waits until every entry has settings.
+// Ready waits until every entry is ready, which requires settings and the VM list.
 func (s *Site) Ready(ctx context.Context) (err error) {
 	defer func() { err = errors.WithMessage(err, "site not ready") }()
 	for _, e := range s.Entries {
@@ -186,7 +185,7 @@
 	return nil
 }
 
-// Doubled counts the keys that targets ran more than once.
+// DuplicateRuns returns the number of idempotency keys that targets ran more than once.
 func (s *Site) Doubled() (n int) {
 	runs := make(map[string]int)
 	for _, t := range s.Targets {
@@ -202,8 +201,8 @@
 	return n
 }
 
-// Kill ends the stand-ins at once and leaves the entries to end by themselves:
-// for measurements that need no graceful stop.
+// Kill closes the stand-ins immediately and doesn't wait until the entries have stopped.
+// It is for measurements that need no graceful stop.
 func (s *Site) Kill() {
 	if s.stopEntries != nil {
 		s.stopEntries()
@@ -217,7 +216,7 @@
 	}
 }
 
-// Close stops the entries gracefully, then the rest.
+// Close stops the entries gracefully, then the stand-ins.
 func (s *Site) Close() {
 	if s.stopEntries != nil {
 		s.stopEntries()
