--- a/internal/load/book.go
+++ b/internal/load/book.go
@@ -34,80 +34,80 @@
 
 // address returns the preferred address for a service. It queries an entry unless a
 // cached response is still valid.
-func (b *book) find(ctx context.Context, service string) (addr string, err error) {
-	b.mu.Lock()
-	at, ok := b.places[service]
-	b.mu.Unlock()
-	if !ok || time.Now().After(at.until) {
-		if at, err = b.ask(ctx, service); err != nil {
+func (c *book) find(ctx context.Context, service string) (addr string, err error) {
+	c.mu.Lock()
+	found, ok := c.places[service]
+	c.mu.Unlock()
+	if !ok || time.Now().After(found.until) {
+		if found, err = c.ask(ctx, service); err != nil {
 			return "", err
 		}
 	}
-	return at.addrs[0], nil
+	return found.addrs[0], nil
 }
 
 // dropAddress removes the preferred address of a service after a request to it failed.
 // The next request uses the next address, or a new locate response if none is left.
-func (b *book) forget(service string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	at := b.places[service]
-	if len(at.addrs) > 1 {
-		at.addrs = at.addrs[1:]
-		b.places[service] = at
+func (c *book) forget(service string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	found := c.places[service]
+	if len(found.addrs) > 1 {
+		found.addrs = found.addrs[1:]
+		c.places[service] = found
 		return
 	}
-	delete(b.places, service)
+	delete(c.places, service)
 }
 
 // locate queries the entries in turn until one responds, beginning after the one that was
 // queried last.
-func (b *book) ask(ctx context.Context, service string) (at located, err error) {
-	if len(b.entries) == 0 {
-		return at, errors.New("entries: none given, expected at least one host:port")
+func (c *book) ask(ctx context.Context, service string) (found located, err error) {
+	if len(c.entries) == 0 {
+		return found, errors.New("entries: none given, expected at least one host:port")
 	}
-	for range b.entries {
-		b.mu.Lock()
-		entry := b.entries[b.turn%len(b.entries)]
-		b.turn++
-		b.mu.Unlock()
-		if at, err = b.askOne(ctx, entry, service); err == nil {
-			b.mu.Lock()
-			b.places[service] = at
-			b.mu.Unlock()
-			return at, nil
+	for range c.entries {
+		c.mu.Lock()
+		entry := c.entries[c.turn%len(c.entries)]
+		c.turn++
+		c.mu.Unlock()
+		if found, err = c.askOne(ctx, entry, service); err == nil {
+			c.mu.Lock()
+			c.places[service] = found
+			c.mu.Unlock()
+			return found, nil
 		}
 	}
-	return at, err
+	return found, err
 }
 
-func (b *book) askOne(ctx context.Context, entry, service string) (at located, err error) {
+func (c *book) askOne(ctx context.Context, entry, service string) (found located, err error) {
 	defer func() { err = errors.WithMessagef(err, "entry %s", entry) }()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry+"/v1/locate?service="+url.QueryEscape(service), nil)
 	if err != nil {
-		return at, err
+		return found, err
 	}
-	res, err := b.client.Do(req)
+	res, err := c.client.Do(req)
 	if err != nil {
-		return at, err
+		return found, err
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return at, err
+		return found, err
 	}
 	if res.StatusCode != http.StatusOK {
-		return at, errors.Errorf("%s: %s", res.Status, body)
+		return found, errors.Errorf("%s: %s", res.Status, body)
 	}
 	var response struct {
 		Addresses []string `json:"addresses"`
 		TTL       int64    `json:"ttl"` // milliseconds
 	}
 	if err := json.Unmarshal(body, &response); err != nil {
-		return at, err
+		return found, err
 	}
 	if len(response.Addresses) == 0 {
-		return at, errors.New("addresses: found none, expected at least one")
+		return found, errors.New("addresses: found none, expected at least one")
 	}
 	return located{response.Addresses, time.Now().Add(time.Duration(response.TTL) * time.Millisecond)}, nil
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -43,64 +43,64 @@
 
 // New returns a handler that writes JSON lines to w.
 func New(w io.Writer) *Handler {
-	l := &Handler{
+	h := &Handler{
 		lines: make(chan *log.Entry, logBuffer), out: json.New(w),
 		served: rate.NewLimiter(servedLines, burstSeconds*servedLines),
 		failed: rate.NewLimiter(failedLines, burstSeconds*failedLines),
 	}
-	go l.write()
-	return l
+	go h.write()
+	return h
 }
 
 // HandleLog implements log.Handler.
-func (l *Handler) HandleLog(e *log.Entry) error {
-	if _, ok := e.Fields[FieldRequest]; ok && !l.limit(e.Level).Allow() {
-		l.omitted.Add(1)
+func (h *Handler) HandleLog(e *log.Entry) error {
+	if _, ok := e.Fields[FieldRequest]; ok && !h.limit(e.Level).Allow() {
+		h.omitted.Add(1)
 		return nil
 	}
 	select {
-	case l.lines <- e:
+	case h.lines <- e:
 	default:
-		l.omitted.Add(1)
+		h.omitted.Add(1)
 	}
 	return nil
 }
 
-func (l *Handler) limit(level log.Level) *rate.Limiter {
+func (h *Handler) limit(level log.Level) *rate.Limiter {
 	if level < log.WarnLevel {
-		return l.served
+		return h.served
 	}
-	return l.failed
+	return h.failed
 }
 
-func (l *Handler) write() {
+func (h *Handler) write() {
 	tick := time.NewTicker(omittedEvery)
 	defer tick.Stop()
 	for {
 		select {
-		case e := <-l.lines:
+		case e := <-h.lines:
 			// There is no other output to report a write error to.
-			_ = l.out.HandleLog(e)
+			_ = h.out.HandleLog(e)
 		case <-tick.C:
-			l.tellOmitted()
+			h.tellOmitted()
 		}
 	}
 }
 
-func (l *Handler) tellOmitted() {
-	n := l.omitted.Swap(0)
+func (h *Handler) tellOmitted() {
+	n := h.omitted.Swap(0)
 	if n == 0 {
 		return
 	}
-	e := log.NewEntry(&log.Logger{Handler: l.out, Level: log.InfoLevel}).WithField("lines", n)
+	e := log.NewEntry(&log.Logger{Handler: h.out, Level: log.InfoLevel}).WithField("lines", n)
 	e.Level, e.Message, e.Timestamp = log.WarnLevel, "log lines omitted", time.Now()
-	_ = l.out.HandleLog(e)
+	_ = h.out.HandleLog(e)
 }
 
 // Writer returns a writer for the standard library's logger. Each line gets the field
 // "from".
-func (l *Handler) Writer(from string) io.Writer {
-	return writer{&log.Logger{Handler: l, Level: log.InfoLevel}, from}
+func (h *Handler) Writer(from string) io.Writer {
+	return writer{&log.Logger{Handler: h, Level: log.InfoLevel}, from}
 }
 
 type writer struct {
@@ -116,11 +116,11 @@
 }
 
 // Close writes the buffered lines.
-func (l *Handler) Close() {
+func (h *Handler) Close() {
 	for range logBuffer {
 		select {
-		case e := <-l.lines:
-			_ = l.out.HandleLog(e)
+		case e := <-h.lines:
+			_ = h.out.HandleLog(e)
 		default:
 			return
 		}
--- a/internal/logs/lost.go
+++ b/internal/logs/lost.go
@@ -24,7 +24,7 @@
 
 // FindLost returns the lost gateways in the order of time. Requests that were in flight
 // at a lost gateway have no line about their end.
-func Lost(r io.Reader) (losses []Loss, err error) {
+func Lost(r io.Reader) (lost []Loss, err error) {
 	lines, err := read(r)
 	if err != nil {
 		return nil, err
@@ -42,12 +42,12 @@
 					continue
 				}
 				running[name] = false
-				losses = append(losses, Loss{Entry: name, Last: last[name], Noticed: l.Time, By: l.Entry})
+				lost = append(lost, Loss{Entry: name, Last: last[name], Noticed: l.Time, By: l.Entry})
 			}
 		}
 		last[l.Entry] = l.Time
 	}
-	return losses, nil
+	return lost, nil
 }
 
 // departed returns the entries that the line reports as no longer live.
