--- a/boot_proof_test.go
+++ b/boot_proof_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An entry boots while the store and with it the VM list are down. It gets the
-// settings from its peers, but knows no target and refuses all. No locate answer
-// may name it before it can serve: each entry that any answer names serves.
+// An entry boots while the store, which also serves the VM list, is down. It gets the
+// settings from its peers, but has no targets and refuses all requests. Locate responses
+// may name it only once it can serve: every entry in any locate response must answer.
 func TestEntryBootedInAnOutageHurtsNoCaller(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
@@ -19,13 +19,13 @@
 	s.faults(t, `{"down":true}`)
 	n := s.startEntry(t)
 	s.awaitRevision(t, s.revision(0), time.Now(), n)
-	eventually(t, "every entry knows the new one", func() bool { return s.live(0) == 3 && s.live(1) == 3 && s.live(n) == 3 })
+	eventually(t, "every entry sees the new one as live", func() bool { return s.live(0) == 3 && s.live(1) == 3 && s.live(n) == 3 })
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		for asked := range s.entries {
-			for _, home := range s.homes(t, asked) {
+		for queried := range s.entries {
+			for _, named := range s.homes(t, queried) {
 				id := newKey()
-				a := s.get(home, id, 5*time.Second)
-				q.Assert(a.whole(id), qt.IsTrue, qt.Commentf("named by entry %d, entry %d: %+v", asked, home, a))
+				a := s.get(named, id, 5*time.Second)
+				q.Assert(a.whole(id), qt.IsTrue, qt.Commentf("named by entry %d, entry %d: %+v", queried, named, a))
 			}
 		}
 	}
@@ -33,7 +33,7 @@
 	eventually(t, "the new entry is named once the store is back", func() bool { return len(s.homes(t, 0)) == 3 && len(s.homes(t, n)) == 3 })
 }
 
-// live is the number of entries that an entry knows to be live.
+// liveEntries returns the number of entries that an entry sees as live.
 func (c *cluster) live(n int) (live int) {
 	var s struct {
 		Entries []struct {
--- a/cluster_test.go
+++ b/cluster_test.go
@@ -20,7 +20,8 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// cluster is a site of processes: a store, targets of one service, entries.
+// cluster is a site whose parts run as processes: a store, targets of one service and
+// entries.
 type cluster struct {
 	store   string
 	targets []*process
@@ -28,8 +29,8 @@
 	names   []string // of entries
 }
 
-// clusters bounds how many sites run at a time, so that parallel tests don't
-// starve each other's entries.
+// clusterSlots bounds the number of clusters that run at a time, so that parallel tests
+// don't starve each other's entries of CPU time.
 var clusters = make(chan struct{}, 3)
 
 const provedService = "deposit-ledger"
@@ -40,8 +41,8 @@
 
 var provedPlaces = []string{"fremantle-hall", "subiaco-hall", "joondalup-hall"}
 
-// newCluster starts a site and waits until keyed requests are answered: each
-// entry has settings and targets, and knows that all others have.
+// newCluster starts a cluster and waits until each entry answers keyed requests and sees
+// all entries as ready.
 func newCluster(t *testing.T, targets, entries int, mean time.Duration) *cluster {
 	t.Helper()
 	c := newStore(t)
@@ -52,7 +53,7 @@
 	return c
 }
 
-// newStore starts a site that has only a store with the settings.
+// newStore starts a cluster that has only a store with the settings.
 func newStore(t *testing.T) *cluster {
 	t.Helper()
 	clusters <- struct{}{}
@@ -60,7 +61,8 @@
 	return &cluster{store: "http://" + spawn(t, 1, "standin", "store", "--settings", "examples/swanbourne.json").addrs[0]}
 }
 
-// startTarget adds a target. Without --platform no VM list names it.
+// startTarget adds a target. It registers itself in the VM list only if args contain
+// --platform.
 func (c *cluster) startTarget(t *testing.T, mean time.Duration, args ...string) *process {
 	t.Helper()
 	n := len(c.targets)
@@ -74,7 +76,8 @@
 
 func targetName(n int) string { return fmt.Sprintf("ledger-%d", n) }
 
-// startEntries adds entries and waits until each knows that all are ready.
+// startEntries adds entries and waits until each serves keyed requests and sees all of
+// them as ready.
 func (c *cluster) startEntries(t *testing.T, entries int) {
 	t.Helper()
 	for range entries {
@@ -85,13 +88,13 @@
 	}
 }
 
-// startEntry adds an entry that knows the first one as its seed.
+// startEntry adds an entry with the first entry as its seed.
 func (c *cluster) startEntry(t *testing.T) int {
 	t.Helper()
 	return c.startNamed(t, fmt.Sprintf("entry-%d", len(c.entries)))
 }
 
-// startNamed adds an entry under a name, which an earlier one may have had.
+// startNamed adds an entry with the given name. The name may be that of an earlier entry.
 func (c *cluster) startNamed(t *testing.T, name string) int {
 	t.Helper()
 	n := len(c.entries)
@@ -112,13 +115,13 @@
 	return n
 }
 
-// ready tells whether an entry knows that all entries are ready, and gets a
-// keyed request answered.
+// ready reports whether an entry sees the given number of ready entries and answers a
+// keyed request.
 func (c *cluster) ready(n, entries int) bool {
 	return c.serving(n) == entries && c.post(n, newKey(), time.Second).status == http.StatusOK
 }
 
-// serving is the number of entries that an entry knows to be live and ready.
+// readyEntries returns the number of entries that an entry sees as live and ready.
 func (c *cluster) serving(n int) (serving int) {
 	var s struct {
 		Entries []struct {
@@ -137,12 +140,12 @@
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// told is what a caller got for a request.
+// callResult is the response to a request, or the error in its place.
 type told struct {
 	status  int
 	outcome string
 	reason  string
-	replay  bool // of an earlier send's answer
+	replay  bool // the response repeats the recorded one of an earlier request
 	body    string
 	err     error
 }
@@ -157,7 +160,7 @@
 	return c.send(n, http.MethodGet, "/deposits", id, timeout)
 }
 
-// send sends a request, with its id as its key unless it is a GET.
+// send sends a request. Unless it is a GET, its id is also its idempotency key.
 func (c *cluster) send(n int, method, path, id string, timeout time.Duration) told {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -166,8 +169,8 @@
 		return told{err: err}
 	}
 	if method != http.MethodGet {
-		// A body that can't be replayed keeps the client's transport from
-		// sending a keyed request again by itself.
+		// A body that can't be replayed prevents http.Transport from resending
+		// a keyed request.
 		req.Body = io.NopCloser(strings.NewReader("x"))
 		req.ContentLength = 1
 		req.Header.Set(call.HeaderKey, id)
@@ -184,13 +187,13 @@
 	return told{res.StatusCode, h.Get(call.HeaderOutcome), h.Get(call.HeaderReason), h.Get("Plumpitch-Replay") != "", string(body), err}
 }
 
-// whole tells whether an answer is the stand-in's own to the request, to its
-// end.
+// complete reports whether the response is the complete response of a stand-in target to
+// the request with this id.
 func (a told) whole(id string) bool {
 	return a.err == nil && a.status == http.StatusOK && strings.HasPrefix(a.body, "id="+id+" ") && strings.HasSuffix(a.body, "\n")
 }
 
-// runs counts the runs of each key in the targets' own logs.
+// runs returns how many times each key was run, from the targets' own logs.
 func (c *cluster) runs(t *testing.T) map[string]int {
 	t.Helper()
 	count := make(map[string]int)
@@ -204,20 +207,20 @@
 	return count
 }
 
-// faults replaces the faults of the store.
+// setFaults replaces the injected faults of the store.
 func (c *cluster) faults(t *testing.T, body string) {
 	t.Helper()
 	c.admin(t, "/faults", body)
 }
 
-// enlist puts a VM of the proved service into the VM list.
+// registerVM adds a VM of the tested service to the VM list.
 func (c *cluster) enlist(t *testing.T, name, addr string) {
 	t.Helper()
 	c.admin(t, "/vms/"+name, fmt.Sprintf(`{"addr":%q,"place":%q,"service":%q,"slots":2,"boot":%d}`,
 		addr, provedPlaces[0], provedService, time.Now().UnixNano()))
 }
 
-// admin makes an admin call to the store, which no fault touches.
+// admin makes an admin call to the store. Injected faults don't affect it.
 func (c *cluster) admin(t *testing.T, path, body string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPut, c.store+"/v1/admin"+path, strings.NewReader(body))
@@ -228,7 +231,7 @@
 	qt.Assert(t, res.StatusCode < http.StatusBadRequest, qt.IsTrue, qt.Commentf("%s: %s", path, res.Status))
 }
 
-// operate runs one of the operators' commands on an entry.
+// runCommand runs an operator's command against an entry.
 func (c *cluster) operate(t *testing.T, n int, args ...string) (code int, out string) {
 	t.Helper()
 	cmd := exec.Command(program(t), append(args, "--entry", c.operators(n))...)
@@ -239,9 +242,9 @@
 	return cmd.ProcessState.ExitCode(), string(text)
 }
 
-// homes are the entries that an entry names for the proved service, preferred
-// one first.
-func (c *cluster) homes(t *testing.T, n int) (homes []int) {
+// preferredEntries returns the entries that an entry's locate response names for the
+// tested service, in order of preference.
+func (c *cluster) homes(t *testing.T, n int) (entries []int) {
 	t.Helper()
 	var l struct {
 		Addresses []string `json:"addresses"`
@@ -252,15 +255,15 @@
 	for _, addr := range l.Addresses {
 		for n := range c.entries {
 			if c.callers(n) == addr {
-				homes = append(homes, n)
+				entries = append(entries, n)
 			}
 		}
 	}
-	return homes
+	return entries
 }
 
-// revision is the settings' revision in force at an entry; 0 when it doesn't
-// answer.
+// revision returns the settings revision in force at an entry, or 0 if the entry doesn't
+// respond.
 func (c *cluster) revision(n int) uint64 { return revisionAt(c.operators(n)) }
 
 func revisionAt(operators string) uint64 {
--- a/gateway_proof_test.go
+++ b/gateway_proof_test.go
@@ -24,7 +24,7 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// studio is a site of gateway processes on stand-ins of the users' platform.
+// gatewaySite is a site of gateway processes on stand-ins of the users' platform.
 type studio struct {
 	q        *qt.C
 	t        *testing.T
@@ -35,18 +35,18 @@
 	version  int
 }
 
-// gatewayProcess is one gateway, with its log in a file.
+// gatewayProcess is one gateway process, whose output goes to a file.
 type gatewayProcess struct {
 	name  string
 	ip    string
-	boot  string // path of its settings
+	boot  string // path of its settings file
 	log   string // path of its log
 	cmd   *exec.Cmd
 	ended chan error
 }
 
-// lastHost gives each gateway of all tests a loopback address of its own, so that
-// the ports of the settings can be fixed.
+// lastLoopbackAddr is the number of the last loopback address in use. Each gateway of all
+// tests has its own address, so the settings can use fixed ports.
 var lastHost atomic.Int64
 
 func newStudio(t *testing.T, targets int) *studio {
@@ -85,7 +85,7 @@
 platform: {address: "%s"}
 `
 
-// start starts a gateway by a program, and waits until it is ready.
+// start starts a gateway from the given program and waits until it is ready.
 func (s *studio) start(program string) *gatewayProcess {
 	s.t.Helper()
 	n := lastHost.Add(1)
@@ -136,13 +136,14 @@
 
 func (g *gatewayProcess) signal(s syscall.Signal) { _ = g.cmd.Process.Signal(s) }
 
-// text is the gateway's log so far.
+// logText returns what the gateway has logged so far.
 func (g *gatewayProcess) text() string {
 	b, _ := os.ReadFile(g.log)
 	return string(b)
 }
 
-// send makes one attempt; status 0 means that there was no answer.
+// send sends one request without retries. Status 0 means that there was no complete
+// response.
 func (g *gatewayProcess) send(id string) (status int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -163,7 +164,7 @@
 	return res.StatusCode
 }
 
-// explain runs the command over the logs of all gateways.
+// explain runs the explain command over the logs of all gateways.
 func (s *studio) explain(id string) (out string, err error) {
 	args := []string{"explain", id}
 	for _, g := range s.gateways {
@@ -173,9 +174,8 @@
 	return string(text), err
 }
 
-// A caller complains that it was refused. More came than the targets could
-// answer in time, so that the gateway refused some at once; the command says
-// why, and when the caller was told to come back.
+// More requests arrive than the target can answer in time, so the gateway refuses some at
+// once. The explain command must show the reason and the retry delay sent to the caller.
 func TestExplainRefusal(t *testing.T) {
 	t.Parallel()
 	s := newStudio(t, 1)
@@ -196,15 +196,15 @@
 	}
 	all.Wait()
 	s.q.Assert(refused.Load(), qt.IsNotNil)
-	eventually(t, "the command tells why", func() bool {
+	eventually(t, "the command shows the reason", func() bool {
 		out, err := s.explain(*refused.Load())
 		return err == nil && strings.Contains(out, "answered in place of a target") && strings.Contains(out, "reason=full") && strings.Contains(out, "retry=")
 	})
 }
 
-// A caller complains of a failed booking. Its target broke the connection; it
-// may have run, so that nobody sent it again. The command names the target, how
-// far the request came, and by what the target was chosen.
+// A target breaks the connection of a request. The request may have run, so it isn't
+// retried. The explain command must show the target, how far the request got and the
+// inputs of the target's choice.
 func TestExplainFailedTarget(t *testing.T) {
 	t.Parallel()
 	s := newStudio(t, 2)
@@ -222,15 +222,14 @@
 	})
 }
 
-// A caller complains that its request got no answer. Its gateway was killed while
-// the target worked. No log has a line of the request; the command names the
-// gateway that was lost, when, and who missed it, and leaves out the one that
-// was told to stop.
+// A gateway is killed while a target runs its request, so no log has a line about the
+// request. The explain command must name the lost gateway, when it was lost and which
+// gateway noticed first. It must not name the gateway that was stopped by SIGTERM.
 func TestExplainLostGateway(t *testing.T) {
 	t.Parallel()
 	s := newStudio(t, 2)
 	a, b, c := s.start(program(t)), s.start(program(t)), s.start(program(t))
-	eventually(t, "all know each other", func() bool {
+	eventually(t, "all gateways see each other as live", func() bool {
 		return strings.Contains(a.text(), `"live":3`) && strings.Contains(c.text(), `"live":3`)
 	})
 	c.signal(syscall.SIGTERM)
@@ -240,7 +239,7 @@
 	}
 	status := make(chan int, 1)
 	go func() { status <- b.send("lost") }()
-	eventually(t, "the run", func() bool { return len(s.workers[0].Runs())+len(s.workers[1].Runs()) == 1 })
+	eventually(t, "a target runs the request", func() bool { return len(s.workers[0].Runs())+len(s.workers[1].Runs()) == 1 })
 	b.signal(syscall.SIGKILL)
 	s.q.Assert(<-status, qt.Equals, 0)
 	eventually(t, "the command names the gateway", func() bool {
@@ -251,9 +250,9 @@
 	})
 }
 
-// The settings file changes and SIGHUP comes, good and bad in turn, while callers
-// send. No request is hurt, the process stays, good settings come into force
-// and bad ones are told in the log.
+// The settings file is replaced by valid and invalid settings in turn, each followed by a
+// SIGHUP and requests. Valid settings must come into force, invalid ones must be logged
+// and ignored, and no request may fail.
 func TestHangup(t *testing.T) {
 	t.Parallel()
 	s := newStudio(t, 2)
@@ -269,7 +268,7 @@
 			s.q.Assert(g.send(fmt.Sprint(n, "-", i)), qt.Equals, http.StatusOK)
 		}
 	}
-	eventually(t, "both told", func() bool {
+	eventually(t, "valid and invalid settings are logged", func() bool {
 		text := g.text()
 		return strings.Contains(text, "settings reloaded") && strings.Contains(text, `"grace":"8s"`) && strings.Contains(text, "those in force stay")
 	})
@@ -278,23 +277,23 @@
 	s.q.Assert(<-g.ended, qt.IsNil)
 }
 
-// The settings file changes and no signal comes, by bad settings in between: the good ones come
-// into force all the same.
+// The settings file is replaced without a signal, first by invalid and then by valid
+// settings. The invalid ones must be logged and the valid ones must come into force.
 func TestSettingsChangeWithoutASignal(t *testing.T) {
 	t.Parallel()
 	s := newStudio(t, 2)
 	g := s.start(program(t))
 	s.q.Assert(os.WriteFile(g.boot, []byte("nodeName: 7\nip: x"), 0o600), qt.IsNil)
-	eventually(t, "bad ones told", func() bool { return strings.Contains(g.text(), "those in force stay") })
+	eventually(t, "invalid settings are logged", func() bool { return strings.Contains(g.text(), "those in force stay") })
 	s.settings(g, "9s")
-	eventually(t, "good ones in force", func() bool { return strings.Contains(g.text(), `"grace":"9s"`) })
+	eventually(t, "valid settings are in force", func() bool { return strings.Contains(g.text(), `"grace":"9s"`) })
 	s.q.Assert(g.send("after"), qt.Equals, http.StatusOK)
 	g.signal(syscall.SIGTERM)
 	s.q.Assert(<-g.ended, qt.IsNil)
 }
 
-// Nobody reads a gateway's standard output, and the pipe is full. Requests are
-// answered as before, however many lines they would write.
+// A gateway's standard output is a pipe that isn't read and fills up. The gateway must
+// keep answering requests, however many log lines they cause.
 func TestOutputThatIsNotRead(t *testing.T) {
 	t.Parallel()
 	s := newStudio(t, 2)
@@ -329,7 +328,7 @@
 	s.q.Assert(bytes.Contains(text, []byte("plumpitch_dispatches_failed")), qt.IsTrue)
 }
 
-// The status and check commands speak of a gateway's site.
+// The status and check commands work with gateways and their files.
 func TestGatewayCommands(t *testing.T) {
 	t.Parallel()
 	s := newStudio(t, 1)
--- a/join_proof_test.go
+++ b/join_proof_test.go
@@ -6,10 +6,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A third entry joins a site of two. It is known to be live before it knows
-// settings and targets, and nothing else changes after that. Each entry must name
-// it once it is ready: locate answers that don't would keep callers away from it
-// until something else changed.
+// A third entry joins two others. They see it as live before it has settings and targets,
+// and nothing else changes afterwards. The entries must name it in locate responses once
+// it is ready, although only its readiness changes. Otherwise it would get no callers
+// until the next change.
 func TestJoinedEntryIsNamed(t *testing.T) {
 	t.Parallel()
 	s := newCluster(t, 1, 2, 0)
--- a/leaving_proof_test.go
+++ b/leaving_proof_test.go
@@ -16,24 +16,24 @@
 	"plumpitch.example/plumpitch/internal/load"
 )
 
-// An entry gets SIGTERM under load, and a second one soon after. They are the
-// home entries, so that all callers use them, and callers keep their locate
-// answers to the end. Each gets its whole answer: an entry serves until no
-// locate answer names it, and its requests in flight finish.
+// Both preferred entries of a service get SIGTERM under load, one of them a second time
+// 200 ms later. All callers use these entries and cache locate responses for their full
+// TTL. Every request must get its complete response: an entry serves until no valid
+// locate response names it, and its requests in flight finish.
 func TestPlannedStopOfAnEntryCutsOffNothing(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
 	s := newCluster(t, 3, 3, 5*time.Millisecond)
-	homes := s.homes(t, 0)
-	q.Assert(homes, qt.HasLen, 2)
+	preferred := s.homes(t, 0)
+	q.Assert(preferred, qt.HasLen, 2)
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
 		time.Sleep(time.Second)
-		s.entries[homes[0]].signal(syscall.SIGTERM)
-		s.entries[homes[1]].signal(syscall.SIGTERM)
+		s.entries[preferred[0]].signal(syscall.SIGTERM)
+		s.entries[preferred[1]].signal(syscall.SIGTERM)
 		time.Sleep(200 * time.Millisecond)
-		s.entries[homes[0]].signal(syscall.SIGTERM)
+		s.entries[preferred[0]].signal(syscall.SIGTERM)
 	}()
 	r, err := load.Run(t.Context(), load.Config{
 		Entries: []string{s.callers(0), s.callers(1), s.callers(2)}, Services: []string{provedService},
@@ -42,12 +42,12 @@
 	q.Assert(err, qt.IsNil)
 	<-stopped
 	q.Check(r.Answered, qt.Equals, r.Sent, qt.Commentf("%+v", reportOf(r)))
-	for _, n := range homes {
+	for _, n := range preferred {
 		s.awaitEnd(t, n)
 	}
 }
 
-// awaitEnd waits until an entry has ended by itself, without a fault.
+// awaitEnd waits until an entry has exited, and checks that its exit code is 0.
 func (c *cluster) awaitEnd(t *testing.T, n int) {
 	t.Helper()
 	select {
@@ -58,10 +58,10 @@
 	qt.Check(t, c.entries[n].cmd.ProcessState.ExitCode(), qt.Equals, 0)
 }
 
-// A target says that it is leaving in one way only, while its health and the
-// VM list show it live. One entry sends it work and so hears of it; the others
-// are idle. When they begin two seconds later, no entry sends it anything new.
-// Nothing was cut off at any time.
+// A target is drained, or reports on its responses that it is leaving, while its health
+// check and the VM list still show it as live. Only one entry sends it requests and learns
+// of this directly; the other entries are idle. Two seconds later they start to send, and
+// no entry may send the target anything. No request may be cut off.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -72,8 +72,8 @@
 			code, out := s.operate(t, 0, "drain", targetName(0))
 			qt.Assert(t, code, qt.Equals, exitOK, qt.Commentf("%s", out))
 		}},
-		{"says so on its answers", sayLeaving},
-		{"says so on its answers, store down", func(t *testing.T, s *cluster) {
+		{"reported on its responses", sayLeaving},
+		{"reported on its responses, store down", func(t *testing.T, s *cluster) {
 			s.faults(t, `{"down":true}`)
 			sayLeaving(t, s)
 		}},
@@ -96,9 +96,10 @@
 	}
 }
 
-// A place is evacuated by an order to one entry. No entry sends its target anything new
-// two seconds later, also none that starts meanwhile, and nothing is cut off; once the
-// place is restored its target works again. A place that nobody knows is refused.
+// A place is evacuated through one entry. From two seconds later on no entry may send the
+// place's target a request, including an entry that starts in the meantime, and no request
+// may be cut off. After the place is restored, its target gets requests again. Evacuating
+// an unknown place must fail.
 func TestEvacuatedPlaceGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
@@ -140,7 +141,7 @@
 	return len(log)
 }
 
-// flood is a steady stream of idempotent requests to some entries.
+// requestStream is a steady stream of idempotent requests to some entries.
 type flood struct {
 	sent atomic.Int64
 	stop chan struct{}
@@ -150,10 +151,10 @@
 	bad []told
 }
 
-// floodPause paces one of the senders of a flood.
+// streamPause is the pause of a sender before each request.
 const floodPause = 5 * time.Millisecond
 
-// flood starts two senders at each entry.
+// startStream starts two senders for each of the entries.
 func (c *cluster) flood(entries ...int) *flood {
 	f := &flood{stop: make(chan struct{})}
 	for _, n := range append(entries, entries...) {
@@ -179,34 +180,34 @@
 	}
 }
 
-// end stops the senders and gives the answers that were not whole.
+// stopAndWait stops the senders and returns the incomplete responses.
 func (f *flood) end() []told {
 	close(f.stop)
 	f.all.Wait()
 	return f.bad
 }
 
-// Long answers stream through an entry when it gets SIGTERM. They go on for
-// longer than the entry is named by locate answers, past the close of its
-// listeners, and each arrives whole though the entry is told to stop twice.
+// Long responses stream through an entry when it gets SIGTERM twice. They last longer than
+// the TTL of the locate responses that name the entry, and go on after it has closed its
+// listeners. Each must arrive complete.
 func TestLongAnswerSurvivesTheStopOfItsEntry(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
 	s := newStore(t)
-	streamer, release := newStreamer(t)
-	s.enlist(t, "ledger-stream", streamer)
+	addr, target := newStreamer(t)
+	s.enlist(t, "ledger-stream", addr)
 	s.startEntries(t, 2)
 	for _, set := range [][2]string{{"locatettl", "500ms"}, {"timeout", "1m"}} {
 		code, out := s.operate(t, 0, "settings", "set", ledger, set[0], set[1], "--wait")
 		q.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", out))
 	}
-	answers := make(chan told, 4)
-	for n := range cap(answers) {
+	results := make(chan told, 4)
+	for n := range cap(results) {
 		go func() {
-			answers <- s.send(1, []string{http.MethodGet, http.MethodPost}[n%2], "/stream", newKey(), bound)
+			results <- s.send(1, []string{http.MethodGet, http.MethodPost}[n%2], "/stream", newKey(), bound)
 		}()
 	}
-	eventually(t, "the answers stream", func() bool { return release.streams.Load() == int64(cap(answers)) })
+	eventually(t, "the responses stream", func() bool { return target.streams.Load() == int64(cap(results)) })
 	s.entries[1].signal(syscall.SIGTERM)
 	s.entries[1].signal(syscall.SIGTERM)
 	eventually(t, "the entry has closed its listener", func() bool {
@@ -216,9 +217,9 @@
 		}
 		return err != nil
 	})
-	close(release.end)
-	for range cap(answers) {
-		a := <-answers
+	close(target.end)
+	for range cap(results) {
+		a := <-results
 		q.Check(a.err, qt.IsNil)
 		q.Check(a.status, qt.Equals, http.StatusOK, qt.Commentf("%+v", a))
 		q.Check(len(a.body) > 0 && a.body[len(a.body)-4:] == "end\n", qt.IsTrue, qt.Commentf("%d bytes", len(a.body)))
@@ -226,7 +227,7 @@
 	s.awaitEnd(t, 1)
 }
 
-// streamer is a target in this process that streams until it is released.
+// streamer is a target in the test process whose responses stream until it is released.
 type streamer struct {
 	streams atomic.Int64
 	end     chan struct{}
--- a/once_proof_test.go
+++ b/once_proof_test.go
@@ -14,11 +14,10 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// Deposits run at their targets when the entries that dispatched them are
-// killed, one or two of four at once, so that no caller gets its answer and no
-// record of it is made. Each key is sent again through the entries that are
-// left: it is told unknown or given the recorded answer, is never told
-// not-run, and has run once in the targets' logs.
+// One or two of four entries are killed while their keyed requests run at the targets, so
+// the callers get no response and no outcome is recorded. Each key is then resent through
+// the remaining entries. The outcome must be unknown or the recorded response, never
+// not-run, and the targets' logs must show one run of each key.
 func TestKeyOfAKilledEntryIsNeverRunAgain(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -62,8 +61,8 @@
 	}
 }
 
-// A caller leaves before its deposit is answered. The run goes on and is
-// recorded, so the same key sent through any other entry gets that answer.
+// A caller disconnects before its keyed request is answered. The run must go on and be
+// recorded, so that the same key gets the recorded response through any other entry.
 func TestCallerThatLeftGetsTheRecordedAnswer(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
@@ -81,10 +80,10 @@
 	}
 }
 
-// Keyed requests go on, each sent up to three times through different entries,
-// while an entry joins, one leaves, one is killed and starts again under its
-// name, having forgotten all. No key runs twice, none that was answered is
-// missing from the targets' logs, and service goes on after every change.
+// Keyed requests are sent up to three times each through random entries while an entry
+// joins, one stops, and one is killed and restarted under the same name without its state.
+// No key may run twice, each answered key must be in the targets' logs, and requests must
+// be answered after every change.
 func TestEntriesChangeUnderKeyedLoad(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
@@ -95,7 +94,7 @@
 	l.progress(t, "before any change")
 
 	joined := s.startEntry(t)
-	eventually(t, "the entry that joined is known", func() bool { return s.serving(0) == 4 && s.serving(joined) == 4 })
+	eventually(t, "the new entry is seen as ready", func() bool { return s.serving(0) == 4 && s.serving(joined) == 4 })
 	l.use(s, 0, 1, 2, joined)
 	l.progress(t, "after a join")
 
@@ -108,15 +107,15 @@
 	s.entries[2].signal(syscall.SIGKILL)
 	l.use(s, 0, joined)
 	l.progress(t, "after a death")
-	again := s.startNamed(t, s.names[2])
-	l.use(s, 0, joined, again)
-	eventually(t, "the restarted entry is known", func() bool { return s.serving(again) == 3 && s.serving(0) == 3 })
+	restarted := s.startNamed(t, s.names[2])
+	l.use(s, 0, joined, restarted)
+	eventually(t, "the restarted entry is seen as ready", func() bool { return s.serving(restarted) == 3 && s.serving(0) == 3 })
 	l.progress(t, "after a restart under the same name")
 
 	sent := l.end()
 	for n, k := range sent {
 		if n%max(1, len(sent)/200) == 0 {
-			k.told = append(k.told, s.post(again, k.key, 3*time.Second))
+			k.told = append(k.told, s.post(restarted, k.key, 3*time.Second))
 		}
 	}
 	runs := s.runs(t)
@@ -124,12 +123,12 @@
 		n := runs[k.key]
 		q.Check(n <= 1, qt.IsTrue, qt.Commentf("key %s ran %d times", k.key, n))
 		q.Check(n == 1 || !k.any(answeredWhole), qt.IsTrue, qt.Commentf("answered without a run: %+v", k))
-		q.Check(n == 0 || k.any(notNotRun), qt.IsTrue, qt.Commentf("told not-run only, but ran: %+v", k))
+		q.Check(n == 0 || k.any(notNotRun), qt.IsTrue, qt.Commentf("only outcomes not-run, but it ran: %+v", k))
 	}
 	t.Logf("%d keys, %d answered", len(sent), l.answered.Load())
 }
 
-// sentKey is a key and what was told for each time that it was sent.
+// sentKey is a key with the result of each request that was sent with it.
 type sentKey struct {
 	key  string
 	told []told
@@ -147,19 +146,19 @@
 func answeredWhole(a told) bool { return a.err == nil && a.status == http.StatusOK }
 func notNotRun(a told) bool     { return a.outcome != call.NotRun.String() }
 
-// keyedLoad sends keys through the entries in use, each several times.
+// keyedLoad sends keyed requests through the entries in use, up to three per key.
 type keyedLoad struct {
 	answered atomic.Int64
 	stop     chan struct{}
 	all      sync.WaitGroup
 
 	mu      sync.Mutex
-	at      *cluster // as it was when use was called last
+	at      *cluster // copy made by the last call of use
 	through []int
 	sent    []*sentKey
 }
 
-// keyedSenders is the number of keys that are sent at a time.
+// keyedSenders is the number of concurrent senders.
 const keyedSenders = 4
 
 func newKeyedLoad(s *cluster, entries ...int) *keyedLoad {
@@ -171,12 +170,12 @@
 	return l
 }
 
-// use replaces the entries that requests are sent through.
+// use sets the entries that requests are sent through.
 func (l *keyedLoad) use(s *cluster, entries ...int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := *s
-	l.at, l.through = &at, entries
+	snapshot := *s
+	l.at, l.through = &snapshot, entries
 }
 
 func (l *keyedLoad) pick(rnd *rand.Rand) (s *cluster, entry int) {
@@ -206,7 +205,7 @@
 	}
 }
 
-// progress waits until a hundred more keys are answered.
+// awaitProgress waits until 100 more keys are answered.
 func (l *keyedLoad) progress(t *testing.T, when string) {
 	t.Helper()
 	want := l.answered.Load() + 100
--- a/process_test.go
+++ b/process_test.go
@@ -19,7 +19,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// bound is the longest that a test waits for a condition.
+// waitLimit is the longest time that a test waits for a condition.
 const bound = 40 * time.Second
 
 var (
@@ -28,7 +28,7 @@
 	buildErr  error
 )
 
-// program builds the command once for all tests of this package.
+// program builds the command once for all tests of this package and returns its path.
 func program(t *testing.T) string {
 	t.Helper()
 	buildOnce.Do(func() {
@@ -58,7 +58,7 @@
 // process is one process that the test started.
 type process struct {
 	cmd   *exec.Cmd
-	addrs []string // the lines that it printed first
+	addrs []string // first lines of its standard output
 	errs  *bytes.Buffer
 	ended chan struct{}
 }
@@ -94,8 +94,8 @@
 }
 
 func tail(s string) string {
-	const most = 2000
-	return s[max(0, len(s)-most):]
+	const maxBytes = 2000
+	return s[max(0, len(s)-maxBytes):]
 }
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
@@ -109,7 +109,7 @@
 	return json.NewDecoder(res.Body).Decode(into)
 }
 
-// eventually waits for a condition.
+// eventually polls a condition and fails the test if it doesn't hold within waitLimit.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	end := time.Now().Add(bound)
--- a/proof_test.go
+++ b/proof_test.go
@@ -15,19 +15,18 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// A deposit takes a second at its target. Its entry is killed, or paused and
-// later resumed, while it runs. The caller gets no answer and resends the same
-// key through another entry, several times, while the store is up, or down from
-// then on, or loses answers. The
-// targets' logs must show each key once: the resend is told unknown or gets
-// the recorded answer, and a paused entry that resumes runs nothing again.
+// An entry is killed, or paused and later resumed, while its keyed requests run at their
+// targets for 500 ms. The callers get no response and resend the same keys through other
+// entries, while the store is up, down or loses responses. No key may run twice: a resend
+// gets the outcome unknown or the recorded response, and a resumed entry dispatches
+// nothing again.
 func TestKeyRunsOnceThoughItsEntryFails(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
 		fault func(e *process)
 		after func(e *process)
-		store string // from when the requests run
+		store string // store faults, injected once the requests run
 	}{
 		{"killed", func(e *process) { e.signal(syscall.SIGKILL) }, func(*process) {}, `{}`},
 		{"paused", func(e *process) { e.signal(syscall.SIGSTOP) }, func(e *process) { e.signal(syscall.SIGCONT) }, `{}`},
@@ -51,13 +50,13 @@
 				for n := range 4 {
 					a := s.post([]int{0, 2}[n%2], key, 3*time.Second)
 					if a.outcome == call.NotRun.String() {
-						q.Check(s.runs(t)[key], qt.Equals, 0, qt.Commentf("told not-run: %+v", a))
+						q.Check(s.runs(t)[key], qt.Equals, 0, qt.Commentf("outcome not-run: %+v", a))
 					}
 				}
 			}
 			c.after(s.entries[1])
 			first.Wait()
-			time.Sleep(600 * time.Millisecond) // a second run would take no longer to begin
+			time.Sleep(600 * time.Millisecond) // a second run would have begun by then
 			for _, key := range keys {
 				runs := s.runs(t)[key]
 				q.Check(runs <= 1, qt.IsTrue, qt.Commentf("key %s ran %d times", key, runs))
@@ -66,7 +65,7 @@
 	}
 }
 
-// ran counts the keys that a target has run.
+// countRan returns how many of the keys have been run at least once.
 func ran(runs map[string]int, keys []string) (n int) {
 	for _, key := range keys {
 		if runs[key] > 0 {
@@ -76,15 +75,15 @@
 	return n
 }
 
-// outages are the ways in which the store is away for the whole of a test.
+// storeOutages are the faults that make the store unavailable for a whole test.
 var outages = []struct{ name, faults string }{
 	{"down", `{"down":true}`},
 	{"slow", `{"delay":"3s"}`},
 }
 
-// The store is down for the whole time. Callers browse and send requests that
-// must not run twice, without keys; none of them notices, since settings and
-// targets stay as they were.
+// The store is unavailable. Callers send idempotent and non-idempotent requests without
+// keys. All of them are answered, since the entries keep the last known settings and
+// targets.
 func TestStoreOutageHurtsNoCaller(t *testing.T) {
 	t.Parallel()
 	for _, c := range outages {
@@ -105,10 +104,10 @@
 	}
 }
 
-// The store is away, so that nobody can tell whether a key has run. Callers of
-// keyed requests are told at once that it is unknown and when to come back,
-// rather than held until they give up, and nothing runs. Soon after the store's
-// return the same keys are answered, each by one run.
+// The store is unavailable, so an entry can't find out whether a key has run. Keyed
+// requests must get the outcome unknown and a time to retry after within 2 s, instead of
+// waiting for their timeout, and nothing may run. Once the store is back, the same keys are answered, each by one
+// run.
 func TestKeysDuringAStoreOutage(t *testing.T) {
 	t.Parallel()
 	for _, c := range outages {
@@ -134,9 +133,9 @@
 	}
 }
 
-// A target crashes under one request, which its caller sends again and again
-// with new keys through every entry. After a bounded number of crashed
-// connections it is refused, and other requests go on.
+// A request crashes every target that gets it, and its caller sends it again with new
+// keys through every entry. After a bounded number of crashed connections the request
+// must be refused as quarantined.
 func TestOneBadRequestIsStopped(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
--- a/relay_test.go
+++ b/relay_test.go
@@ -14,19 +14,19 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// cut is what a relay does to one request. The zero value does nothing.
+// connFault is a fault that a faultProxy injects into the connection of one request.
 type cut struct {
-	before bool // closes instead of passing the request on
-	after  int  // bytes of the answer that are passed on
-	stall  bool // then the connection stays open and silent, else it is closed
+	before bool // close the connection without forwarding the request
+	after  int  // number of response bytes to forward before the fault
+	stall  bool // keep the connection open but silent instead of closing it
 }
 
-// relay passes bytes between an entry and a target, and cuts a request's
-// connection when it is told to.
+// faultProxy is a TCP proxy between the entries and a target. It can inject a fault into
+// the connection of the next deposit request.
 type relay struct {
 	addr   string
 	target string
-	next   atomic.Pointer[cut] // for the next request to a deposit
+	next   atomic.Pointer[cut] // fault of the next request to /deposits
 }
 
 func newRelay(t *testing.T, target string) *relay {
@@ -47,13 +47,13 @@
 	return r
 }
 
-// link is one connection through a relay.
+// proxyConn is one connection through a faultProxy.
 type link struct {
 	relay   *relay
 	in, out net.Conn
 	mu      sync.Mutex
-	cut     *cut // of the answer in progress
-	left    int  // bytes of it that still pass
+	cut     *cut // fault of the response in progress, or nil
+	left    int  // bytes of that response that are still forwarded
 }
 
 func (r *relay) pass(in net.Conn) {
@@ -115,30 +115,30 @@
 	}
 }
 
-// The connection between an entry and a target is cut or falls silent, before
-// the request, in the head of its answer or in its body. An idempotent request
-// is sent to another target, and its caller notices nothing, but for silence,
-// which ends in its timeout. A keyed one is not: its caller is told what is
-// known, and no part of an answer as the whole. Sent again, the key is not run
-// again.
+// The connection between an entry and a target is closed or stalls, before the request, in
+// the header of the response or in its body. An idempotent request is retried at another
+// target and gets a complete response, unless the connection stalls: then it ends with its
+// timeout. A keyed request isn't retried: its caller gets the outcome unknown, or run where
+// the entry can know it, and never a partial response as a complete one. A resend of the
+// key must not run it again.
 func TestCutConnectionIsToldTruthfully(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
 	s := newStore(t)
-	var relays []*relay
+	var proxies []*relay
 	for n := range 2 {
 		r := newRelay(t, s.startTarget(t, time.Millisecond).addrs[0])
 		s.enlist(t, targetName(n), r.addr)
-		relays = append(relays, r)
+		proxies = append(proxies, r)
 	}
 	s.startEntries(t, 3)
 	code, out := s.operate(t, 0, "settings", "set", ledger, "timeout", "1s", "--wait")
 	q.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", out))
 	s.earnRetries(t)
 	for _, c := range []struct {
-		name string
-		cut  cut
-		runs int // of the keyed request that is hit
+		name  string
+		fault cut
+		runs  int // expected runs of the keyed request with the fault
 	}{
 		{"closed before the request", cut{before: true}, 0},
 		{"closed before the answer", cut{after: 0}, 1},
@@ -147,16 +147,16 @@
 		{"silent before the answer", cut{after: 0, stall: true}, 1},
 		{"silent in the body", cut{after: 170, stall: true}, 1},
 	} {
-		for n, r := range relays {
-			comment := qt.Commentf("%s, relay %d", c.name, n)
-			_, id, a := s.hit(t, r, c.cut, http.MethodGet)
-			if c.cut.stall {
-				q.Check(truthful(a, 1), qt.IsTrue, qt.Commentf("%s, relay %d: %+v", c.name, n, a))
+		for n, r := range proxies {
+			comment := qt.Commentf("%s, proxy %d", c.name, n)
+			_, id, a := s.hit(t, r, c.fault, http.MethodGet)
+			if c.fault.stall {
+				q.Check(truthful(a, 1), qt.IsTrue, qt.Commentf("%s, proxy %d: %+v", c.name, n, a))
 			} else {
-				q.Check(a.whole(id), qt.IsTrue, qt.Commentf("%s, relay %d: %+v", c.name, n, a))
+				q.Check(a.whole(id), qt.IsTrue, qt.Commentf("%s, proxy %d: %+v", c.name, n, a))
 			}
-			path, id, a := s.hit(t, r, c.cut, http.MethodPost)
-			q.Check(truthful(a, c.runs), qt.IsTrue, qt.Commentf("%s, relay %d: %+v", c.name, n, a))
+			path, id, a := s.hit(t, r, c.fault, http.MethodPost)
+			q.Check(truthful(a, c.runs), qt.IsTrue, qt.Commentf("%s, proxy %d: %+v", c.name, n, a))
 			q.Check(s.runs(t)[id], qt.Equals, c.runs, comment)
 			for n := range s.entries {
 				again := s.send(n, http.MethodPost, path, id, 3*time.Second)
@@ -167,33 +167,34 @@
 	}
 }
 
-// truthful tells whether a caller without an answer was told what is known.
-// The entry sent the request, so it can't know that it was not run.
+// consistentOutcome reports whether the outcome of a request without a complete response
+// agrees with its runs. The entry dispatched the request, so it can't know that it was not
+// run.
 func truthful(a told, runs int) bool {
 	return a.outcome == call.Unknown.String() || a.outcome == call.Ran.String() && runs == 1
 }
 
-// earnRetries sends enough requests for each entry to retry some: the budget
-// of retries is a share of first dispatches and starts empty.
+// fillRetryBudgets sends enough requests for each entry to have some retries left. The
+// retry budget is a share of the first dispatches and is empty at the start.
 func (c *cluster) earnRetries(t *testing.T) {
 	t.Helper()
 	for n := range c.entries {
 		f := c.flood(n)
-		eventually(t, "an entry has earned its retries", func() bool { return f.sent.Load() >= 300 })
+		eventually(t, "an entry has a retry budget", func() bool { return f.sent.Load() >= 300 })
 		qt.Assert(t, f.end(), qt.HasLen, 0)
 	}
 }
 
-// hitPause paces the requests until one meets the cut: a target that an earlier
-// cut has put out of use gets a trial only after seconds.
+// faultSendPause is the pause between requests until one gets the fault. A target that an
+// earlier fault has ejected gets a trial request only after some seconds.
 const hitPause = 5 * time.Millisecond
 
-// hit sends requests, each to a path of its own, until one of them meets the
-// cut, and gives its path, its id and what its caller was told. All others must
-// be answered whole.
-func (c *cluster) hit(t *testing.T, r *relay, with cut, method string) (path, id string, a told) {
+// sendUntilFault sends requests, each to a different path, until one gets the fault. It
+// returns the path, the id and the result of that request. All others must get a complete
+// response.
+func (c *cluster) hit(t *testing.T, r *relay, fault cut, method string) (path, id string, a told) {
 	t.Helper()
-	r.next.Store(&with)
+	r.next.Store(&fault)
 	end := time.Now().Add(bound)
 	for n := 0; time.Now().Before(end); n++ {
 		id = newKey()
@@ -205,6 +206,6 @@
 		qt.Assert(t, a.whole(id), qt.IsTrue, qt.Commentf("%+v", a))
 		time.Sleep(hitPause)
 	}
-	t.Fatalf("no request met the cut of %s", r.addr)
+	t.Fatalf("no request got the fault of the proxy %s", r.addr)
 	return path, id, a
 }
--- a/settings_proof_test.go
+++ b/settings_proof_test.go
@@ -14,16 +14,16 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// ledger is the path of the proved service.
+// servicePath is the path of the tested service in the settings tree.
 const ledger = "/swanbourne/" + provedService
 
-// inForce is the bound within which an accepted edit is in force everywhere.
+// inForceBound is the time within which an accepted edit must be in force at every entry.
 const inForce = 13 * time.Second
 
-// An operator's edit is accepted at one entry and the store fails right after,
-// in one case with watches that have been silent from before the edit. The
-// other entries can hear of it from their peers only. They have it in force in
-// time, and so has an entry that boots during the outage.
+// An edit is accepted at one entry and the store fails right after it, in two cases with
+// watches that have been silent since before the edit. The other entries can receive the
+// edit only from their peers. It must be in force there within inForceBound, and also at
+// an entry that boots during the outage.
 func TestAcceptedEditIsInForceThoughTheStoreFails(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, before, after string }{
@@ -55,9 +55,9 @@
 	}
 }
 
-// The store comes back older than what it had accepted. No entry's revision
-// goes down at any time, the entries write the newest document back, and an
-// entry that boots afterwards starts with the newest one.
+// The store comes back with an older settings document than it had accepted. No entry's
+// revision may go down, the entries must write the newest document back, and an entry that
+// boots afterwards must have the newest one.
 func TestOlderStoreRevertsNothing(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
@@ -74,8 +74,8 @@
 	q.Assert(s.stored(t).Revision < newest, qt.IsTrue)
 	s.faults(t, `{}`)
 	began := time.Now()
-	eventually(t, "the store is healed", func() bool { return s.stored(t).Revision >= newest })
-	t.Logf("store healed after %v", time.Since(began))
+	eventually(t, "the store has the newest document again", func() bool { return s.stored(t).Revision >= newest })
+	t.Logf("the store has the newest document after %v", time.Since(began))
 	n := s.startEntry(t)
 	s.awaitRevision(t, newest, time.Now(), n)
 	q.Check(stop(), qt.HasLen, 0)
@@ -84,9 +84,9 @@
 	}
 }
 
-// Two operators set one value at the same time through two entries, each
-// having seen the same revision. One edit is accepted; the other operator is
-// told of a conflict that shows both.
+// Two operators set the same value at the same time through two entries, based on the same
+// revision. One edit must be accepted, and the other rejected with a conflict message that
+// shows both values.
 func TestOperatorsWhoRaceSeeBothEdits(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
@@ -120,9 +120,8 @@
 	}
 }
 
-// An entry is paused when an operator's edit is accepted at another one. The
-// command with --wait must not tell the operator that the edit is in force
-// everywhere before the paused entry has it.
+// An entry is paused while an edit is accepted at another one. The command with --wait
+// must not report the edit as in force everywhere before the paused entry has it.
 func TestWaitReturnsWhenInForceEverywhere(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
@@ -154,7 +153,7 @@
 	}
 }
 
-// value is what an entry has in force for a setting of the proved service.
+// value returns the value in force at an entry for a setting of the tested service.
 func (c *cluster) value(t *testing.T, n int, field string) string {
 	t.Helper()
 	node, err := (settings.Client{Addr: c.operators(n)}).Get(t.Context(), ledger)
@@ -167,8 +166,8 @@
 	return ""
 }
 
-// awaitRevision waits until entries have a revision in force and tells how
-// long after began the last one had.
+// awaitRevision waits until a revision is in force at the entries and returns the time
+// since began.
 func (c *cluster) awaitRevision(t *testing.T, revision uint64, began time.Time, entries ...int) time.Duration {
 	t.Helper()
 	for _, n := range entries {
@@ -177,8 +176,8 @@
 	return time.Since(began)
 }
 
-// watchRevisions looks at the entries' revisions until it is stopped, and then
-// tells of each that went down.
+// watchRevisions polls the entries' revisions until stop is called. stop returns a line
+// for each time that a revision went down.
 func (c *cluster) watchRevisions(t *testing.T, entries ...int) (stop func() []string) {
 	t.Helper()
 	ended := make(chan struct{})
@@ -217,7 +216,7 @@
 	Revision uint64
 }
 
-// stored reads the settings object; revision 0 when there is none to be had.
+// stored reads the settings object from the store. The revision is 0 if it can't be read.
 func (c *cluster) stored(t *testing.T) (s storedSettings) {
 	t.Helper()
 	var o struct {
--- a/settings_test.go
+++ b/settings_test.go
@@ -21,8 +21,8 @@
 	"plumpitch.example/plumpitch/internal/store"
 )
 
-// operators serves the settings calls of an entry on a stand-in platform. The
-// status tells of one live entry and one dead one that stays at revision 0.
+// newOperatorServer serves the settings API of an entry on a stand-in platform. Its status
+// shows one live entry, and one dead entry that stays at revision 0.
 func operators(q *qt.C) (addr string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := httptest.NewServer(platform.New(platform.Config{}))
@@ -46,7 +46,8 @@
 	return srv.Listener.Addr().String()
 }
 
-// runArgs runs one command line and returns its exit code and what it printed.
+// runArgs runs one command line and returns its exit code and its output, followed by the
+// error.
 func runArgs(q *qt.C, args ...string) (code int, out string) {
 	q.Helper()
 	all := []*command{settingsCommand(), serviceCommand(), placeCommand(), checkCommand()}
@@ -123,8 +124,8 @@
 	}
 }
 
-// One live entry stays on an older revision. The operator must not read that
-// the edit is in force everywhere.
+// One live entry stays at an older revision. The command must fail and name that entry
+// instead of reporting the edit as in force everywhere.
 func TestWaitNamesLateEntries(t *testing.T) {
 	q := qt.New(t)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/upgrade_proof_test.go
+++ b/upgrade_proof_test.go
@@ -16,15 +16,15 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// oldProgram is the environment variable that names the program to upgrade from;
-// scripts/upgrade.sh builds it from an earlier commit. Without it the present one
-// stands for both.
+// oldProgram is the environment variable with the path of the program to upgrade from,
+// which scripts/upgrade.sh builds from an earlier commit. If it is unset, the test upgrades
+// from the current program.
 const oldProgram = "PLUMPITCH_OLD"
 
-// Gateways are upgraded in turn while callers send and the operators change the
-// configuration. Old and new ones run side by side: each must take the other's
-// word, so that no request is cut, and every change is in force everywhere
-// within 2 s.
+// Gateways are upgraded one after the other while callers send requests and the
+// configuration changes. Old and new gateways run side by side and must understand each
+// other's messages: no request may fail, and each configuration must be in force at all
+// gateways within 2 s.
 func TestUpgradeInTurn(t *testing.T) {
 	t.Parallel()
 	s := newStudio(t, 4)
@@ -46,7 +46,8 @@
 	s.q.Assert(sent > 300, qt.IsTrue)
 }
 
-// change puts a newer configuration and waits until it is in force everywhere.
+// changeConfiguration stores a newer configuration and waits until it is in force at all
+// gateways.
 func (s *studio) change() {
 	s.t.Helper()
 	s.configure()
@@ -61,7 +62,7 @@
 	}
 }
 
-// upgrade stops a gateway and starts the present program in its place.
+// upgrade stops a gateway and restarts it with the current program.
 func (s *studio) upgrade(g *gatewayProcess) {
 	s.t.Helper()
 	g.signal(syscall.SIGTERM)
@@ -72,7 +73,8 @@
 	eventually(s.t, g.name+" ready again", g.ready)
 }
 
-// callers send without end, each to where the directory sends it.
+// callerLoad is a set of callers that send requests until they are stopped, each to the
+// address from the directory.
 type callers struct {
 	stop chan struct{}
 	all  sync.WaitGroup
@@ -119,7 +121,8 @@
 	}
 }
 
-// resolve asks any gateway where to connect.
+// resolve returns the first address of a resolve response, from the first gateway that
+// returns one.
 func (s *studio) resolve() string {
 	for _, g := range s.gateways {
 		res, err := http.Get("http://" + g.ip + ":8546/resolve?name=veil.example")
@@ -138,7 +141,8 @@
 	return ""
 }
 
-// sendTo makes one attempt on a connection of its own.
+// sendTo sends one request on a separate connection. dialled is false if the connection
+// was refused.
 func sendTo(address, id string) (status int, dialled bool) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+address+"/a/book", strings.NewReader("veil"))
 	if err != nil {
