--- a/apply.go
+++ b/apply.go
@@ -16,15 +16,15 @@
 )
 
 func settingsApply() *command {
-	w := newWriter()
+	f := newWriter()
 	var file string
 	sub := flaggy.NewSubcommand("apply")
 	sub.Description = "replace the whole settings tree by a settings file, as one edit"
 	sub.AddPositionalValue(&file, "FILE", 1, true, "settings file, JSON with comments")
-	w.attach(sub)
+	f.attach(sub)
 	sub.AdditionalHelpAppend = "Example: plumpitch settings apply examples/swanbourne.json --wait --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		c, err := w.client()
+		c, err := f.client()
 		if err != nil {
 			return err
 		}
@@ -33,22 +33,22 @@
 			return err
 		}
 		a, err := c.Apply(ctx, settings.Proposal{
-			ID: w.editID(), Author: w.author, Base: w.baseRevision(), File: file, Text: text,
+			ID: f.editID(), Author: f.author, Base: f.baseRevision(), File: file, Text: text,
 		})
-		return w.report(ctx, a, err)
+		return f.report(ctx, a, err)
 	}}
 }
 
 func settingsDiff() *command {
-	var r reader
+	var f reader
 	var file string
 	sub := flaggy.NewSubcommand("diff")
 	sub.Description = "show what a settings file would change"
 	sub.AddPositionalValue(&file, "FILE", 1, true, "settings file, JSON with comments")
-	r.attach(sub)
+	f.attach(sub)
 	sub.AdditionalHelpAppend = "Example: plumpitch settings diff examples/swanbourne.json --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		c, err := r.client()
+		c, err := f.client()
 		if err != nil {
 			return err
 		}
@@ -60,7 +60,7 @@
 		if err != nil {
 			return withExit(err)
 		}
-		if r.asJSON {
+		if f.asJSON {
 			return printJSON(diffView{a.Revision, changeTexts(a.Changes)})
 		}
 		fmt.Printf("against revision %d: %d changes\n", a.Revision, len(a.Changes))
@@ -89,11 +89,11 @@
 }
 
 // awaitRevision waits until every live entry reports that a revision is in force.
-func awaitRevision(ctx context.Context, at string, revision uint64, within time.Duration) (err error) {
+func awaitRevision(ctx context.Context, addr string, revision uint64, within time.Duration) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for {
-		late, err := lateEntries(ctx, at, revision)
+		late, err := lateEntries(ctx, addr, revision)
 		if err == nil && len(late) == 0 {
 			return nil
 		}
@@ -109,8 +109,8 @@
 	}
 }
 
-func lateEntries(ctx context.Context, at string, revision uint64) (late []string, err error) {
-	body, err := ask(ctx, http.MethodGet, at, "/v1/status")
+func lateEntries(ctx context.Context, addr string, revision uint64) (late []string, err error) {
+	body, err := ask(ctx, http.MethodGet, addr, "/v1/status")
 	if err != nil {
 		return nil, err
 	}
--- a/drain.go
+++ b/drain.go
@@ -36,14 +36,14 @@
 // actionCommand returns a command that sends an action on a target or place to an
 // entry.
 func operate(name, description, placeholder, help, example string) *command {
-	var at, object string
+	var addr, object string
 	sub := flaggy.NewSubcommand(name)
 	sub.Description = description
 	sub.AddPositionalValue(&object, placeholder, 1, true, help)
-	sub.String(&at, "e", "entry", "host:port of an entry's operators' listener")
+	sub.String(&addr, "e", "entry", "host:port of an entry's operators' listener")
 	sub.AdditionalHelpAppend = "Example: plumpitch " + name + " " + example + " --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		body, err := ask(ctx, http.MethodPost, at, "/v1/"+name+"?name="+url.QueryEscape(object))
+		body, err := ask(ctx, http.MethodPost, addr, "/v1/"+name+"?name="+url.QueryEscape(object))
 		if err != nil {
 			return err
 		}
--- a/explain.go
+++ b/explain.go
@@ -24,13 +24,13 @@
 }
 
 func explainCommand() *command {
-	var at, service string
+	var addr, service string
 	var asJSON bool
 	sub := flaggy.NewSubcommand("explain")
 	sub.Description = "show why each target of a service would or would not be chosen, or how a request ended"
 	sub.AddPositionalValue(&service, "SERVICE", 1, true, "name of the service, or id of a request if log files follow")
 	files := fileValues(sub, 2)
-	sub.String(&at, "e", "entry", "host:port of an entry's operators' listener")
+	sub.String(&addr, "e", "entry", "host:port of an entry's operators' listener")
 	sub.Bool(&asJSON, "j", "json", "print the entry's JSON response unchanged")
 	sub.AdditionalHelpAppend = "Examples: plumpitch explain gown-catalogue --entry 127.0.0.1:8003\n" +
 		"          plumpitch explain 9c41d07be2a35f68 gateway-1.log gateway-2.log"
@@ -40,14 +40,14 @@
 		}
 		path := "/v1/explain?name=" + url.QueryEscape(service)
 		if asJSON {
-			return printAnswer(ctx, at, path)
+			return printAnswer(ctx, addr, path)
 		}
-		return showExplain(ctx, at, path)
+		return showExplain(ctx, addr, path)
 	}}
 }
 
-func showExplain(ctx context.Context, at, path string) (err error) {
-	body, err := ask(ctx, http.MethodGet, at, path)
+func showExplain(ctx context.Context, addr, path string) (err error) {
+	body, err := ask(ctx, http.MethodGet, addr, path)
 	if err != nil {
 		return err
 	}
--- a/leaving_proof_test.go
+++ b/leaving_proof_test.go
@@ -156,35 +156,35 @@
 
 // startStream starts two senders for each of the entries.
 func (c *cluster) flood(entries ...int) *flood {
-	f := &flood{stop: make(chan struct{})}
+	s := &flood{stop: make(chan struct{})}
 	for _, n := range append(entries, entries...) {
-		f.all.Go(func() { f.send(c, n) })
+		s.all.Go(func() { s.send(c, n) })
 	}
-	return f
+	return s
 }
 
-func (f *flood) send(c *cluster, n int) {
+func (s *flood) send(c *cluster, n int) {
 	for {
 		select {
-		case <-f.stop:
+		case <-s.stop:
 			return
 		case <-time.After(floodPause):
 		}
 		id := newKey()
 		if a := c.get(n, id, 5*time.Second); !a.whole(id) {
-			f.mu.Lock()
-			f.bad = append(f.bad, a)
-			f.mu.Unlock()
+			s.mu.Lock()
+			s.bad = append(s.bad, a)
+			s.mu.Unlock()
 		}
-		f.sent.Add(1)
+		s.sent.Add(1)
 	}
 }
 
 // stopAndWait stops the senders and returns the incomplete responses.
-func (f *flood) end() []told {
-	close(f.stop)
-	f.all.Wait()
-	return f.bad
+func (s *flood) end() []told {
+	close(s.stop)
+	s.all.Wait()
+	return s.bad
 }
 
 // Long responses stream through an entry when it gets SIGTERM twice. They last longer than
--- a/load.go
+++ b/load.go
@@ -24,7 +24,7 @@
 	sub.String(&entries, "e", "entries", "host:port of entries, separated by commas")
 	sub.String(&direct, "d", "direct", "host:port of targets, to bypass the entries")
 	sub.String(&services, "s", "services", "names of services, separated by commas")
-	sub.Float64(&cfg.Rate, "r", "rate", "requests per second")
+	sub.Float64(&cfg.Rate, "r", "rate", "requests a second")
 	sub.Int(&cfg.Requests, "n", "requests", "number of requests; 0 sends until --seconds have passed")
 	sub.Int(&seconds, "t", "seconds", "seconds to send for")
 	sub.Float64(&cfg.Writes, "w", "writes", "share of non-idempotent requests, 0 to 1")
--- a/locate.go
+++ b/locate.go
@@ -8,13 +8,13 @@
 )
 
 func locateCommand() *command {
-	var at, service string
+	var addr, service string
 	sub := flaggy.NewSubcommand("locate")
 	sub.Description = "query an entry for the entries that serve a service"
 	sub.AddPositionalValue(&service, "SERVICE", 1, true, "name of the service")
-	sub.String(&at, "e", "entry", "host:port of an entry's callers' listener")
+	sub.String(&addr, "e", "entry", "host:port of an entry's callers' listener")
 	sub.AdditionalHelpAppend = "Example: plumpitch locate gown-catalogue --entry 127.0.0.1:8001"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		return printAnswer(ctx, at, "/v1/locate?service="+url.QueryEscape(service))
+		return printAnswer(ctx, addr, "/v1/locate?service="+url.QueryEscape(service))
 	}}
 }
--- a/place.go
+++ b/place.go
@@ -25,13 +25,13 @@
 }
 
 func placeList() *command {
-	var r reader
+	var f reader
 	sub := flaggy.NewSubcommand("list")
 	sub.Description = "list places with their regions"
-	r.attach(sub)
+	f.attach(sub)
 	sub.AdditionalHelpAppend = "Example: plumpitch place list --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		c, err := r.client()
+		c, err := f.client()
 		if err != nil {
 			return err
 		}
@@ -43,7 +43,7 @@
 		for _, p := range d.Places() {
 			views = append(views, placeView{p.Name, p.Region, p.Path})
 		}
-		if r.asJSON {
+		if f.asJSON {
 			return printJSON(views)
 		}
 		t := newTable("PLACE", "REGION", "PATH")
--- a/relay_test.go
+++ b/relay_test.go
@@ -34,17 +34,17 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { l.Close() })
-	r := &relay{addr: l.Addr().String(), target: target}
+	p := &relay{addr: l.Addr().String(), target: target}
 	go func() {
 		for {
 			in, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go r.pass(in)
+			go p.pass(in)
 		}
 	}()
-	return r
+	return p
 }
 
 // proxyConn is one connection through a faultProxy.
@@ -56,60 +56,60 @@
 	left    int  // bytes of that response that are still forwarded
 }
 
-func (r *relay) pass(in net.Conn) {
+func (p *relay) pass(in net.Conn) {
 	defer in.Close()
-	out, err := net.Dial("tcp", r.target)
+	out, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
 	defer out.Close()
-	l := &link{relay: r, in: in, out: out}
-	go l.answers()
-	l.requests()
+	c := &link{relay: p, in: in, out: out}
+	go c.answers()
+	c.requests()
 }
 
-func (l *link) requests() {
+func (c *link) requests() {
 	buf := make([]byte, 64<<10)
 	for {
-		n, err := l.in.Read(buf)
+		n, err := c.in.Read(buf)
 		if err != nil {
 			return
 		}
 		if bytes.Contains(buf[:n], []byte(" /deposits")) {
-			if c := l.relay.next.Swap(nil); c != nil {
-				if c.before {
+			if f := c.relay.next.Swap(nil); f != nil {
+				if f.before {
 					return
 				}
-				l.mu.Lock()
-				l.cut, l.left = c, c.after
-				l.mu.Unlock()
+				c.mu.Lock()
+				c.cut, c.left = f, f.after
+				c.mu.Unlock()
 			}
 		}
-		if _, err := l.out.Write(buf[:n]); err != nil {
+		if _, err := c.out.Write(buf[:n]); err != nil {
 			return
 		}
 	}
 }
 
-func (l *link) answers() {
-	defer l.in.Close()
+func (c *link) answers() {
+	defer c.in.Close()
 	buf := make([]byte, 64<<10)
 	for {
-		n, err := l.out.Read(buf)
+		n, err := c.out.Read(buf)
 		if err != nil {
 			return
 		}
-		l.mu.Lock()
-		c, pass := l.cut, n
-		if c != nil {
-			pass = min(n, l.left)
-			l.left -= pass
+		c.mu.Lock()
+		f, forward := c.cut, n
+		if f != nil {
+			forward = min(n, c.left)
+			c.left -= forward
 		}
-		l.mu.Unlock()
-		if _, err := l.in.Write(buf[:pass]); err != nil {
+		c.mu.Unlock()
+		if _, err := c.in.Write(buf[:forward]); err != nil {
 			return
 		}
-		if c != nil && pass < n && !c.stall {
+		if f != nil && forward < n && !f.stall {
 			return
 		}
 	}
@@ -127,9 +127,9 @@
 	s := newStore(t)
 	var proxies []*relay
 	for n := range 2 {
-		r := newRelay(t, s.startTarget(t, time.Millisecond).addrs[0])
-		s.enlist(t, targetName(n), r.addr)
-		proxies = append(proxies, r)
+		p := newRelay(t, s.startTarget(t, time.Millisecond).addrs[0])
+		s.enlist(t, targetName(n), p.addr)
+		proxies = append(proxies, p)
 	}
 	s.startEntries(t, 3)
 	code, out := s.operate(t, 0, "settings", "set", ledger, "timeout", "1s", "--wait")
@@ -147,15 +147,15 @@
 		{"silent before the answer", cut{after: 0, stall: true}, 1},
 		{"silent in the body", cut{after: 170, stall: true}, 1},
 	} {
-		for n, r := range proxies {
+		for n, p := range proxies {
 			comment := qt.Commentf("%s, proxy %d", c.name, n)
-			_, id, a := s.hit(t, r, c.fault, http.MethodGet)
+			_, id, a := s.hit(t, p, c.fault, http.MethodGet)
 			if c.fault.stall {
 				q.Check(truthful(a, 1), qt.IsTrue, qt.Commentf("%s, proxy %d: %+v", c.name, n, a))
 			} else {
 				q.Check(a.whole(id), qt.IsTrue, qt.Commentf("%s, proxy %d: %+v", c.name, n, a))
 			}
-			path, id, a := s.hit(t, r, c.fault, http.MethodPost)
+			path, id, a := s.hit(t, p, c.fault, http.MethodPost)
 			q.Check(truthful(a, c.runs), qt.IsTrue, qt.Commentf("%s, proxy %d: %+v", c.name, n, a))
 			q.Check(s.runs(t)[id], qt.Equals, c.runs, comment)
 			for n := range s.entries {
@@ -179,9 +179,9 @@
 func (c *cluster) earnRetries(t *testing.T) {
 	t.Helper()
 	for n := range c.entries {
-		f := c.flood(n)
-		eventually(t, "an entry has a retry budget", func() bool { return f.sent.Load() >= 300 })
-		qt.Assert(t, f.end(), qt.HasLen, 0)
+		stream := c.flood(n)
+		eventually(t, "an entry has a retry budget", func() bool { return stream.sent.Load() >= 300 })
+		qt.Assert(t, stream.end(), qt.HasLen, 0)
 	}
 }
 
@@ -192,20 +192,20 @@
 // sendUntilFault sends requests, each to a different path, until one gets the fault. It
 // returns the path, the id and the result of that request. All others must get a complete
 // response.
-func (c *cluster) hit(t *testing.T, r *relay, fault cut, method string) (path, id string, a told) {
+func (c *cluster) hit(t *testing.T, p *relay, fault cut, method string) (path, id string, a told) {
 	t.Helper()
-	r.next.Store(&fault)
+	p.next.Store(&fault)
 	end := time.Now().Add(bound)
 	for n := 0; time.Now().Before(end); n++ {
 		id = newKey()
 		path = "/deposits/" + id
 		a = c.send(n%len(c.entries), method, path, id, 5*time.Second)
-		if r.next.Load() == nil {
+		if p.next.Load() == nil {
 			return path, id, a
 		}
 		qt.Assert(t, a.whole(id), qt.IsTrue, qt.Commentf("%+v", a))
 		time.Sleep(hitPause)
 	}
-	t.Fatalf("no request got the fault of the proxy %s", r.addr)
+	t.Fatalf("no request got the fault of the proxy %s", p.addr)
 	return path, id, a
 }
--- a/service.go
+++ b/service.go
@@ -23,7 +23,7 @@
 
 // createNode returns the create command of services or places.
 func createNode(k tree.Kind, example string) *command {
-	w := newWriter()
+	f := newWriter()
 	var path string
 	var values []string
 	sub := flaggy.NewSubcommand("create")
@@ -32,7 +32,7 @@
 	if k == tree.ServiceKind {
 		sub.StringSlice(&values, "s", "set", "SETTING=VALUE to override; may be repeated")
 	}
-	w.attach(sub)
+	f.attach(sub)
 	sub.AdditionalHelpAppend = fmt.Sprintf("Example: plumpitch %s create %s --entry 127.0.0.1:8003", k, example)
 	return &command{sub: sub, run: func(ctx context.Context) error {
 		changes, err := overrides(path, values)
@@ -40,7 +40,7 @@
 			return err
 		}
 		create := tree.Change{Op: tree.Create, Path: path, Kind: k}
-		return w.edit(ctx, append([]tree.Change{create}, changes...)...)
+		return f.edit(ctx, append([]tree.Change{create}, changes...)...)
 	}}
 }
 
@@ -57,15 +57,15 @@
 
 // removeNode returns the remove command of services or places.
 func removeNode(k tree.Kind, example string) *command {
-	w := newWriter()
+	f := newWriter()
 	var name string
 	sub := flaggy.NewSubcommand("remove")
 	sub.Description = fmt.Sprintf("remove a %s", k)
 	sub.AddPositionalValue(&name, "NAME", 1, true, "name or path of the "+string(k))
-	w.attach(sub)
+	f.attach(sub)
 	sub.AdditionalHelpAppend = fmt.Sprintf("Example: plumpitch %s remove %s --entry 127.0.0.1:8003", k, tree.Name(example))
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		c, err := w.client()
+		c, err := f.client()
 		if err != nil {
 			return err
 		}
@@ -77,7 +77,7 @@
 		if err != nil {
 			return err
 		}
-		return w.edit(ctx, tree.Change{Op: tree.Remove, Path: path})
+		return f.edit(ctx, tree.Change{Op: tree.Remove, Path: path})
 	}}
 }
 
@@ -111,13 +111,13 @@
 }
 
 func serviceList() *command {
-	var r reader
+	var f reader
 	sub := flaggy.NewSubcommand("list")
 	sub.Description = "list services with their main settings"
-	r.attach(sub)
+	f.attach(sub)
 	sub.AdditionalHelpAppend = "Example: plumpitch service list --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		c, err := r.client()
+		c, err := f.client()
 		if err != nil {
 			return err
 		}
@@ -126,7 +126,7 @@
 			return withExit(err)
 		}
 		views := serviceViews(d)
-		if r.asJSON {
+		if f.asJSON {
 			return printJSON(views)
 		}
 		t := newTable("SERVICE", "PLACES", "POLICY", "ENTRIES", "SLOTS", "TIMEOUT", "PATH")
--- a/settings.go
+++ b/settings.go
@@ -32,16 +32,16 @@
 	asJSON bool
 }
 
-func (r *reader) attach(sub *flaggy.Subcommand) {
-	sub.String(&r.at, "e", "entry", "host:port of an entry's operators' listener")
-	sub.Bool(&r.asJSON, "j", "json", "print JSON")
+func (f *reader) attach(sub *flaggy.Subcommand) {
+	sub.String(&f.at, "e", "entry", "host:port of an entry's operators' listener")
+	sub.Bool(&f.asJSON, "j", "json", "print JSON")
 }
 
-func (r *reader) client() (settings.Client, error) {
-	if r.at == "" {
+func (f *reader) client() (settings.Client, error) {
+	if f.at == "" {
 		return settings.Client{}, exitError{exitUsage, errors.New("--entry: found nothing, expected host:port")}
 	}
-	return settings.Client{Addr: r.at}, nil
+	return settings.Client{Addr: f.at}, nil
 }
 
 // editFlags are the flags that the editing commands share.
@@ -58,61 +58,61 @@
 const noBase = -1
 
 func newWriter() *writer {
-	w := &writer{base: noBase, author: os.Getenv("USER"), within: 30 * time.Second}
-	if w.author == "" {
-		w.author = "operator"
+	f := &writer{base: noBase, author: os.Getenv("USER"), within: 30 * time.Second}
+	if f.author == "" {
+		f.author = "operator"
 	}
-	return w
+	return f
 }
 
-func (w *writer) attach(sub *flaggy.Subcommand) {
-	w.reader.attach(sub)
-	sub.String(&w.id, "", "id", "id of the edit, to resend an edit whose outcome is unknown")
-	sub.String(&w.author, "a", "author", "author of the edit, for the history")
-	sub.Int64(&w.base, "b", "base", "revision that the edit is based on; a later edit of the same value is a conflict")
-	sub.Bool(&w.wait, "w", "wait", "wait until the edit is in force at every live entry")
-	sub.Duration(&w.within, "", "within", "maximum time to wait")
+func (f *writer) attach(sub *flaggy.Subcommand) {
+	f.reader.attach(sub)
+	sub.String(&f.id, "", "id", "id of the edit, to resend an edit whose outcome is unknown")
+	sub.String(&f.author, "a", "author", "author of the edit, for the history")
+	sub.Int64(&f.base, "b", "base", "revision that the edit is based on; a later edit of the same value is a conflict")
+	sub.Bool(&f.wait, "w", "wait", "wait until the edit is in force at every live entry")
+	sub.Duration(&f.within, "", "within", "maximum time to wait")
 }
 
-func (w *writer) baseRevision() *uint64 {
-	if w.base < 0 {
+func (f *writer) baseRevision() *uint64 {
+	if f.base < 0 {
 		return nil
 	}
-	base := uint64(w.base)
+	base := uint64(f.base)
 	return &base
 }
 
-func (w *writer) editID() string {
-	if w.id == "" {
-		w.id = uuid.NewString()
+func (f *writer) editID() string {
+	if f.id == "" {
+		f.id = uuid.NewString()
 	}
-	return w.id
+	return f.id
 }
 
 // edit sends changes to the entry as one edit and prints the outcome.
-func (w *writer) edit(ctx context.Context, changes ...tree.Change) error {
-	c, err := w.client()
+func (f *writer) edit(ctx context.Context, changes ...tree.Change) error {
+	c, err := f.client()
 	if err != nil {
 		return err
 	}
-	e := tree.Edit{ID: w.editID(), Author: w.author, Changes: changes}
-	a, err := c.Edit(ctx, e, w.baseRevision())
-	return w.report(ctx, a, err)
+	e := tree.Edit{ID: f.editID(), Author: f.author, Changes: changes}
+	a, err := c.Edit(ctx, e, f.baseRevision())
+	return f.report(ctx, a, err)
 }
 
 // report prints the outcome of an edit. With --wait it first waits until the edit is in
 // force.
-func (w *writer) report(ctx context.Context, a settings.Accepted, err error) error {
+func (f *writer) report(ctx context.Context, a settings.Accepted, err error) error {
 	if err != nil {
-		return withExit(errors.WithMessagef(err, "edit %s", w.id))
+		return withExit(errors.WithMessagef(err, "edit %s", f.id))
 	}
-	if w.wait {
-		if err := awaitRevision(ctx, w.at, a.Revision, w.within); err != nil {
+	if f.wait {
+		if err := awaitRevision(ctx, f.at, a.Revision, f.within); err != nil {
 			return err
 		}
 	}
-	if w.asJSON {
-		return printJSON(acceptedView{a.ID, a.Revision, changeTexts(a.Changes), w.wait})
+	if f.asJSON {
+		return printJSON(acceptedView{a.ID, a.Revision, changeTexts(a.Changes), f.wait})
 	}
 	for _, c := range a.Changes {
 		fmt.Println(c)
@@ -122,7 +122,7 @@
 		return nil
 	}
 	state := "accepted"
-	if w.wait {
+	if f.wait {
 		state = "in force at every live entry"
 	}
 	fmt.Printf("revision %d %s\n", a.Revision, state)
@@ -164,15 +164,15 @@
 }
 
 func settingsGet() *command {
-	var r reader
+	var f reader
 	path := tree.Root
 	sub := flaggy.NewSubcommand("get")
 	sub.Description = "show the values in effect at a node and where each comes from"
 	sub.AddPositionalValue(&path, "PATH", 1, false, "path of a node; default /")
-	r.attach(sub)
+	f.attach(sub)
 	sub.AdditionalHelpAppend = "Example: plumpitch settings get /swanbourne/deposit-ledger --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		c, err := r.client()
+		c, err := f.client()
 		if err != nil {
 			return err
 		}
@@ -180,7 +180,7 @@
 		if err != nil {
 			return withExit(err)
 		}
-		return r.printNode(n)
+		return f.printNode(n)
 	}}
 }
 
@@ -197,7 +197,7 @@
 	From  string `json:"from"`
 }
 
-func (r *reader) printNode(n settings.Node) error {
+func (f *reader) printNode(n settings.Node) error {
 	v := nodeView{Revision: n.Revision, Path: n.Path, Kind: string(n.Kind)}
 	for _, o := range n.Values {
 		from := o.From
@@ -206,7 +206,7 @@
 		}
 		v.Values = append(v.Values, valueView{o.Field, o.Value, from})
 	}
-	if r.asJSON {
+	if f.asJSON {
 		return printJSON(v)
 	}
 	fmt.Printf("%s %s, revision %d\n\n", v.Kind, v.Path, v.Revision)
@@ -219,44 +219,44 @@
 }
 
 func settingsSet() *command {
-	w := newWriter()
+	f := newWriter()
 	var path, field, value string
 	sub := flaggy.NewSubcommand("set")
 	sub.Description = "override a value at a node"
 	sub.AddPositionalValue(&path, "PATH", 1, true, "path of a node")
 	sub.AddPositionalValue(&field, "SETTING", 2, true, "name of a setting")
 	sub.AddPositionalValue(&value, "VALUE", 3, true, "value with its unit; a list is written with commas")
-	w.attach(sub)
+	f.attach(sub)
 	sub.AdditionalHelpAppend = "Example: plumpitch settings set /swanbourne/deposit-ledger timeout 5s --wait --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		return w.edit(ctx, tree.Change{Op: tree.Set, Path: path, Field: field, Value: value})
+		return f.edit(ctx, tree.Change{Op: tree.Set, Path: path, Field: field, Value: value})
 	}}
 }
 
 func settingsUnset() *command {
-	w := newWriter()
+	f := newWriter()
 	var path, field string
 	sub := flaggy.NewSubcommand("unset")
 	sub.Description = "remove an override, so that the value is inherited again"
 	sub.AddPositionalValue(&path, "PATH", 1, true, "path of a node")
 	sub.AddPositionalValue(&field, "SETTING", 2, true, "name of a setting")
-	w.attach(sub)
+	f.attach(sub)
 	sub.AdditionalHelpAppend = "Example: plumpitch settings unset /swanbourne/deposit-ledger timeout --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		return w.edit(ctx, tree.Change{Op: tree.Unset, Path: path, Field: field})
+		return f.edit(ctx, tree.Change{Op: tree.Unset, Path: path, Field: field})
 	}}
 }
 
 func settingsHistory() *command {
-	var r reader
+	var f reader
 	count := 20
 	sub := flaggy.NewSubcommand("history")
 	sub.Description = "show the most recent edits"
 	sub.Int(&count, "n", "count", "number of edits")
-	r.attach(sub)
+	f.attach(sub)
 	sub.AdditionalHelpAppend = "Example: plumpitch settings history --count 5 --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		c, err := r.client()
+		c, err := f.client()
 		if err != nil {
 			return err
 		}
@@ -264,7 +264,7 @@
 		if err != nil {
 			return withExit(err)
 		}
-		return r.printHistory(edits)
+		return f.printHistory(edits)
 	}}
 }
 
@@ -277,12 +277,12 @@
 	Changes  []string  `json:"changes"`
 }
 
-func (r *reader) printHistory(edits []tree.Edit) error {
+func (f *reader) printHistory(edits []tree.Edit) error {
 	views := []editView{}
 	for _, e := range edits {
 		views = append(views, editView{e.Revision, e.Time, e.Author, e.ID, e.Base, changeTexts(e.Changes)})
 	}
-	if r.asJSON {
+	if f.asJSON {
 		return printJSON(views)
 	}
 	for _, v := range views {
--- a/standin.go
+++ b/standin.go
@@ -48,7 +48,7 @@
 
 func standinTarget() *command {
 	addr := "127.0.0.1:0"
-	var at, place string
+	var platformURL, place string
 	cfg := target.Config{Name: "target", Service: "service", Slots: 2, Mean: 5 * time.Millisecond, Sigma: 1}
 	sub := flaggy.NewSubcommand("target")
 	sub.Description = "stand-in of a target: a worker with slots, a log and faults"
@@ -59,15 +59,15 @@
 	sub.Duration(&cfg.Mean, "", "mean", "mean service time")
 	sub.Float64(&cfg.Sigma, "", "sigma", "sigma of the lognormal service time")
 	sub.UInt64(&cfg.Seed, "", "seed", "random seed of the service times")
-	sub.String(&at, "p", "platform", "URL of the platform stand-in to register the target with")
+	sub.String(&platformURL, "p", "platform", "URL of the platform stand-in to register the target with")
 	sub.String(&place, "", "place", "place of the target, for the VM list")
 	sub.AdditionalHelpAppend = "Example: plumpitch standin target --service gown-catalogue --listen 127.0.0.1:7500"
 	return &command{sub: sub, run: func(ctx context.Context) error {
 		return serveUntil(ctx, addr, target.New(cfg), func(addr string) error {
-			if at == "" {
+			if platformURL == "" {
 				return nil
 			}
-			return enlist(ctx, at, platform.VM{
+			return enlist(ctx, platformURL, platform.VM{
 				ID: cfg.Name, Addr: addr, Place: place, Service: cfg.Service,
 				Slots: cfg.Slots, Boot: uint64(time.Now().UnixNano()), State: platform.Live,
 			})
@@ -76,7 +76,7 @@
 }
 
 // registerTarget adds a stand-in target to the VM list of a platform stand-in.
-func enlist(ctx context.Context, at string, vm platform.VM) (err error) {
+func enlist(ctx context.Context, platformURL string, vm platform.VM) (err error) {
 	defer func() { err = errors.WithMessage(err, "VM list") }()
 	body, err := json.Marshal(map[string]any{
 		"addr": vm.Addr, "place": vm.Place, "service": vm.Service, "slots": vm.Slots, "boot": vm.Boot, "state": vm.State,
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPut, at+"/v1/admin/vms/"+vm.ID, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPut, platformURL+"/v1/admin/vms/"+vm.ID, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
--- a/status.go
+++ b/status.go
@@ -35,29 +35,29 @@
 }
 
 func statusCommand() *command {
-	var at, gatewayAt string
+	var addr, gatewayAddr string
 	var asJSON bool
 	sub := flaggy.NewSubcommand("status")
 	sub.Description = "show entries, services and the settings revision of each entry"
-	sub.String(&at, "e", "entry", "host:port of an entry's operators' listener")
-	sub.String(&gatewayAt, "g", "gateway", "host:port of a gateway's metrics listener, instead of an entry")
+	sub.String(&addr, "e", "entry", "host:port of an entry's operators' listener")
+	sub.String(&gatewayAddr, "g", "gateway", "host:port of a gateway's metrics listener, instead of an entry")
 	sub.Bool(&asJSON, "j", "json", "print the JSON response unchanged")
 	sub.AdditionalHelpAppend = "Example: plumpitch status --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
 		switch {
-		case gatewayAt != "" && asJSON:
-			return printAnswer(ctx, gatewayAt, gateway.PathStatus)
-		case gatewayAt != "":
-			return showGateway(ctx, gatewayAt)
+		case gatewayAddr != "" && asJSON:
+			return printAnswer(ctx, gatewayAddr, gateway.PathStatus)
+		case gatewayAddr != "":
+			return showGateway(ctx, gatewayAddr)
 		case asJSON:
-			return printAnswer(ctx, at, "/v1/status")
+			return printAnswer(ctx, addr, "/v1/status")
 		}
-		return showStatus(ctx, at)
+		return showStatus(ctx, addr)
 	}}
 }
 
-func showStatus(ctx context.Context, at string) (err error) {
-	body, err := ask(ctx, http.MethodGet, at, "/v1/status")
+func showStatus(ctx context.Context, addr string) (err error) {
+	body, err := ask(ctx, http.MethodGet, addr, "/v1/status")
 	if err != nil {
 		return err
 	}
--- a/status_gateway.go
+++ b/status_gateway.go
@@ -12,8 +12,8 @@
 
 // showGateway prints a gateway's view of itself, of the other gateways and of the
 // targets.
-func showGateway(ctx context.Context, at string) (err error) {
-	body, err := ask(ctx, http.MethodGet, at, gateway.PathStatus)
+func showGateway(ctx context.Context, addr string) (err error) {
+	body, err := ask(ctx, http.MethodGet, addr, gateway.PathStatus)
 	if err != nil {
 		return err
 	}
