--- a/cluster_test.go
+++ b/cluster_test.go
@@ -26,7 +26,7 @@
 	store   string
 	targets []*process
 	entries []*process
-	names   []string // of entries
+	names   []string
 }
 
 // clusterSlots bounds the number of clusters that run at a time, so that parallel tests
--- a/relay_test.go
+++ b/relay_test.go
@@ -118,9 +118,9 @@
 // The connection between an entry and a target is closed or stalls, before the request, in
 // the header of the response or in its body. An idempotent request is retried at another
 // target and gets a complete response, unless the connection stalls: then it ends with its
-// timeout. A keyed request isn't retried: its caller gets the outcome unknown, or run where
-// the entry can know it, and never a partial response as a complete one. A resend of the
-// key must not run it again.
+// timeout. A keyed request isn't retried: its caller gets the outcome unknown, or the
+// outcome that it ran if the entry knows this, and never a partial response as a complete
+// one. A resend of the key must not run it again.
 func TestCutConnectionIsToldTruthfully(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
