--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -96,7 +96,7 @@
 	if w.begun || r == any(http.ErrAbortHandler) {
 		panic(http.ErrAbortHandler)
 	}
-	forward.Refuse(w, call.Final{Outcome: call.Unknown, Reason: call.ReasonPanic, Detail: "internal error in plumpitch"})
+	forward.Refuse(w, call.Final{Outcome: call.Unknown, Reason: call.ReasonPanic, Detail: "a fault in plumpitch itself"})
 }
 
 // recordOutcome counts and logs the outcome of a request.
@@ -115,7 +115,7 @@
 		"status": w.status, "took": time.Since(began).String(),
 	})
 	if outcome == "" {
-		l.Debug("request completed")
+		l.Debug("answered")
 		return
 	}
 	l = l.WithFields(log.Fields{"outcome": outcome, "reason": w.Header().Get(call.HeaderReason)})
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -119,7 +119,7 @@
 		f.Detail = call.HeaderKey + ": found a key that belongs to another request, expected a key of its own"
 	case claim.Replay:
 		f.Outcome, f.Status = call.Ran, http.StatusConflict
-		f.Detail = "the request ran; its response was not recorded because it was too long or truncated"
+		f.Detail = "the request ran; its answer was not kept, being too long or cut"
 	}
 	return f
 }
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -63,7 +63,7 @@
 	case e.stopping.Load():
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 	case !e.Ready():
-		http.Error(w, "no settings or no VM list yet", http.StatusServiceUnavailable)
+		http.Error(w, "no settings or no ring yet", http.StatusServiceUnavailable)
 	default:
 		w.WriteHeader(http.StatusOK)
 	}
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -16,7 +16,7 @@
 	e.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), graceTime)
 	defer cancel()
-	e.log.Info("leaving: serving requests until locate responses have expired")
+	e.log.Info("leaving")
 	e.control.tell(ctx, stopping{})
 	if err := e.members.Leave(ctx); err != nil {
 		e.log.WithError(err).Warn("cannot announce to peers that this entry is leaving")
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -107,6 +107,6 @@
 	}
 	gap := at.Sub(c.confirmed[dutyTargets])
 	if c.lapses.Heard(now, gap) {
-		c.gateway.log.WithField("gap", gap.Milliseconds()).Warn("store is back after an outage; targets whose records vanish are kept")
+		c.gateway.log.WithField("gap", gap.Milliseconds()).Warn("store was away, records that vanish are awaited")
 	}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -147,5 +147,5 @@
 }
 
 func unimplemented(k Kind) error {
-	return twirp.NewError(twirp.Unimplemented, k.String()+" is not implemented by this server")
+	return twirp.NewError(twirp.Unimplemented, k.String()+" is not served here")
 }
--- a/internal/settings/edit.go
+++ b/internal/settings/edit.go
@@ -21,7 +21,7 @@
 
 // Error returns a message with the edit's ID and the cause.
 func (u *Uncertain) Error() string {
-	return fmt.Sprintf("edit %s: outcome unknown, the store does not respond; send the edit again with the same id: %v", u.ID, u.Cause)
+	return fmt.Sprintf("edit %s may have been accepted, the store does not answer; send it again under its id: %v", u.ID, u.Cause)
 }
 
 // Corrupt is returned when the value in the store is not a valid document.
@@ -32,7 +32,7 @@
 
 // Error returns a message with the version and the cause.
 func (c *Corrupt) Error() string {
-	return fmt.Sprintf("invalid settings document in the store, version %d: %v", c.Version, c.Cause)
+	return fmt.Sprintf("the store's value of version %d is refused: %v", c.Version, c.Cause)
 }
 
 // TooLarge is returned when a document exceeds MaxSize.
--- a/internal/settings/heal.go
+++ b/internal/settings/heal.go
@@ -46,7 +46,7 @@
 // repairOnce writes the document in force to the store, unless the store's document
 // is the same or newer. It merges the two if their histories diverged.
 func (s *Settings) rewrite(ctx context.Context) (err error) {
-	defer func() { err = errors.WithMessage(err, "repair of the store") }()
+	defer func() { err = errors.WithMessage(err, "heal") }()
 	o, d, verdict, err := s.read(ctx)
 	if err != nil || verdict != tree.Older && verdict != tree.Diverged {
 		return err
--- a/internal/store/answer_test.go
+++ b/internal/store/answer_test.go
@@ -25,8 +25,8 @@
 		read        string
 		write       string
 	}{
-		{"truncated", 200, `{"kind":"k","version":3,"val`, true, `get k/n: store: unavailable: response: .*`, `put k/n: store: unavailable: response: .*`},
-		{"no JSON", 200, `<html>`, true, `get .*response: invalid character.*`, `put .*response: invalid character.*`},
+		{"truncated", 200, `{"kind":"k","version":3,"val`, true, `get k/n: store: unavailable: answer: .*`, `put k/n: store: unavailable: answer: .*`},
+		{"no JSON", 200, `<html>`, true, `get .*answer: invalid character.*`, `put .*answer: invalid character.*`},
 		{"bad value", 200, `{"version":3,"value":"%%"}`, true, `get .*illegal base64.*`, ``},
 		{"negative version", 200, `{"version":-3}`, true, `get .*cannot unmarshal.*`, `put .*cannot unmarshal.*`},
 		{"conflict without a version", 409, `no`, true, `.*unavailable.*`, `.*unavailable.*`},
--- a/internal/store/call.go
+++ b/internal/store/call.go
@@ -155,7 +155,7 @@
 
 func parse(b []byte, into any) error {
 	if err := json.Unmarshal(b, into); err != nil {
-		return &Unavailable{Cause: errors.WithMessage(err, "response")}
+		return &Unavailable{Cause: errors.WithMessage(err, "answer")}
 	}
 	return nil
 }
--- a/pkg/tree/check.go
+++ b/pkg/tree/check.go
@@ -112,7 +112,7 @@
 		return unknownField(name)
 	}
 	if !slices.Contains(f.Levels, k) {
-		return &Problem{Field: name, Found: "a node of kind " + string(k), Expected: "a node of kind " + joinKinds(f.Levels)}
+		return &Problem{Field: name, Found: "a node of kind " + string(k), Expected: "it at " + joinKinds(f.Levels)}
 	}
 	_, p := f.Canon(text)
 	return p
@@ -139,7 +139,7 @@
 		kindAndName := string(k) + " " + Name(path)
 		if other, ok := firstPaths[kindAndName]; ok {
 			found = append(found, Problem{
-				Path: path, Found: fmt.Sprintf("a second %s, after %s", kindAndName, other), Expected: "a unique name",
+				Path: path, Found: fmt.Sprintf("a second %s, after %s", kindAndName, other), Expected: "names that differ",
 			})
 			continue
 		}
--- a/pkg/tree/conflict.go
+++ b/pkg/tree/conflict.go
@@ -59,7 +59,7 @@
 
 // Error returns a message with the dropped edit.
 func (d *Dropped) Error() string {
-	return fmt.Sprintf("conflict: edit %s, revision %d, was dropped because it conflicts with another edit; the store had lost data and diverged histories were merged",
+	return fmt.Sprintf("conflict: edit %s lost against another edit when the store came back older, revision %d",
 		d.Edit.ID, d.Edit.Revision)
 }
 
--- a/pkg/tree/edit.go
+++ b/pkg/tree/edit.go
@@ -152,13 +152,13 @@
 	n, ok := d.Nodes[c.Path]
 	if c.Op == Create {
 		if ok {
-			return &Problem{Found: "an existing " + string(n.Kind), Expected: "an unused path"}
+			return &Problem{Found: "an existing " + string(n.Kind), Expected: "a path that is free"}
 		}
 		d.Nodes[c.Path] = Node{Kind: c.Kind, Parent: c.Parent}
 		return nil
 	}
 	if !ok {
-		return &Problem{Found: "no such node", Expected: "an existing node", Hint: nearest(c.Path, d.paths())}
+		return &Problem{Found: "no such node", Expected: "a node of the tree", Hint: nearest(c.Path, d.paths())}
 	}
 	switch c.Op {
 	case Remove:
--- a/pkg/tree/edit_test.go
+++ b/pkg/tree/edit_test.go
@@ -127,7 +127,7 @@
 		{"unknown field", edit("x", 1, set("/g", "slot", "1")), `/g slot: found unknown field, .*did you mean slots\?`},
 		{"bad value", edit("x", 1, set("/g", "slots", "many")), `/g slots: found "many", expected a count .*`},
 		{"no node", edit("x", 1, set("/g/z", "slots", "1")), `/g/z: found no such node, .*did you mean /g/s\?`},
-		{"exists", edit("x", 1, create("/g/s", tree.PlaceKind)), `/g/s: found an existing service, expected an unused path`},
+		{"exists", edit("x", 1, create("/g/s", tree.PlaceKind)), `/g/s: found an existing service, expected a path that is free`},
 		{"orphans", edit("x", 1, remove("/g")), `/g/s parent: found missing parent /g.*(\n.*)?`},
 		{"op", edit("x", 1, tree.Change{Op: "drop", Path: "/g"}), `/g op: found "drop", expected set, unset, .*`},
 		{
--- a/pkg/tree/parse.go
+++ b/pkg/tree/parse.go
@@ -234,7 +234,7 @@
 	standard.Standardize()
 	var b bytes.Buffer
 	if json.Compact(&b, standard.Pack()) != nil {
-		return "a value that cannot be shown"
+		return "something else"
 	}
 	return shorten(b.String())
 }
--- a/pkg/tree/parse_test.go
+++ b/pkg/tree/parse_test.go
@@ -96,11 +96,11 @@
 		},
 		{
 			"level", `{"/": {"kind": "root"}, "/a": {"kind": "place", "set": {"timeout": "2s"}}}`,
-			[]string{`f:1: /a timeout: found a node of kind place, expected a node of kind root, group, service`},
+			[]string{`f:1: /a timeout: found a node of kind place, expected it at root, group, service`},
 		},
 		{
 			"same name", `{"/": {"kind": "root"}, "/a": {"kind": "group"}, "/s": {"kind": "service"}, "/a/s": {"kind": "service"}}`,
-			[]string{`f:1: /s: found a second service s, after /a/s, expected a unique name`},
+			[]string{`f:1: /s: found a second service s, after /a/s, expected names that differ`},
 		},
 		{
 			"duplicate", "{\"/\": {\"kind\": \"root\"},\n\"/\": {\"kind\": \"root\"}}",
--- a/pkg/tree/wire.go
+++ b/pkg/tree/wire.go
@@ -138,7 +138,7 @@
 			return errors.Errorf("edits: found revision %d, expected %d", e.Revision, want)
 		}
 		if e.ID == "" || ids[e.ID] {
-			return errors.Errorf("edits: found id %q, expected a unique id", e.ID)
+			return errors.Errorf("edits: found id %q, expected one of its own", e.ID)
 		}
 		ids[e.ID] = true
 	}
