--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -18,7 +18,7 @@
 // addresses and names keep their values from the start.
 func (g *Gateway) Reload(s platform.Settings, err error) {
 	if err != nil {
-		g.log.WithError(err).Error("invalid settings; keeping those in force")
+		g.log.WithError(err).Error("settings refused, those in force stay")
 		return
 	}
 	g.bounds.Store(&s.Bounds)
