--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -1,7 +1,7 @@
-// Package capacity measures how the cost of the control side grows: bytes,
-// processor time and memory against entries, services, workers and keys. It
-// prints the points and the slope of each series; docs/CAPACITY.md multiplies
-// the slopes by the size to design for.
+// Package capacity measures how the cost of the control plane grows with the
+// number of entries, services, workers and keys: bytes, CPU time and memory. It
+// prints the points and the slope of each series. docs/CAPACITY.md multiplies
+// the slopes by the size of the deployment to design for.
 package capacity
 
 import (
@@ -13,29 +13,30 @@
 	"github.com/pkg/errors"
 )
 
-// Config of a measurement. Zero fields take the defaults.
+// Config configures a measurement. Zero fields take the default that ends their
+// comment.
 type Config struct {
-	Entries  []int         // sizes in virtual time; 14, 50, 100, 200, 300
-	Loopback []int         // sizes with real connections; 14, 50, 100, 200
-	Seeds    int           // of each size in virtual time; 5
-	Quiet    time.Duration // virtual or real time of a quiet measurement; 20 s
-	Settle   time.Duration // before a real measurement; 10 s
-	Rounds   int           // exchanges of each size on the wire; 3000
-	Apart    time.Duration // how long two regions are apart; 10 min
-	Only     string        // name of the one part to run; all when empty
+	Entries  []int         // numbers of entries in virtual time; 14, 50, 100, 200, 300
+	Loopback []int         // numbers of entries with real connections; 14, 50, 100, 200
+	Seeds    int           // runs of each size in virtual time; 5
+	Quiet    time.Duration // virtual or real time to measure without events; 20 s
+	Settle   time.Duration // wait before a measurement with real connections; 10 s
+	Rounds   int           // gossip exchanges of each message size; 3000
+	Apart    time.Duration // length of the partition between a region and the others; 10 min
+	Only     string        // name of the only part to run; empty runs all
 }
 
-// part is one group of series.
+// part is a named group of series.
 type part struct {
 	name string
 	run  func(cfg Config, m *model, w io.Writer) error
-	uses bool // needs what wire and settings measure
+	uses bool // needs the message sizes that wire and settings measure
 }
 
-// model holds what one part measures for the next.
+// messageSizes holds sizes that the source parts measure for the later parts.
 type model struct {
-	overhead int // bytes of HTTP for each message
-	fetch    int // bytes of an answer with one edit
+	overhead int // bytes of HTTP beside the body of each message
+	fetch    int // bytes of a settings response with one edit
 }
 
 func parts() []part {
@@ -52,31 +53,31 @@
 	}
 }
 
-// Run measures and prints all parts, or the one that Config.Only names.
+// Run measures and prints all parts, or the one that Config.Part names.
 func Run(cfg Config, w io.Writer) (err error) {
 	defer func() { err = errors.WithMessage(err, "capacity") }()
 	cfg = cfg.withDefaults()
-	chosen, err := choose(cfg.Only)
+	selected, err := choose(cfg.Only)
 	if err != nil {
 		return err
 	}
-	m := &model{}
-	for _, p := range chosen {
+	sizes := &model{}
+	for _, p := range selected {
 		out := w
 		if cfg.Only != "" && cfg.Only != p.name {
-			out = io.Discard // only what it measures is needed
+			out = io.Discard // run only for the sizes that it measures
 		}
 		fmt.Fprintf(out, "\n## %s\n\n", p.name)
-		if err := p.run(cfg, m, out); err != nil {
+		if err := p.run(cfg, sizes, out); err != nil {
 			return errors.WithMessage(err, p.name)
 		}
 	}
 	return nil
 }
 
-// choose gives the parts to run for a name: with it those whose figures it
-// uses.
-func choose(name string) (chosen []part, err error) {
+// selectParts returns the part with the given name, after the source parts if
+// it needs their sizes. An empty name selects all parts.
+func choose(name string) (selected []part, err error) {
 	all := parts()
 	if name == "" {
 		return all, nil
@@ -88,14 +89,15 @@
 			continue
 		}
 		if p.uses {
-			chosen = append(chosen, all[:sources]...)
+			selected = append(selected, all[:sources]...)
 		}
-		return append(chosen, p), nil
+		return append(selected, p), nil
 	}
 	return nil, errors.Errorf("part: found %q, expected one of %s", name, strings.Join(names, ", "))
 }
 
-// sources is how many parts, from the first, measure what others use.
+// sourceParts is the number of parts, from the first, that measure sizes for
+// the later parts.
 const sources = 2
 
 func (c Config) withDefaults() Config {
--- a/internal/lab/capacity/gossip.go
+++ b/internal/lab/capacity/gossip.go
@@ -9,11 +9,12 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// limit of virtual time for what must come to pass.
+// timeLimit bounds the virtual time to wait for a condition.
 const limit = 3 * time.Minute
 
-// site gives the places and regions for a number of entries: today's up to 14,
-// those of the size to design for beyond.
+// topology returns the numbers of failure domains and regions for a number of
+// entries: those of the present deployment up to 14 entries, and those of the
+// deployment to design for above.
 func site(entries int) (places, regions int) {
 	if entries <= 14 {
 		return 3, 1
@@ -21,6 +22,8 @@
 	return 15, 4
 }
 
+// settledFleet starts a fleet, waits until all entries have the same view and
+// runs it for another 30 s.
 func settled(m *model, entries int, seed uint64) *fleet.Fleet {
 	places, regions := site(entries)
 	f := fleet.New(fleet.Config{
@@ -33,12 +36,12 @@
 	return f
 }
 
-// traffic is what was spent per entry since mark.
+// traffic is the cost per entry since resetTraffic.
 type traffic struct {
-	mean  float64 // B in and out per entry
-	worst float64 // B of the entry that had most
-	busy  time.Duration
-	count float64 // messages sent per entry
+	mean  float64       // mean of bytes in and out
+	worst float64       // highest bytes in and out of any entry
+	busy  time.Duration // mean time in decisions and codecs
+	count float64       // mean of messages sent
 }
 
 func mark(f *fleet.Fleet) {
@@ -47,6 +50,7 @@
 	}
 }
 
+// trafficPerEntry sums up the traffic since resetTraffic.
 func since(f *fleet.Fleet) (t traffic) {
 	k := float64(len(f.Nodes))
 	for _, n := range f.Nodes {
@@ -60,7 +64,7 @@
 	return t
 }
 
-// runQuiet measures what membership costs while nothing happens.
+// runQuiet measures the cost of membership without events.
 func runQuiet(cfg Config, m *model, w io.Writer) error {
 	count := &series{name: "messages sent, 1/s", digits: 2}
 	mean := &series{name: "bytes in and out, B/s"}
@@ -81,6 +85,8 @@
 	return nil
 }
 
+// allSee returns a condition that holds when every entry sees each of the nodes
+// in the state.
 func known(f *fleet.Fleet, state member.State, of ...*fleet.Node) func() bool {
 	return func() bool {
 		return f.All(func(_ *fleet.Node, v member.View) bool {
@@ -95,7 +101,7 @@
 	}
 }
 
-// runNotice measures the time until every entry knows.
+// runNotice measures the time until every entry has received a change.
 func runNotice(cfg Config, m *model, w io.Writer) error {
 	one := &series{name: "an entry lost, s", digits: 2}
 	place := &series{name: "a place lost, s", digits: 2}
@@ -118,6 +124,8 @@
 	return nil
 }
 
+// propagationTimes returns the seconds until every entry has received an edit, a
+// leaving entry, a restart, a lost entry and a lost failure domain, in this order.
 func notices(f *fleet.Fleet) (times [5]float64) {
 	nodes := f.Nodes
 	f.Handle(nodes[1], member.Revised{Marks: member.Marks{Settings: 7}})
@@ -149,7 +157,8 @@
 	return times
 }
 
-// runEvents measures what one event costs each entry beyond quiet.
+// runEvents measures the cost of one event per entry, above the cost without
+// events.
 func runEvents(cfg Config, m *model, w io.Writer) error {
 	edit := &series{name: "an edit, B"}
 	restart := &series{name: "a restart, B"}
@@ -178,8 +187,8 @@
 	return nil
 }
 
-// markReady lets every entry announce within a second that callers may be sent
-// to it.
+// announceReady makes every entry announce, spread over a second, that callers
+// may be sent to it.
 func markReady(f *fleet.Fleet) {
 	for _, n := range f.Nodes {
 		f.Handle(n, member.Ready{})
@@ -187,9 +196,11 @@
 	}
 }
 
-// window is the time after an event in which its cost is counted.
+// eventWindow is the time after an event in which its cost is counted.
 const window = 30 * time.Second
 
+// extraBytes returns the mean bytes per entry in the window after an event, less
+// quiet, those in a window without events.
 func extra(f *fleet.Fleet, quiet float64, event func()) float64 {
 	mark(f)
 	event()
@@ -197,7 +208,8 @@
 	return since(f).mean - quiet
 }
 
-// runApart lets a region lose the others and come back.
+// runApart partitions one region from the others and measures the time and the
+// traffic until all entries agree after the partition ends.
 func runApart(cfg Config, m *model, w io.Writer) error {
 	merged := &series{name: "agreement after the return, s", digits: 1}
 	edit := &series{name: "newest settings after the return, s", digits: 1}
@@ -208,8 +220,8 @@
 			continue
 		}
 		f := settled(m, n, 5)
-		side := func(n *fleet.Node) bool { return n.Entry.Region == "region-0" }
-		f.Cut(func(a, b *fleet.Node) bool { return side(a) != side(b) })
+		partitioned := func(n *fleet.Node) bool { return n.Entry.Region == "region-0" }
+		f.Cut(func(a, b *fleet.Node) bool { return partitioned(a) != partitioned(b) })
 		f.Run(cfg.Apart)
 		f.Handle(f.Nodes[1], member.Revised{Marks: member.Marks{Settings: 11}})
 		f.Run(window)
--- a/internal/lab/capacity/loopback.go
+++ b/internal/lab/capacity/loopback.go
@@ -17,7 +17,7 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// entry is the control side of one entry, with connections of its own.
+// entry is the control plane of one entry with its own connections.
 type entry struct {
 	self     member.Entry
 	members  *members.Members
@@ -27,8 +27,8 @@
 	cancel   context.CancelFunc
 }
 
-// runLoopback runs the control sides of many entries in this process, at the
-// pace of real ones, over loopback TCP.
+// runLoopback runs the control planes of many entries in this process in real
+// time over loopback TCP.
 func runLoopback(cfg Config, _ *model, w io.Writer) error {
 	bytes := &series{name: "bytes in and out, B/s"}
 	cpu := &series{name: "processor time, us/s"}
@@ -45,6 +45,7 @@
 	return nil
 }
 
+// measureLoopback adds the values of n entries to the series.
 func loopback(cfg Config, n int, bytes, cpu, mem, joined, notice *series) error {
 	before := footprint()
 	entries, err := startAll(n)
@@ -63,11 +64,11 @@
 	joined.add(n, took.Seconds())
 	time.Sleep(cfg.Settle)
 
-	start, spent := traffics(entries), processor()
+	startBytes, startCPU := traffics(entries), processor()
 	time.Sleep(cfg.Quiet)
 	secs, k := cfg.Quiet.Seconds(), float64(n)
-	cpu.add(n, float64((processor()-spent).Microseconds())/secs/k)
-	bytes.add(n, float64(traffics(entries)-start)/secs/k)
+	cpu.add(n, float64((processor()-startCPU).Microseconds())/secs/k)
+	bytes.add(n, float64(traffics(entries)-startBytes)/secs/k)
 	mem.add(n, (footprint()-before)/k/1024)
 
 	entries[n/2].stop()
@@ -117,7 +118,8 @@
 	e.client.Close()
 }
 
-// serving gives the number of serving entries that all agree on, or 0.
+// agreedServing returns the number of serving entries of the first view, or 0
+// unless every view has the same number of entries alive.
 func serving(entries []*entry) int {
 	n := len(entries[0].members.Serving())
 	for _, e := range entries {
@@ -141,7 +143,7 @@
 	return total
 }
 
-// footprint gives the heap and the stacks of this process in bytes.
+// heapAndStacks returns the bytes of the heap and the stacks of this process.
 func footprint() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -149,14 +151,15 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-func await(bound time.Duration, ok func() bool) (took time.Duration, err error) {
-	const step = 20 * time.Millisecond
+// waitUntil polls a condition until it holds and returns the time that passed.
+func await(timeout time.Duration, ok func() bool) (took time.Duration, err error) {
+	const pollInterval = 20 * time.Millisecond
 	start := time.Now()
 	for !ok() {
-		if time.Since(start) > bound {
-			return time.Since(start), errors.Errorf("not within %v", bound)
+		if time.Since(start) > timeout {
+			return time.Since(start), errors.Errorf("condition did not hold within %v", timeout)
 		}
-		time.Sleep(step)
+		time.Sleep(pollInterval)
 	}
 	return time.Since(start), nil
 }
--- a/internal/lab/capacity/memory.go
+++ b/internal/lab/capacity/memory.go
@@ -17,15 +17,16 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// heapOf gives the heap that build's result holds.
+// retainedHeap returns the bytes of heap that the result of build retains.
 func heapOf(build func() any) float64 {
 	before := heap()
-	kept := build()
+	result := build()
 	used := heap() - before
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(result)
 	return used
 }
 
+// liveHeap returns the bytes of heap in use after two garbage collections.
 func heap() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -34,8 +35,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// document gives settings of a site of so many services, each of which
-// overrides three values, with the edits that made it.
+// newDocument returns settings with a number of services, each of which overrides
+// three values, and with the edits that created them.
 func document(services int) (d tree.Document, err error) {
 	d = tree.New()
 	d, _, err = d.Apply(edit(d, tree.Change{Op: tree.Create, Path: "/site", Kind: tree.GroupKind}), epoch)
@@ -54,13 +55,14 @@
 	return d, err
 }
 
-// edit makes the next edit of a document.
+// nextEdit returns an edit that is based on the document's revision.
 func edit(d tree.Document, changes ...tree.Change) tree.Edit {
 	id := fmt.Sprintf("018bcfe5-6800-7000-8000-%012x", d.Revision)
 	return tree.Edit{ID: id, Author: "operator@site", Base: d.Revision, Changes: changes}
 }
 
-// runSettings measures the settings on the wire.
+// runSettings measures the encoded size of the settings: a whole document, and a
+// response with one edit.
 func runSettings(_ Config, m *model, w io.Writer) error {
 	whole := &series{name: "whole document, B"}
 	one := &series{name: "answer with one edit, B"}
@@ -74,15 +76,15 @@
 			return err
 		}
 		whole.add(n, float64(len(tree.Encode(d))))
-		reply := &wire.SettingsReply{Revision: d.Revision, Edits: [][]byte{tree.EncodeEdit(e)}}
-		m.fetch = proto.Size(reply)
+		response := &wire.SettingsReply{Revision: d.Revision, Edits: [][]byte{tree.EncodeEdit(e)}}
+		m.fetch = proto.Size(response)
 		one.add(n, float64(m.fetch))
 	}
 	write(w, "services", whole, one)
 	return nil
 }
 
-// runMemory measures the heap of the structures that an entry holds.
+// runMemory measures the heap of an entry's main data structures.
 func runMemory(_ Config, _ *model, w io.Writer) error {
 	members := &series{name: "pkg/member Table and view, B"}
 	for _, n := range []int{14, 50, 100, 200, 300} {
@@ -106,6 +108,7 @@
 	return nil
 }
 
+// memberTable returns a membership table with its view.
 func table(entries int) any {
 	t := member.New(member.Config{Self: sample(0), Rand: rand.New(rand.NewPCG(1, 1))})
 	var all []member.Entry
@@ -117,16 +120,17 @@
 	return []any{t, &v}
 }
 
+// newPools returns a pool for every 18 workers.
 func poolsOf(workers int) any {
-	const each = 18
+	const perService = 18
 	var pools []any
-	for done := 0; done < workers; done += each {
+	for done := 0; done < workers; done += perService {
 		c, err := pool.ByName(pool.Names()[0], pool.Config{}, rand.New(rand.NewPCG(1, 1)))
 		if err != nil {
 			panic(err)
 		}
 		var targets []pool.Target
-		for i := range min(each, workers-done) {
+		for i := range min(perService, workers-done) {
 			targets = append(targets, pool.Target{
 				ID: fmt.Sprintf("worker-%05d", done+i), Boot: 1, Place: "place-01", Slots: 2,
 				Addr: fmt.Sprintf("10.2.%d.%d:9000", (done+i)/250, (done+i)%250),
--- a/internal/lab/capacity/processes_test.go
+++ b/internal/lab/capacity/processes_test.go
@@ -26,21 +26,22 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// process is one entry as a process of its own.
+// process is an entry that runs as a separate process.
 type process struct {
 	cmd                         *exec.Cmd
-	callers, operators, peering string
+	callers, operators, peering string // addresses
 }
 
-// usage is what a process has used so far.
+// usage is the total usage of a process since its start.
 type usage struct {
 	peers    float64 // bytes in and out, HTTP included
-	cpu      float64 // s
-	resident float64 // MB
+	cpu      float64
+	resident float64
 }
 
-// BenchmarkProcesses measures idle entries as real processes on loopback, with
-// 27 stand-ins of workers and 7 services, 20 s after 20 s of start.
+// BenchmarkProcesses measures idle entries that run as separate processes on
+// loopback, with 27 fake workers and 7 services. It waits for 20 s after the
+// start and then measures for 20 s.
 func BenchmarkProcesses(b *testing.B) {
 	program := filepath.Join(b.TempDir(), "plumpitch")
 	build := exec.Command("go", "build", "-o", program, "plumpitch.example/plumpitch")
@@ -58,11 +59,11 @@
 func measureProcesses(b *testing.B, program string, n int) {
 	const settle, quiet = 20 * time.Second, 20 * time.Second
 	c := qt.New(b)
-	at := standins(c)
+	platformURL := standins(c)
 	var entries []process
 	var seeds []string
 	for i := range n {
-		p := startProcess(c, program, at, i, seeds)
+		p := startProcess(c, program, platformURL, i, seeds)
 		entries = append(entries, p)
 		if i < 3 {
 			seeds = append(seeds, p.peering)
@@ -96,7 +97,8 @@
 	b.ReportMetric(slices.Max(v), unit+"-max")
 }
 
-// standins starts the platform and its workers and gives the platform's URL.
+// startPlatform starts a fake platform and its fake workers, and returns the
+// platform's URL.
 func standins(c *qt.C) string {
 	p := platform.New(platform.Config{})
 	srv := httptest.NewServer(p)
@@ -118,11 +120,11 @@
 	return srv.URL
 }
 
-func startProcess(c *qt.C, program, at string, i int, seeds []string) process {
+func startProcess(c *qt.C, program, platformURL string, i int, seeds []string) process {
 	const anyPort = "127.0.0.1:0"
 	file, err := json.Marshal(map[string]any{
 		"name": fmt.Sprintf("entry-%03d", i), "region": "region-0", "place": fmt.Sprintf("place-%02d", i%3),
-		"callers": anyPort, "peers": anyPort, "operators": anyPort, "platform": at, "seeds": seeds, "level": "error",
+		"callers": anyPort, "peers": anyPort, "operators": anyPort, "platform": platformURL, "seeds": seeds, "level": "error",
 	})
 	c.Assert(err, qt.IsNil)
 	path := filepath.Join(c.TempDir(), "entry.json")
@@ -133,11 +135,11 @@
 	c.Assert(cmd.Start(), qt.IsNil)
 	c.Cleanup(func() { cmd.Process.Kill() })
 	lines := bufio.NewScanner(stdout)
-	next := func() string {
+	nextLine := func() string {
 		c.Assert(lines.Scan(), qt.IsTrue, qt.Commentf("entry %d printed no address", i))
 		return lines.Text()
 	}
-	return process{cmd: cmd, callers: next(), operators: next(), peering: next()}
+	return process{cmd: cmd, callers: nextLine(), operators: nextLine(), peering: nextLine()}
 }
 
 var wireBytes = regexp.MustCompile(`(?m)^plumpitch_peer_wire_bytes\S* (\S+)$`)
@@ -153,14 +155,16 @@
 	return usage{peers: number(c, string(m[1])), cpu: p.cpu(c), resident: p.resident(c)}
 }
 
-// cpu reads utime and stime, which follow the command in parentheses.
+// cpu returns the CPU time in seconds: utime and stime of /proc/PID/stat, whose
+// fields are counted after the command in parentheses.
 func (p process) cpu(c *qt.C) float64 {
-	const ticks = 100 // a second, on every Linux
+	const ticksPerSecond = 100 // clock ticks per second, the same on every Linux
 	stat := p.proc(c, "stat")
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
-	return (number(c, fields[11]) + number(c, fields[12])) / ticks
+	return (number(c, fields[11]) + number(c, fields[12])) / ticksPerSecond
 }
 
+// resident returns the resident memory in MB.
 func (p process) resident(c *qt.C) float64 {
 	_, rest, _ := strings.Cut(p.proc(c, "status"), "VmRSS:")
 	return number(c, strings.Fields(rest)[0]) / 1024
--- a/internal/lab/capacity/series.go
+++ b/internal/lab/capacity/series.go
@@ -11,10 +11,11 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// series is one quantity against a size: for each size the values of its runs.
+// series is one quantity as a function of a size, with the values of several
+// runs for each size.
 type series struct {
-	name   string // with unit
-	digits int
+	name   string // with its unit
+	digits int    // decimals to print
 	x      []float64
 	runs   [][]float64
 }
@@ -30,19 +31,21 @@
 	return v[len(v)/2]
 }
 
-// fit gives the line through the medians and the greatest distance from it.
-func (s *series) fit() (at0, slope, off float64) {
+// fit returns the regression line through the medians and the largest deviation
+// of a median from it.
+func (s *series) fit() (at0, slope, maxDeviation float64) {
 	var y []float64
 	for _, r := range s.runs {
 		y = append(y, median(r))
 	}
 	at0, slope = stat.LinearRegression(s.x, y, nil, false)
 	for i, x := range s.x {
-		off = max(off, math.Abs(y[i]-at0-slope*x))
+		maxDeviation = max(maxDeviation, math.Abs(y[i]-at0-slope*x))
 	}
-	return at0, slope, off
+	return at0, slope, maxDeviation
 }
 
+// cell formats the median at a size, with the range if there are several runs.
 func (s *series) cell(i int) string {
 	r := s.runs[i]
 	text := strconv.FormatFloat(median(r), 'f', s.digits, 64)
@@ -53,22 +56,22 @@
 	return fmt.Sprintf("%s (%.*f-%.*f)", text, s.digits, low, s.digits, high)
 }
 
-// write prints series over the same sizes as one table: median, lowest and
-// highest of the runs, and the line through the medians.
+// writeTable prints series with the same sizes as one table: the median and the
+// range of the runs, and the regression line through the medians.
 func write(w io.Writer, size string, all ...*series) {
 	t := newTable(w)
-	head := []string{size}
+	header := []string{size}
 	for _, x := range all[0].x {
-		head = append(head, fmt.Sprint(x))
+		header = append(header, fmt.Sprint(x))
 	}
-	t.SetHeader(append(head, "at 0", "slope", "off by"))
+	t.SetHeader(append(header, "at 0", "slope", "off by"))
 	for _, s := range all {
 		line := []string{s.name}
 		for i := range s.x {
 			line = append(line, s.cell(i))
 		}
-		at0, slope, off := s.fit()
-		t.Append(append(line, fmt.Sprintf("%.*f", s.digits, at0), fmt.Sprintf("%.3g", slope), fmt.Sprintf("%.*f", s.digits, off)))
+		at0, slope, maxDeviation := s.fit()
+		t.Append(append(line, fmt.Sprintf("%.*f", s.digits, at0), fmt.Sprintf("%.3g", slope), fmt.Sprintf("%.*f", s.digits, maxDeviation)))
 	}
 	t.Render()
 }
--- a/internal/lab/capacity/store.go
+++ b/internal/lab/capacity/store.go
@@ -16,7 +16,7 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-// counted counts the bytes of answers, their heads included.
+// countingTransport counts the bytes of responses, including their headers.
 type counted struct{ bytes int }
 
 func (c *counted) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -24,9 +24,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var head bytes.Buffer
-	_ = res.Header.Write(&head)
-	c.bytes += head.Len()
+	var header bytes.Buffer
+	_ = res.Header.Write(&header)
+	c.bytes += header.Len()
 	res.Body = &countedBody{res.Body, c}
 	return res, nil
 }
@@ -42,12 +42,12 @@
 	return n, err
 }
 
-// times is how often each read is made.
+// readRepeats is the number of times that each read is made.
 const times = 20
 
-// runStore measures the reads that an entry repeats: the VM list and the
-// settings, whole and unchanged since the read before. The processor time is
-// that of the client and the stand-in together.
+// runStore measures the reads that an entry makes periodically, of the VM list
+// and of the settings: a full read, and a read that finds no change since the
+// previous one. The CPU time is the sum of the client and the fake platform.
 func runStore(_ Config, _ *model, w io.Writer) error {
 	vms := func(ctx context.Context, s *store.Client) error {
 		_, err := s.VMs(ctx)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// reads is what one read costs.
+// readCosts holds the cost of a full read and of a read that finds no change.
 type reads struct {
 	whole     readCost
 	unchanged readCost
@@ -96,9 +96,12 @@
 
 type readCost struct {
 	bytes  float64
-	micros float64
+	micros float64 // CPU time
 }
 
+// measureReads measures a read at a platform with a number of workers and of
+// services in the settings. The client of the unchanged reads has nothing cached
+// at its first read, so the cost of a full read is subtracted.
 func measureReads(workers, services int, read func(context.Context, *store.Client) error) (r reads, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -113,20 +116,21 @@
 	if err != nil {
 		return r, err
 	}
-	var warm *store.Client
+	var shared *store.Client
 	r.unchanged, err = costOf(srv.URL, func(c func() *store.Client) error {
-		if warm == nil {
-			warm = c()
-			return read(ctx, warm)
+		if shared == nil {
+			shared = c()
+			return read(ctx, shared)
 		}
-		return read(ctx, warm)
+		return read(ctx, shared)
 	})
 	r.unchanged.bytes = (r.unchanged.bytes*times - r.whole.bytes) / (times - 1)
 	r.unchanged.micros = (r.unchanged.micros*times - r.whole.micros) / (times - 1)
 	return r, err
 }
 
-// costOf gives the mean cost of a step that may make clients of its own.
+// meanCost returns the mean cost of a step, which gets a function that creates
+// clients.
 func costOf(url string, step func(client func() *store.Client) error) (cost readCost, err error) {
 	c := &counted{}
 	client := func() *store.Client {
@@ -138,10 +142,11 @@
 			return cost, err
 		}
 	}
-	took := processor() - start
-	return readCost{float64(c.bytes) / times, float64(took.Microseconds()) / times}, nil
+	spent := processor() - start
+	return readCost{float64(c.bytes) / times, float64(spent.Microseconds()) / times}, nil
 }
 
+// platformWithVMs returns a fake platform that lists a number of workers.
 func filled(workers int) *platform.Platform {
 	p := platform.New(platform.Config{})
 	for i := range workers {
@@ -153,6 +158,7 @@
 	return p
 }
 
+// storeSettings writes settings with a number of services to the store.
 func putTree(ctx context.Context, url string, services int) error {
 	d, err := document(services)
 	if err != nil {
--- a/internal/lab/capacity/wire.go
+++ b/internal/lab/capacity/wire.go
@@ -12,12 +12,13 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// echo answers a message with its own entries.
+// echo responds to a message with the same message.
 type echo struct{}
 
 func (echo) Gossip(_ context.Context, m member.Message) (member.Message, error) { return m, nil }
 func (echo) Ping(context.Context, string) (member.ID, error)                    { return member.ID{}, nil }
 
+// sampleEntry returns an entry with names and addresses of typical length.
 func sample(i int) member.Entry {
 	return member.Entry{
 		ID:     member.ID{Name: fmt.Sprintf("entry-%03d", i), Boot: 1_700_000_000_000},
@@ -28,8 +29,8 @@
 	}
 }
 
-// runWire measures an exchange on a kept-alive loopback connection: bytes
-// beside the message, and processor time of both ends together.
+// runWire measures a gossip exchange on a keep-alive loopback connection: the
+// bytes of the body and of HTTP beside it, and the CPU time of both ends together.
 func runWire(cfg Config, m *model, w io.Writer) (err error) {
 	exchanges := cfg.Rounds
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,38 +45,39 @@
 	defer client.Close()
 
 	body := &series{name: "body, B each way"}
-	beside := &series{name: "HTTP beside it, B each way", digits: 1}
+	overhead := &series{name: "HTTP beside it, B each way", digits: 1}
 	cpu := &series{name: "processor time of both ends, us", digits: 1}
 	for _, entries := range []int{0, 16, 64, 256} {
 		msg := member.Message{From: sample(0).ID, Digest: 1 << 60}
 		for i := range entries {
 			msg.Entries = append(msg.Entries, sample(i))
 		}
-		before, bodies, start := counters.ConnOut.Load()+counters.ConnIn.Load(), gossiped(counters), processor()
+		startTotal, startBodies, startCPU := counters.ConnOut.Load()+counters.ConnIn.Load(), gossiped(counters), processor()
 		for range exchanges {
 			if _, err := client.Gossip(context.Background(), l.Addr().String(), msg); err != nil {
 				return err
 			}
 		}
-		spent := processor() - start
-		bytes := counters.ConnOut.Load() + counters.ConnIn.Load() - before
-		messages := gossiped(counters) - bodies
-		body.add(entries, float64(messages)/float64(exchanges)/2)
-		beside.add(entries, float64(bytes-messages)/float64(exchanges)/2)
+		spent := processor() - startCPU
+		total := counters.ConnOut.Load() + counters.ConnIn.Load() - startTotal
+		bodies := gossiped(counters) - startBodies
+		body.add(entries, float64(bodies)/float64(exchanges)/2)
+		overhead.add(entries, float64(total-bodies)/float64(exchanges)/2)
 		cpu.add(entries, float64(spent.Nanoseconds())/float64(exchanges)/1000)
 	}
-	m.overhead = int(beside.runs[0][0])
+	m.overhead = int(overhead.runs[0][0])
 	fmt.Fprintf(w, "%d exchanges of each size over one connection; TCP and IP headers are not counted\n\n", exchanges)
-	write(w, "entries in a message", body, beside, cpu)
+	write(w, "entries in a message", body, overhead, cpu)
 	return nil
 }
 
+// gossipBytes returns the bytes of the bodies of all gossip messages so far.
 func gossiped(c *peer.Counters) int64 {
 	n := c.Counts()[peer.Gossip]
 	return n.In + n.Out
 }
 
-// processor gives the processor time of this process so far.
+// cpuTime returns the CPU time of this process so far, or 0 if it can't be read.
 func processor() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
