--- a/internal/lab/pace/busy_test.go
+++ b/internal/lab/pace/busy_test.go
@@ -7,38 +7,39 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// In a burst callers of a service with many targets come to two entries, each of which
-// sees half of the requests and has heard nothing lately of most targets. With work that
-// takes longer than a pace lasts, an answer is late where a second request joins the
-// first one, and a third of the targets, those in the failure domain without an entry,
-// would stay idle meanwhile. Callers are to get most of their worth.
+// Guards against idle targets in a burst. Two entries get all requests of a service with
+// many targets, so each entry sees half of the requests and has no recent load report of
+// most targets. Requests take longer than a pace lasts: a second request at a target
+// makes the response late. A balancer that doubles requests up would leave a third of the
+// targets idle, those in the failure domain without an entry. Callers must still get most
+// of the possible score.
 func TestBurstAtManyTargets(t *testing.T) {
 	s := Booking()
 	s.Targets = 60
-	for _, tt := range []struct{ load, worth float64 }{{0.6, 0.91}, {0.8, 0.85}} {
-		worth := 0.0
+	for _, tt := range []struct{ load, minScore float64 }{{0.6, 0.91}, {0.8, 0.85}} {
+		score := 0.0
 		const seeds = 4
 		for seed := range uint64(seeds) {
 			st := run(s, way{meets: atTwo, build: asking(s.Slots, 0)}, tt.load, 4*time.Second, seed+1)
-			worth += st.worth(s) / seeds
+			score += st.worth(s) / seeds
 		}
-		qt.Check(t, worth > tt.worth, qt.IsTrue, qt.Commentf("%.3f at %.0f %% of the capacity", worth, 100*tt.load))
+		qt.Check(t, score > tt.minScore, qt.IsTrue, qt.Commentf("%.3f at %.0f %% of the capacity", score, 100*tt.load))
 	}
 }
 
-// At the full capacity of many targets a request that asks four of them is better off
-// than one that asks two: of two, often none is idle. What the questions cost is counted.
+// At full capacity with many targets, four probes per request give a higher score than
+// two, because of two targets often none is idle. The score includes the probes' cost.
 func TestQuestionsPayInABurst(t *testing.T) {
 	s := Booking()
 	s.Targets = 60
-	worth := func(ask int) (sum float64) {
+	score := func(probes int) (sum float64) {
 		const seeds = 5
 		for seed := range uint64(seeds) {
-			st := run(s, way{meets: atTwo, build: asking(s.Slots, ask)}, 1, 5*time.Second, seed+1)
+			st := run(s, way{meets: atTwo, build: asking(s.Slots, probes)}, 1, 5*time.Second, seed+1)
 			sum += st.worth(s) / seeds
 		}
 		return sum
 	}
-	two, four := worth(2), worth(4)
+	two, four := score(2), score(4)
 	qt.Assert(t, four > two, qt.IsTrue, qt.Commentf("four %.3f, two %.3f", four, two))
 }
--- a/internal/lab/pace/pace_test.go
+++ b/internal/lab/pace/pace_test.go
@@ -8,34 +8,35 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The model has to order the ways as real processes on a simulated network do:
-// asking beats what was last told, polling costs more than it brings, and above
-// the capacity a limit at each target is worth most, though not one of 1.
+// The simulation must rank the policies as real processes on a simulated network
+// do: probing is better than using the last report, polling costs more than it
+// gains, and above the capacity a limit on the requests at each target is the best
+// policy, but not a limit of 1.
 func TestOrderOfWays(t *testing.T) {
 	rows := map[string][]float64{}
 	for _, r := range measure(Standard(), Config{Seeds: 2, Seed: 1, Length: 16 * time.Second}) {
 		rows[r.Way] = r.Worth
 	}
-	const quiet, over = 0, 2
+	const quiet, overload = 0, 2
 	tests := []struct {
-		load          int
+		loadIndex     int
 		better, worse string
 	}{
 		{quiet, "least in flight x pace, at all entries", "random, at all entries"},
 		{quiet, "least in flight x pace, at all entries", "the same, all targets asked each 40 ms"},
 		{quiet, "asks 4, two entries, at most its slots", "least in flight x pace, at all entries"},
 		{quiet, "asks 4, two entries, at most its slots", "asks none, two entries, at most its slots"},
-		{over, "asks 4, two entries, at most its slots", "least in flight x pace, at all entries"},
-		{over, "asks 4, one entry, at most its slots", "asks 4, one entry, at most 1 at a target"},
-		{over, "asks 4, two entries, at most its slots", "asks none, two entries, at most its slots"},
+		{overload, "asks 4, two entries, at most its slots", "least in flight x pace, at all entries"},
+		{overload, "asks 4, one entry, at most its slots", "asks 4, one entry, at most 1 at a target"},
+		{overload, "asks 4, two entries, at most its slots", "asks none, two entries, at most its slots"},
 	}
 	for _, tt := range tests {
-		qt.Check(t, rows[tt.better][tt.load] > rows[tt.worse][tt.load], qt.IsTrue,
-			qt.Commentf("at load %v: %s %v, %s %v", loads[tt.load], tt.better, rows[tt.better], tt.worse, rows[tt.worse]))
+		qt.Check(t, rows[tt.better][tt.loadIndex] > rows[tt.worse][tt.loadIndex], qt.IsTrue,
+			qt.Commentf("at load %v: %s %v, %s %v", loads[tt.loadIndex], tt.better, rows[tt.better], tt.worse, rows[tt.worse]))
 	}
 }
 
-// The same seed gives the same bytes.
+// Two runs with the same seed print the same bytes.
 func TestRepeats(t *testing.T) {
 	var one, two bytes.Buffer
 	cfg := Config{Seeds: 1, Length: 2 * time.Second, JSON: true}
--- a/internal/lab/pace/run.go
+++ b/internal/lab/pace/run.go
@@ -18,14 +18,15 @@
 	_ "gonum.org/v1/plot/vg/vgsvg" // the SVG format of Save
 )
 
-// Config says what to measure. Zero fields take the defaults.
+// Config configures an experiment. Zero fields take the default that ends their
+// comment.
 type Config struct {
 	Seeds  int           // runs of each row; 5
 	Seed   uint64        // the first seed; 1
-	Length time.Duration // of arrivals, in virtual time; 32 s
-	JSON   bool          // JSON lines in place of a table
-	Plot   string        // path of an SVG to write, or empty
-	Shape  string        // name of the service's shape; standard
+	Length time.Duration // virtual time during which requests arrive; 32 s
+	JSON   bool          // prints JSON lines instead of a table
+	Plot   string        // path of an SVG to write; none if empty
+	Shape  string        // name of the service's shape; "standard"
 }
 
 const (
@@ -33,13 +34,14 @@
 	defaultLength = 32 * time.Second
 )
 
-// loads are the shares of the capacity at which each way is measured: a quiet
-// day, a busy one, and more than the targets can do.
+// loads are the shares of the capacity at which each policy is measured: a quiet
+// day, a busy day, and overload.
 var loads = []float64{0.25, 0.6, 1.3}
 
-// polling is the period of the way that asks all targets all the time.
+// pollInterval is the period of the policy that probes all targets periodically.
 const polling = 40 * time.Millisecond
 
+// policies returns the policies to compare.
 func ways(s Shape) []way {
 	return []way{
 		{name: "random, at all entries", meets: atAny, build: random},
@@ -56,14 +58,14 @@
 	}
 }
 
-// row is a way with its worth at each load.
+// row is the result of a policy: one value for each load.
 type row struct {
 	Way       string    `json:"way"`
-	Worth     []float64 `json:"worth"`     // at each load
-	Questions []float64 `json:"questions"` // a request
+	Worth     []float64 `json:"worth"`
+	Questions []float64 `json:"questions"` // per request
 }
 
-// Run measures all ways and prints them.
+// Run measures all policies and prints the results.
 func Run(cfg Config, w io.Writer) (err error) {
 	defer func() { err = errors.WithMessage(err, "experiment pace") }()
 	if cfg.Seeds <= 0 {
@@ -98,17 +100,18 @@
 	return nil
 }
 
+// runAll runs each policy at each load and returns the means over the seeds.
 func measure(s Shape, cfg Config) (rows []row) {
-	for _, w := range ways(s) {
-		r := row{Way: w.name}
+	for _, p := range ways(s) {
+		r := row{Way: p.name}
 		for _, load := range loads {
-			worth, questions := 0.0, 0.0
+			score, probes := 0.0, 0.0
 			for i := range cfg.Seeds {
-				st := run(s, w, load, cfg.Length, cfg.Seed+uint64(i))
-				worth += st.worth(s) / float64(cfg.Seeds)
-				questions += float64(st.questions) / float64(max(st.attempts, 1)) / float64(cfg.Seeds)
+				st := run(s, p, load, cfg.Length, cfg.Seed+uint64(i))
+				score += st.worth(s) / float64(cfg.Seeds)
+				probes += float64(st.questions) / float64(max(st.attempts, 1)) / float64(cfg.Seeds)
 			}
-			r.Worth, r.Questions = append(r.Worth, worth), append(r.Questions, questions)
+			r.Worth, r.Questions = append(r.Worth, score), append(r.Questions, probes)
 		}
 		rows = append(rows, r)
 	}
@@ -117,11 +120,11 @@
 
 func writeTable(w io.Writer, rows []row) {
 	t := tablewriter.NewWriter(w)
-	head := []string{"way"}
+	header := []string{"way"}
 	for _, l := range loads {
-		head = append(head, fmt.Sprintf("worth at %.0f %%", 100*l))
+		header = append(header, fmt.Sprintf("worth at %.0f %%", 100*l))
 	}
-	t.SetHeader(append(head, "questions a request, quiet"))
+	t.SetHeader(append(header, "questions a request, quiet"))
 	t.SetAutoFormatHeaders(false)
 	t.SetAutoWrapText(false)
 	t.SetBorders(tablewriter.Border{Left: true, Right: true})
@@ -141,7 +144,7 @@
 	plotHeight = 6 * vg.Inch
 )
 
-// draw shows the worth of each way against the load.
+// writePlot plots the score of each policy against the load.
 func draw(rows []row, path string) (err error) {
 	defer func() { err = errors.WithMessage(err, "plot") }()
 	p := plot.New()
--- a/internal/lab/pace/site.go
+++ b/internal/lab/pace/site.go
@@ -8,15 +8,15 @@
 
 // request is one attempt of a caller.
 type request struct {
-	at    time.Duration // of this attempt, at the entry
-	first time.Duration // of the caller's first one
-	work  float64       // seconds
+	at    time.Duration // arrival of this attempt at the entry
+	first time.Duration // arrival of the caller's first attempt at the entry
+	work  float64       // seconds on an idle target at pace 1
 	entry int
-	retry int
+	retry int // attempts before this one
 	over  bool
 }
 
-// site is one run.
+// simulator holds the state of one run.
 type site struct {
 	clock
 	shape    Shape
@@ -25,14 +25,15 @@
 	requests []request
 	targets  []target
 	entries  []chooser
-	open     int
+	open     int // requests that have not ended
 	length   time.Duration
 	stat     stat
 }
 
-// run plays so many seconds of arrivals at a share of the capacity.
-func run(s Shape, w way, load float64, length time.Duration, seed uint64) stat {
-	m := &site{shape: s, way: w, rnd: rand.New(rand.NewPCG(seed, 1)), length: length, stat: newStat(length)}
+// run simulates arrivals at load, a share of the capacity, for a length of virtual
+// time. It returns when all requests have ended.
+func run(s Shape, p way, load float64, length time.Duration, seed uint64) stat {
+	m := &site{shape: s, way: p, rnd: rand.New(rand.NewPCG(seed, 1)), length: length, stat: newStat(length)}
 	m.build(seed)
 	m.draw(load, length, rand.New(rand.NewPCG(seed, 2)))
 	for m.open > 0 && m.events.Len() > 0 {
@@ -43,6 +44,7 @@
 	return m.stat
 }
 
+// setUp creates the targets and the entries.
 func (m *site) build(seed uint64) {
 	m.targets = make([]target, m.shape.Targets)
 	for i := range m.targets {
@@ -59,19 +61,19 @@
 	}
 }
 
-// draw makes the first attempts. They depend on the seed only, so that all ways
-// meet the same ones.
+// generateRequests schedules the first attempts of all callers. They depend only
+// on the seed, so all policies get the same ones.
 func (m *site) draw(load float64, length time.Duration, rnd *rand.Rand) {
-	const spread = 0.3
+	const sigma = 0.3 // of the logarithm of the service time
 	rate := load * m.shape.capacity()
-	for at := 0.0; ; {
-		at += rnd.ExpFloat64() / rate
-		if at >= length.Seconds() {
+	for seconds := 0.0; ; {
+		seconds += rnd.ExpFloat64() / rate
+		if seconds >= length.Seconds() {
 			return
 		}
-		work := m.shape.Work.Seconds() * math.Exp(spread*rnd.NormFloat64()-spread*spread/2)
-		when := time.Duration(at * float64(time.Second))
-		m.add(request{at: when, first: when, work: work, entry: m.way.meets(m.shape, rnd)})
+		serviceTime := m.shape.Work.Seconds() * math.Exp(sigma*rnd.NormFloat64()-sigma*sigma/2)
+		arrival := time.Duration(seconds * float64(time.Second))
+		m.add(request{at: arrival, first: arrival, work: serviceTime, entry: m.way.meets(m.shape, rnd)})
 	}
 }
 
@@ -116,7 +118,7 @@
 	}
 }
 
-// hop is the time from an entry to a target, one way.
+// networkDelay returns the one-way delay between an entry and a target.
 func (m *site) hop(entry, t int) time.Duration {
 	if entry%m.shape.Places == m.targets[t].place {
 		return m.shape.Near
@@ -133,51 +135,55 @@
 	m.in(m.hop(m.requests[r].entry, t), event{kind: reaches, what: r, where: t})
 }
 
+// arriveAtTarget starts or queues a request, or refuses it if the queue is full.
 func (m *site) reach(e event) {
 	t := &m.targets[e.where]
 	r := &m.requests[e.what]
 	t.advance(m.now, m.shape)
-	w := work{request: e.what, entry: r.entry, left: r.work}
+	j := work{request: e.what, entry: r.entry, left: r.work}
 	switch {
 	case len(t.running) < m.shape.Slots:
-		t.running = append(t.running, w)
+		t.running = append(t.running, j)
 	case len(t.waiting) < m.shape.Queue:
-		t.waiting = append(t.waiting, w)
+		t.waiting = append(t.waiting, j)
 	default:
-		m.back(w, e.where, true)
+		m.back(j, e.where, true)
 	}
 	m.plan(e.where)
 }
 
-func (m *site) back(w work, t int, shed bool) {
-	m.in(m.hop(w.entry, t), event{kind: returns, what: w.request, where: t, load: m.targets[t].load(), shed: shed})
+// sendResponse sends a response with the target's load to the entry.
+func (m *site) back(j work, t int, shed bool) {
+	m.in(m.hop(j.entry, t), event{kind: returns, what: j.request, where: t, load: m.targets[t].load(), shed: shed})
 }
 
-// plan sets the next end of a target's work.
+// scheduleFinish schedules the next end of a request at a target and invalidates
+// the one scheduled before.
 func (m *site) plan(i int) {
 	t := &m.targets[i]
 	t.gen++
-	if in, ok := t.next(m.shape); ok {
-		m.in(in, event{kind: finished, where: i, gen: t.gen})
+	if delay, ok := t.next(m.shape); ok {
+		m.in(delay, event{kind: finished, where: i, gen: t.gen})
 	}
 }
 
+// finishWork responds to the requests that are finished and starts queued ones.
 func (m *site) finish(e event) {
 	t := &m.targets[e.where]
 	if e.gen != t.gen {
 		return
 	}
 	t.advance(m.now, m.shape)
-	const done = 1e-9
-	var on []work
-	for _, w := range t.running {
-		if w.left > done {
-			on = append(on, w)
+	const tolerance = 1e-9 // seconds
+	var unfinished []work
+	for _, j := range t.running {
+		if j.left > tolerance {
+			unfinished = append(unfinished, j)
 			continue
 		}
-		defer m.back(w, e.where, false)
+		defer m.back(j, e.where, false)
 	}
-	t.running = on
+	t.running = unfinished
 	for len(t.running) < m.shape.Slots && len(t.waiting) > 0 {
 		t.running = append(t.running, t.waiting[0])
 		t.waiting = t.waiting[1:]
@@ -185,7 +191,8 @@
 	m.plan(e.where)
 }
 
-// answer ends a request that a target served.
+// recordServed ends a request that a target served. The caller gets no credit if
+// the response came after the deadline.
 func (m *site) answer(id int) {
 	r := &m.requests[id]
 	if r.over {
@@ -193,19 +200,20 @@
 	}
 	r.over = true
 	m.open--
-	took := m.now + 2*m.shape.Caller - r.first
+	latency := m.now + 2*m.shape.Caller - r.first
 	switch {
 	case m.now-r.at > m.shape.Deadline:
 		m.stat.add(r.first, 0)
-	case took <= m.shape.Objective:
+	case latency <= m.shape.Objective:
 		m.stat.add(r.first, 1)
 	default:
 		m.stat.add(r.first, m.shape.Late)
 	}
 }
 
-// refuse ends an attempt without an answer. Its caller may come back.
-func (m *site) refuse(id int, retry time.Duration) {
+// retryOrFail ends an attempt that was refused. Its caller makes another attempt
+// after the given time, if it has retries left.
+func (m *site) refuse(id int, retryAfter time.Duration) {
 	r := &m.requests[id]
 	if r.over {
 		return
@@ -216,8 +224,8 @@
 		m.stat.add(r.first, 0)
 		return
 	}
-	again := *r
-	again.over, again.retry = false, r.retry+1
-	again.at = m.now + 2*m.shape.Caller + retry
-	m.add(again)
+	next := *r
+	next.over, next.retry = false, r.retry+1
+	next.at = m.now + 2*m.shape.Caller + retryAfter
+	m.add(next)
 }
--- a/internal/lab/pace/stat.go
+++ b/internal/lab/pace/stat.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// window is the length of a part of the time whose worst ones count by
-// themselves.
+// windowLength is the length of the windows of a run. The windows with the lowest
+// credit count separately in the score.
 const window = 2 * time.Second
 
-// stat is what a run was worth.
+// stats holds the results of a run.
 type stat struct {
 	credit    []float64 // by window
-	owed      []float64
-	served    int // requests that some target answered, also late
+	owed      []float64 // requests by window
+	served    int       // requests with credit, also those served after the objective
 	attempts  int
 	questions int
 }
@@ -23,7 +23,7 @@
 	return stat{credit: make([]float64, n), owed: make([]float64, n)}
 }
 
-// add files a caller's request by the time of its first attempt.
+// add counts a caller's request in the window of its first attempt.
 func (s *stat) add(first time.Duration, credit float64) {
 	i := min(int(first/window), len(s.owed)-1)
 	s.credit[i] += credit
@@ -33,8 +33,8 @@
 	}
 }
 
-// Weights of the users' measure: the whole time, its two worst windows, and the
-// share that is served at all.
+// Weights of the users' score: the credit of the whole run, that of its two worst
+// windows, and the share of requests that are served at all.
 const (
 	wholeWeight  = 0.40
 	worstWeight  = 0.40
@@ -42,18 +42,18 @@
 	worstWindows = 2
 )
 
-// worth is the users' measure, less the price of questions.
+// score returns the users' score, less the cost of the probes.
 func (s *stat) worth(shape Shape) float64 {
-	var credit, owed float64
+	var credit, requests float64
 	var shares []float64
 	for i := range s.owed {
 		credit += s.credit[i]
-		owed += s.owed[i]
+		requests += s.owed[i]
 		if s.owed[i] > 0 {
 			shares = append(shares, s.credit[i]/s.owed[i])
 		}
 	}
-	if owed == 0 {
+	if requests == 0 {
 		return 0
 	}
 	slices.Sort(shares)
@@ -61,6 +61,6 @@
 	for _, v := range shares[:min(worstWindows, len(shares))] {
 		worst += v / float64(min(worstWindows, len(shares)))
 	}
-	price := shape.Probe * float64(s.questions) / owed
-	return wholeWeight*credit/owed + worstWeight*worst + servedWeight*float64(s.served)/owed - price
+	probeCost := shape.Probe * float64(s.questions) / requests
+	return wholeWeight*credit/requests + worstWeight*worst + servedWeight*float64(s.served)/requests - probeCost
 }
--- a/internal/lab/pace/target.go
+++ b/internal/lab/pace/target.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// told is what a target says of its load.
+// loadReport is the load that a target reports.
 type told struct {
 	running int
 	waiting int
 	pace    float64
 }
 
-// target runs requests in its slots. All that run share its speed, which the
-// pace and the knee divide.
+// target runs requests in its slots. Each running request progresses at the
+// target's speed, which the pace divides, and PairSlowdown too if several run.
 type target struct {
 	place   int
 	pace    float64
 	running []work
 	waiting []work
-	since   time.Duration // until when running is worked off
-	gen     uint64        // of the next end
+	since   time.Duration // time up to which the progress of running is counted
+	gen     uint64        // generation of the scheduled workFinished event
 }
 
-// work is a request at a target.
+// job is a request at a target.
 type work struct {
 	request int
 	entry   int
-	left    float64 // seconds on an idle target of usual pace
+	left    float64 // seconds on an idle target at pace 1
 }
 
 func (t *target) speed(s Shape) float64 {
@@ -38,7 +38,7 @@
 	return v
 }
 
-// advance works off what has been done until now.
+// advance subtracts the progress up to now from the running requests.
 func (t *target) advance(now time.Duration, s Shape) {
 	done := (now - t.since).Seconds() * t.speed(s)
 	for i := range t.running {
@@ -47,22 +47,23 @@
 	t.since = now
 }
 
-// next tells when the first running request ends.
-func (t *target) next(s Shape) (in time.Duration, ok bool) {
+// nextFinish returns the time until the first running request is finished.
+func (t *target) next(s Shape) (delay time.Duration, ok bool) {
 	if len(t.running) == 0 {
 		return 0, false
 	}
-	least := t.running[0].left
-	for _, w := range t.running[1:] {
-		least = min(least, w.left)
+	shortest := t.running[0].left
+	for _, j := range t.running[1:] {
+		shortest = min(shortest, j.left)
 	}
-	return time.Duration(max(least, 0) / t.speed(s) * float64(time.Second)), true
+	return time.Duration(max(shortest, 0) / t.speed(s) * float64(time.Second)), true
 }
 
 func (t *target) load() told {
 	return told{running: len(t.running), waiting: len(t.waiting), pace: t.pace}
 }
 
+// drawPace chooses the next pace of the target at random.
 func (t *target) change(rnd *rand.Rand, s Shape) {
 	t.pace = 1
 	if rnd.Float64() < s.Slow {
--- a/internal/lab/pace/way.go
+++ b/internal/lab/pace/way.go
@@ -8,15 +8,16 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-// way is how targets are chosen, and where requests meet.
+// policy is a way to choose targets, together with the entries that get the
+// requests.
 type way struct {
 	name  string
 	meets func(s Shape, rnd *rand.Rand) (entry int)
-	poll  time.Duration // each entry asks all targets so often; 0 for never
+	poll  time.Duration // period at which each entry probes all targets; 0 for never
 	build func(m *site, entry int, rnd *rand.Rand) chooser
 }
 
-// chooser is an entry's part in a way.
+// chooser chooses the targets at one entry.
 type chooser interface {
 	arrive(request int)
 	replied(target int, l told)
@@ -24,24 +25,29 @@
 	tick()
 }
 
-// Where requests meet.
+// Choices of the entry for a request.
 func atAny(s Shape, rnd *rand.Rand) int   { return rnd.IntN(s.Entries) }
 func atOne(Shape, *rand.Rand) int         { return 0 }
 func atTwo(_ Shape, rnd *rand.Rand) int   { return rnd.IntN(2) }
 func atPlace(s Shape, rnd *rand.Rand) int { return rnd.IntN(s.Places) }
+
+// newRandom returns a chooser that picks targets at random.
 func random(m *site, _ int, r *rand.Rand) chooser {
 	return &guess{m: m, rnd: r, blind: true}
 }
 
+// newLeastLoaded returns a chooser that picks the target with the lowest product
+// of own requests in flight and reported pace.
 func least(m *site, entry int, r *rand.Rand) chooser {
-	g := &guess{m: m, rnd: r, entry: entry, flying: make([]int, m.shape.Targets), pace: make([]float64, m.shape.Targets)}
-	for i := range g.pace {
-		g.pace[i] = 1
+	c := &guess{m: m, rnd: r, entry: entry, flying: make([]int, m.shape.Targets), pace: make([]float64, m.shape.Targets)}
+	for i := range c.pace {
+		c.pace[i] = 1
 	}
-	return g
+	return c
 }
 
-// guess chooses at random, or by own requests in flight times the pace last told.
+// simpleChooser chooses targets at random, or by the product of its own requests
+// in flight and the last reported pace.
 type guess struct {
 	m      *site
 	rnd    *rand.Rand
@@ -51,119 +57,122 @@
 	pace   []float64
 }
 
-func (g *guess) arrive(id int) {
-	best := g.rnd.IntN(g.m.shape.Targets)
-	if !g.blind {
-		from := best
-		for i := range g.pace {
-			at := (from + i) % len(g.pace)
-			if g.cost(at) < g.cost(best) {
-				best = at
+func (c *guess) arrive(id int) {
+	best := c.rnd.IntN(c.m.shape.Targets)
+	if !c.blind {
+		start := best
+		for i := range c.pace {
+			candidate := (start + i) % len(c.pace)
+			if c.cost(candidate) < c.cost(best) {
+				best = candidate
 			}
 		}
-		g.flying[best]++
+		c.flying[best]++
 	}
-	g.m.send(id, best)
+	c.m.send(id, best)
 }
 
-func (g *guess) cost(i int) float64 { return float64(g.flying[i]+1) * g.pace[i] }
+func (c *guess) cost(i int) float64 { return float64(c.flying[i]+1) * c.pace[i] }
 
-func (g *guess) replied(t int, l told) {
-	if !g.blind {
-		g.pace[t] = l.pace
+func (c *guess) replied(t int, l told) {
+	if !c.blind {
+		c.pace[t] = l.pace
 	}
 }
 
-func (g *guess) done(id, t int, l told, shed bool) {
-	if !g.blind {
-		g.flying[t]--
-		g.pace[t] = l.pace
+func (c *guess) done(id, t int, l told, shed bool) {
+	if !c.blind {
+		c.flying[t]--
+		c.pace[t] = l.pace
 	}
 	if shed {
-		g.m.refuse(id, g.m.shape.Work/2)
+		c.m.refuse(id, c.m.shape.Work/2)
 	}
 }
 
-func (g *guess) tick() {}
+func (c *guess) tick() {}
 
-// asking builds entries that drive a slot.Book, which believes that targets have
-// so many slots and asks so many of them; less than 0 asks none.
-func asking(slots, ask int) func(m *site, entry int, rnd *rand.Rand) chooser {
+// balancerWith returns a constructor of choosers that use a slot.Balancer. The
+// balancer assumes the given slots per target and probes the given number of
+// targets per request: none if negative, the balancer's default if 0.
+func asking(slots, probes int) func(m *site, entry int, rnd *rand.Rand) chooser {
 	return func(m *site, entry int, rnd *rand.Rand) chooser {
-		d := &desk{m: m, entry: entry, book: slot.New(slot.Config{Place: strconv.Itoa(entry % m.shape.Places), Ask: ask}, rnd)}
+		c := &desk{m: m, entry: entry, book: slot.New(slot.Config{Place: strconv.Itoa(entry % m.shape.Places), Ask: probes}, rnd)}
 		var list []slot.Target
 		for i, t := range m.targets {
 			list = append(list, slot.Target{ID: strconv.Itoa(i), Place: strconv.Itoa(t.place), Slots: slots})
 		}
-		d.act(d.book.Targets(m.time(), list, nil))
-		return d
+		c.act(c.book.Targets(m.time(), list, nil))
+		return c
 	}
 }
 
-// desk drives a book as an entry does.
+// balancerChooser executes the actions of a slot.Balancer as an entry does.
 type desk struct {
 	m     *site
 	entry int
 	book  *slot.Book
-	due   time.Duration
+	due   time.Duration // of the scheduled tick; 0 if none
 }
 
-func (d *desk) arrive(id int) {
-	r := d.m.requests[id]
-	d.act(d.book.Arrive(d.m.time(), slot.Request{
-		ID: uint64(id + 1), Arrived: epoch.Add(r.at), Objective: epoch.Add(r.first + d.m.shape.Objective - 2*d.m.shape.Caller),
-		Deadline: epoch.Add(r.at + d.m.shape.Deadline),
+func (c *desk) arrive(id int) {
+	r := c.m.requests[id]
+	c.act(c.book.Arrive(c.m.time(), slot.Request{
+		ID: uint64(id + 1), Arrived: epoch.Add(r.at), Objective: epoch.Add(r.first + c.m.shape.Objective - 2*c.m.shape.Caller),
+		Deadline: epoch.Add(r.at + c.m.shape.Deadline),
 	}, nil))
 }
 
-func (d *desk) replied(t int, l told) {
-	d.act(d.book.Replied(d.m.time(), slot.Reply{Target: strconv.Itoa(t), Report: slot.Report{Load: load(l, d.m.shape), Loaded: true}, Well: true}, nil))
+func (c *desk) replied(t int, l told) {
+	c.act(c.book.Replied(c.m.time(), slot.Reply{Target: strconv.Itoa(t), Report: slot.Report{Load: load(l, c.m.shape), Loaded: true}, Well: true}, nil))
 }
 
-func (d *desk) done(id, _ int, l told, shed bool) {
-	e := slot.End{ID: uint64(id + 1), Report: slot.Report{Load: load(l, d.m.shape), Loaded: true}}
-	// A book takes an answer's own request off what it tells.
-	e.Report.Load.Running++
+func (c *desk) done(id, _ int, l told, shed bool) {
+	end := slot.End{ID: uint64(id + 1), Report: slot.Report{Load: load(l, c.m.shape), Loaded: true}}
+	// The balancer subtracts the request of the response from the reported load.
+	end.Report.Load.Running++
 	if shed {
-		e.Kind = slot.Shed
-		d.m.refuse(id, d.m.shape.Work/2)
+		end.Kind = slot.Shed
+		c.m.refuse(id, c.m.shape.Work/2)
 	}
-	d.act(d.book.Done(d.m.time(), e, nil))
+	c.act(c.book.Done(c.m.time(), end, nil))
 }
 
-func (d *desk) tick() {
-	if d.m.now < d.due {
+func (c *desk) tick() {
+	if c.m.now < c.due {
 		return
 	}
-	d.due = 0
-	d.act(d.book.Tick(d.m.time(), nil))
+	c.due = 0
+	c.act(c.book.Tick(c.m.time(), nil))
 }
 
-func (d *desk) act(actions []slot.Action) {
+func (c *desk) act(actions []slot.Action) {
 	for _, a := range actions {
 		switch a.Do {
 		case slot.Ask:
-			d.m.ask(d.entry, number(a.Target.ID))
+			c.m.ask(c.entry, number(a.Target.ID))
 		case slot.Send:
-			d.m.send(int(a.ID)-1, number(a.Target.ID))
+			c.m.send(int(a.ID)-1, number(a.Target.ID))
 		case slot.Refuse:
-			d.m.refuse(int(a.ID)-1, a.Retry)
+			c.m.refuse(int(a.ID)-1, a.Retry)
 		}
 	}
-	d.arm()
+	c.arm()
 }
 
-func (d *desk) arm() {
-	next := d.book.Next()
+// scheduleTick schedules the balancer's next tick, unless an earlier one is
+// scheduled.
+func (c *desk) arm() {
+	next := c.book.Next()
 	if next.IsZero() {
 		return
 	}
 	at := next.Sub(epoch)
-	if d.due != 0 && at >= d.due {
+	if c.due != 0 && at >= c.due {
 		return
 	}
-	d.due = max(at, d.m.now)
-	d.m.in(d.due-d.m.now, event{kind: ticked, where: d.entry})
+	c.due = max(at, c.m.now)
+	c.m.in(c.due-c.m.now, event{kind: ticked, where: c.entry})
 }
 
 func load(l told, s Shape) slot.Load {
@@ -173,7 +182,7 @@
 func number(id string) int {
 	n, err := strconv.Atoi(id)
 	if err != nil {
-		panic(err) // ids are numbers, see asking
+		panic(err) // balancerWith uses the target's index as its ID
 	}
 	return n
 }
