--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet runs the membership tables of many entries in virtual time over
-// a network in memory. Messages pass through the real codec, so that their sizes
-// are true; entries can be lost, paused, cut off and restarted.
+// an in-memory network. Messages pass through the real codec, so their sizes are
+// exact. Entries can be lost, paused, partitioned and restarted.
 package fleet
 
 import (
@@ -12,17 +12,17 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// Config builds a Fleet.
+// Config configures a Fleet.
 type Config struct {
 	Entries  int
-	Places   int           // spread over the regions in turn
+	Places   int           // failure domains, assigned to the regions in turn
 	Regions  int           // at least 1
-	Seed     uint64        // of all randomness
-	Near     time.Duration // one way within a region; 0.5 ms
-	Far      time.Duration // one way between regions; 40 ms
-	Overhead int           // bytes of HTTP for each message of either direction
-	Fetch    int           // bytes of the answer to a fetch of settings
-	Member   member.Config // periods and timeouts; the rest is filled in
+	Seed     uint64        // seed of all random numbers
+	Near     time.Duration // one-way delay within a region; 0 means 0.5 ms
+	Far      time.Duration // one-way delay between regions; 0 means 40 ms
+	Overhead int           // bytes of HTTP added to each message in either direction
+	Fetch    int           // bytes of the response to a pull of the settings
+	Member   member.Config // periods and timeouts; Boot sets Self and Rand and adds to Seeds
 }
 
 // Fleet is a set of entries and the network between them.
@@ -41,34 +41,34 @@
 type Node struct {
 	Entry      member.Entry
 	Table      *member.Table
-	View       member.View // as of its last change
+	View       member.View // at its last change
 	Marks      member.Marks
 	Traffic    Traffic
 	Learned    member.Rumours
-	Superseded int
+	Superseded int // number of member.Superseded actions
 
 	index   int
 	up      bool
 	paused  bool
-	backlog []member.Event
-	fetches bool
-	wake    uint64 // number of the tick that counts
+	backlog []member.Event // events received while paused
+	fetches bool           // a pull of settings is in progress
+	wake    uint64         // number of the latest scheduled tick; earlier ones are ignored
 }
 
-// Traffic is what a node sent and received, HTTP included, and the processor
-// time that its decisions and codecs took.
+// Traffic counts what a node sent and received, including HTTP, and the time
+// that its decisions and codecs took.
 type Traffic struct {
-	Messages int
+	Messages int // sent
 	In       int64
 	Out      int64
 	Busy     time.Duration
-	Largest  int
+	Largest  int // bytes of the largest message sent, without HTTP
 }
 
 // Start is the virtual time at which every fleet starts.
 var Start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// New gives a fleet whose entries are all down.
+// New returns a fleet whose entries are all down.
 func New(cfg Config) *Fleet {
 	if cfg.Near == 0 {
 		cfg.Near = 500 * time.Microsecond
@@ -91,11 +91,11 @@
 	return f
 }
 
-// Now gives the virtual time.
+// Now returns the virtual time.
 func (f *Fleet) Now() time.Time { return f.now }
 
-// Boot starts an entry, or starts it again with the next boot number. Its seeds
-// are the first entry of each place.
+// Boot starts an entry, or restarts it with the next boot number. Its seeds are
+// the first entry of each failure domain.
 func (f *Fleet) Boot(n *Node) {
 	n.Entry.ID.Boot++
 	n.Entry.Since = f.now
@@ -122,32 +122,34 @@
 	}
 }
 
-// Lose ends an entry as a lost VM does: nobody gets an answer, nor a refusal.
+// Lose stops an entry as the loss of its VM does: a request to it gets neither a
+// response nor a refused connection.
 func (f *Fleet) Lose(n *Node) { n.up = false }
 
-// Pause stops an entry; what reaches it waits.
+// Pause suspends an entry. Events for it are queued until Resume.
 func (f *Fleet) Pause(n *Node) { n.paused = true }
 
-// Resume lets a paused entry go on.
+// Resume continues a paused entry and delivers its queued events.
 func (f *Fleet) Resume(n *Node) {
 	n.paused = false
-	waiting := n.backlog
+	queued := n.backlog
 	n.backlog = nil
-	for _, ev := range waiting {
+	for _, ev := range queued {
 		f.handle(n, ev)
 	}
 	f.tickAt(n, f.now)
 }
 
-// Cut sets between which entries nothing passes; nil heals the network.
-func (f *Fleet) Cut(cut func(a, b *Node) bool) {
-	if cut == nil {
-		cut = func(_, _ *Node) bool { return false }
+// Partition drops all messages between the pairs of entries for which separated
+// returns true. Nil ends the partition.
+func (f *Fleet) Cut(separated func(a, b *Node) bool) {
+	if separated == nil {
+		separated = func(_, _ *Node) bool { return false }
 	}
-	f.cut = cut
+	f.cut = separated
 }
 
-// Handle gives an event to an entry at the present time.
+// Handle delivers an event to an entry at the current virtual time.
 func (f *Fleet) Handle(n *Node, ev member.Event) {
 	if r, ok := ev.(member.Revised); ok {
 		n.Marks = r.Marks
@@ -155,13 +157,13 @@
 	f.handle(n, ev)
 }
 
-// Run lets virtual time pass.
+// Run advances the virtual time by d.
 func (f *Fleet) Run(d time.Duration) {
 	f.RunUntil(d, func() bool { return false })
 }
 
-// RunUntil lets virtual time pass until done, which is asked every 50 ms, and
-// gives the time that passed; d at the most.
+// RunUntil advances the virtual time until done returns true, by d at most, and
+// returns the time that passed. It calls done every 50 ms.
 func (f *Fleet) RunUntil(d time.Duration, done func() bool) time.Duration {
 	const step = 50 * time.Millisecond
 	start := f.now
@@ -174,16 +176,18 @@
 	return f.now.Sub(start)
 }
 
+// advance runs the scheduled calls up to a virtual time.
 func (f *Fleet) advance(to time.Time) {
 	for len(f.queue) > 0 && !f.queue[0].at.After(to) {
-		e := heap.Pop(&f.queue).(*timed)
-		f.now = e.at
-		e.do()
+		call := heap.Pop(&f.queue).(*timed)
+		f.now = call.at
+		call.do()
 	}
 	f.now = to
 }
 
-// All tells whether ok holds for the view of every entry that is up.
+// AllViews reports whether ok holds for the view of every entry that is up and
+// not paused.
 func (f *Fleet) All(ok func(*Node, member.View) bool) bool {
 	for _, n := range f.Nodes {
 		if n.up && !n.paused && !ok(n, n.View) {
@@ -193,7 +197,9 @@
 	return true
 }
 
-// Agreed tells whether every entry that is up sees just these as serving.
+// Converged reports whether the views of all running entries, those that are up
+// and not paused, have the same digest and show as many entries, neither suspect
+// nor gone, as are running.
 func (f *Fleet) Agreed() bool {
 	up, digest := 0, f.digest()
 	for _, n := range f.Nodes {
@@ -212,6 +218,7 @@
 	})
 }
 
+// digest returns the digest of the view of the first running entry, or 0.
 func (f *Fleet) digest() uint64 {
 	for _, n := range f.Nodes {
 		if n.up && !n.paused {
@@ -221,7 +228,7 @@
 	return 0
 }
 
-// timed is something to do at a virtual time.
+// scheduledCall is a call at a virtual time.
 type timed struct {
 	at  time.Time
 	seq uint64
@@ -248,7 +255,9 @@
 	return last
 }
 
-func (f *Fleet) at(t time.Time, do func()) {
+// schedule adds a call at a virtual time. Calls at the same time run in the order
+// in which they were added.
+func (f *Fleet) at(t time.Time, run func()) {
 	f.seq++
-	heap.Push(&f.queue, &timed{at: t, seq: f.seq, do: do})
+	heap.Push(&f.queue, &timed{at: t, seq: f.seq, do: run})
 }
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -10,9 +10,11 @@
 	"plumpitch.example/plumpitch/pkg/member"
 )
 
-// pingBytes is the size of a ping and of its answer, HTTP left out.
+// pingBytes is the size of a ping and of its response, without HTTP.
 const pingBytes = 20
 
+// scheduleTick schedules the node's next tick in place of the one scheduled
+// before.
 func (f *Fleet) tickAt(n *Node, t time.Time) {
 	n.wake++
 	number, boot := n.wake, n.Entry.ID.Boot
@@ -23,7 +25,8 @@
 	})
 }
 
-// handle gives an event to an entry and carries out what follows from it.
+// deliver passes an event to an entry and executes the resulting actions. It
+// returns the reply, or nil if the entry is down or paused.
 func (f *Fleet) handle(n *Node, ev member.Event) (reply *member.Message) {
 	if !n.up {
 		return nil
@@ -48,11 +51,13 @@
 	return reply
 }
 
-func later(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
+// nextTickTime returns the time of the next tick: due, or 1 ms after now if due has
+// passed.
+func later(due, now time.Time) time.Time {
+	if due.After(now) {
+		return due
 	}
-	return b.Add(time.Millisecond)
+	return now.Add(time.Millisecond)
 }
 
 func (f *Fleet) act(n *Node, a member.Action) {
@@ -84,45 +89,47 @@
 	return f.cfg.Far
 }
 
-// carry passes do from a to b, unless the network is cut between them.
-func (f *Fleet) carry(a, b *Node, do func()) {
+// transmit runs receive after the delay from a to b, unless the two are
+// partitioned when the message is sent or when it arrives.
+func (f *Fleet) carry(a, b *Node, receive func()) {
 	if b == nil || f.cut(a, b) {
 		return
 	}
 	f.at(f.now.Add(f.delay(a, b)), func() {
 		if !f.cut(a, b) {
-			do()
+			receive()
 		}
 	})
 }
 
 func (f *Fleet) send(n *Node, s member.Send) {
 	boot := n.Entry.ID.Boot
-	back := func(ev member.Event) {
+	deliver := func(ev member.Event) {
 		if n.Entry.ID.Boot == boot {
 			f.handle(n, ev)
 		}
 	}
-	f.at(f.now.Add(s.Timeout), func() { back(member.NoAnswer{Exchange: s.Exchange}) })
+	f.at(f.now.Add(s.Timeout), func() { deliver(member.NoAnswer{Exchange: s.Exchange}) })
 	to := f.find(s.To.Address)
 	m, size := f.pass(n, s.Message)
 	f.carry(n, to, func() {
 		if !to.up || to.paused {
-			f.handle(to, member.Request{Message: m}) // waits, its answer is lost
+			f.handle(to, member.Request{Message: m}) // queued if paused; the response is lost
 			return
 		}
 		f.received(to, size)
 		reply := f.handle(to, member.Request{Message: m})
-		answer, size := f.pass(to, *reply)
+		response, size := f.pass(to, *reply)
 		f.carry(to, n, func() {
 			f.received(n, size)
-			back(member.Answer{Exchange: s.Exchange, Message: answer})
+			deliver(member.Answer{Exchange: s.Exchange, Message: response})
 		})
 	})
 }
 
-// pass encodes and decodes a message and counts its bytes at the sender.
-func (f *Fleet) pass(n *Node, m member.Message) (passed member.Message, body int) {
+// transcode encodes and decodes a message, as sending it would, and counts its
+// bytes at the sender.
+func (f *Fleet) pass(n *Node, m member.Message) (decoded member.Message, bodyBytes int) {
 	start := time.Now()
 	raw, err := proto.Marshal(&wire.GossipRequest{Version: peer.Version, Gossip: peer.EncodeGossip(f.now, m)})
 	if err != nil {
@@ -132,55 +139,62 @@
 	if err := proto.Unmarshal(raw, &w); err != nil {
 		panic(err)
 	}
-	passed, err = peer.DecodeGossip(f.now, w.GetGossip())
+	decoded, err = peer.DecodeGossip(f.now, w.GetGossip())
 	if err != nil {
 		panic(err)
 	}
 	n.Traffic.Busy += time.Since(start)
 	f.count(n, len(raw))
-	return passed, len(raw)
+	return decoded, len(raw)
 }
 
-func (f *Fleet) count(n *Node, body int) {
+// countSent counts a message at its sender.
+func (f *Fleet) count(n *Node, bodyBytes int) {
 	n.Traffic.Messages++
-	n.Traffic.Out += int64(body + f.cfg.Overhead)
-	n.Traffic.Largest = max(n.Traffic.Largest, body)
+	n.Traffic.Out += int64(bodyBytes + f.cfg.Overhead)
+	n.Traffic.Largest = max(n.Traffic.Largest, bodyBytes)
 }
 
-func (f *Fleet) received(n *Node, body int) {
-	n.Traffic.In += int64(body + f.cfg.Overhead)
+// countReceived counts a message at its receiver.
+func (f *Fleet) received(n *Node, bodyBytes int) {
+	n.Traffic.In += int64(bodyBytes + f.cfg.Overhead)
 }
 
+// indirectPing pings a peer through a relay, which passes the acknowledgement
+// back.
 func (f *Fleet) reach(n *Node, r member.Reach) {
 	boot := n.Entry.ID.Boot
-	back := func(ev member.Event) {
+	deliver := func(ev member.Event) {
 		if n.Entry.ID.Boot == boot {
 			f.handle(n, ev)
 		}
 	}
-	f.at(f.now.Add(r.Timeout), func() { back(member.NoAnswer{Exchange: r.Exchange}) })
-	via, target := f.find(r.Via.Address), f.find(r.Target.Address)
-	f.ping(n, via, func() {
-		f.ping(via, target, func() {
-			id := target.Entry.ID
-			f.ping(target, via, func() {
-				f.ping(via, n, func() { back(member.Reached{Exchange: r.Exchange, ID: id}) })
+	f.at(f.now.Add(r.Timeout), func() { deliver(member.NoAnswer{Exchange: r.Exchange}) })
+	relay, peer := f.find(r.Via.Address), f.find(r.Target.Address)
+	f.ping(n, relay, func() {
+		f.ping(relay, peer, func() {
+			id := peer.Entry.ID
+			f.ping(peer, relay, func() {
+				f.ping(relay, n, func() { deliver(member.Reached{Exchange: r.Exchange, ID: id}) })
 			})
 		})
 	})
 }
 
-func (f *Fleet) ping(a, b *Node, do func()) {
+// sendPing sends a ping or its acknowledgement from a to b and runs receive if b
+// is up and not paused.
+func (f *Fleet) ping(a, b *Node, receive func()) {
 	f.count(a, pingBytes)
 	f.carry(a, b, func() {
 		if b.up && !b.paused {
 			b.Traffic.In += int64(pingBytes + f.cfg.Overhead)
-			do()
+			receive()
 		}
 	})
 }
 
-// fetchEntries gets the entries that a node lacks from another one.
+// fetchEntries fetches the entries that a node lacks from another node. The node
+// sends the digests of the entries that it has, 4 bytes each.
 func (f *Fleet) fetchEntries(n *Node, a member.Fetch) {
 	from := f.find(a.From.Address)
 	boot := n.Entry.ID.Boot
@@ -200,7 +214,8 @@
 	})
 }
 
-// fetch gets the settings that a peer has, one fetch at a time.
+// pullSettings pulls the settings of a peer. A node has one pull in progress at a
+// time; after 1 s without a response it may start the next.
 func (f *Fleet) fetch(n *Node, b member.Behind) {
 	from := f.find(b.Peer.Address)
 	if n.fetches || from == nil {
@@ -214,13 +229,13 @@
 		if !from.up || from.paused {
 			return
 		}
-		marks := from.Marks
+		revisions := from.Marks
 		f.count(from, f.cfg.Fetch)
 		f.carry(from, n, func() {
 			n.Traffic.In += int64(f.cfg.Fetch + f.cfg.Overhead)
 			n.fetches = false
 			if n.Entry.ID.Boot == boot {
-				f.Handle(n, member.Revised{Marks: higher(n.Marks, marks)})
+				f.Handle(n, member.Revised{Marks: higher(n.Marks, revisions)})
 			}
 		})
 	})
