--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -121,7 +121,7 @@
 	preferred := member.Homes(c.named(), want.Name, want.Policy.Entries)
 	for rank, m := range preferred {
 		if m.ID.Name == c.entry.cfg.File.Name {
-			return probe.Share{Rank: rank, Of: len(preferred)}
+			return probe.Share{Rank: rank, Count: len(preferred)}
 		}
 	}
 	return probe.Share{}
--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -45,16 +45,16 @@
 		slots += n
 	}
 	cfg := probe.Config{
-		Window: probeWindow,
-		Budget: time.Duration(p.ProbeShare * float64(slots) * float64(probeWindow)),
-		Cost:   p.ProbeCost,
-		Settle: probeSettle,
+		Window:     probeWindow,
+		Budget:     time.Duration(p.ProbeShare * float64(slots) * float64(probeWindow)),
+		Cost:       p.ProbeCost,
+		SettleTime: probeSettle,
 	}
 	if cfg != s.granted {
 		s.granted = cfg
 		*s.probes = *probe.New(cfg)
 	}
-	s.probes.Share(now, share)
+	s.probes.SetShare(now, share)
 }
 
 // maxProbeBody is how much of a probe's response body is read, in bytes.
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -75,7 +75,7 @@
 		reason := string(final.Reason)
 		retry := final.Retry
 		switch {
-		case q.refused.Do != 0:
+		case q.refused.Kind != 0:
 			reason = q.refused.Reason.String()
 		case final.Reason == call.ReasonShed:
 			retry = q.service.back(time.Now())
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -99,7 +99,7 @@
 func newControl(g *Gateway) *control {
 	return &control{
 		gateway: g, inbox: make(chan message, maxInbox), started: g.started,
-		targets: roster.New(slot.Same), lapses: roster.NewLapses[slot.Target](), evacuations: roster.New(slot.SameEvacuation), marksAwaited: roster.NewLapses[slot.Evacuation](),
+		targets: roster.New(slot.Equivalent), lapses: roster.NewLapses[slot.Target](), evacuations: roster.New(slot.EquivalentEvacuations), marksAwaited: roster.NewLapses[slot.Evacuation](),
 		dropped: make(map[string]droppedService), waiting: make(map[string]bool), suspects: make(map[uint64]int),
 		numbers: owner.NewNumbers(), loads: make(map[string]loadsHeard),
 	}
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -29,9 +29,9 @@
 // and the age in ms of the load report if there is one, the expected response time, the
 // number of probed targets, the wait and the time left.
 func choice(f log.Fields, d *try) {
-	f["target"], f["inflight"], f["asked"] = d.target.ID, d.why.InFlight, d.why.Asked
-	if d.why.Told {
-		f["pace"], f["age"] = math.Round(100*d.why.Pace)/100, d.why.Age.Milliseconds()
+	f["target"], f["inflight"], f["asked"] = d.target.ID, d.why.InFlight, d.why.Probed
+	if d.why.LoadKnown {
+		f["pace"], f["age"] = math.Round(100*d.why.Pace)/100, d.why.LoadAge.Milliseconds()
 	}
 	f["waited"], f["expected"], f["left"] = d.why.Waited.Milliseconds(), d.why.Expected.Milliseconds(), d.left.Milliseconds()
 }
@@ -88,8 +88,8 @@
 	if reason == string(call.ReasonQuarantined) {
 		f["print"] = strconv.FormatUint(q.digest, 36)
 	}
-	if q.refused.Do == slot.Refuse {
-		f["retry"] = q.refused.Retry.Milliseconds()
+	if q.refused.Kind == slot.Refuse {
+		f["retry"] = q.refused.RetryAfter.Milliseconds()
 	}
 	q.gateway.log.WithFields(f).Warn("answered in place of a target")
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -171,7 +171,7 @@
 	}
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	return sv.book.Has(id)
+	return sv.book.HasTarget(id)
 }
 
 func (w *world) until(what string, ok func() bool) {
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -61,7 +61,7 @@
 	hasPending := func() bool {
 		sv.mu.Lock()
 		defer sv.mu.Unlock()
-		pending, _ := sv.book.Len()
+		pending, _ := sv.book.RequestCounts()
 		return pending > 0
 	}
 	w.until("a pending request", hasPending)
@@ -75,7 +75,7 @@
 	w.until("the target is removed from the balancer", func() bool {
 		sv.mu.Lock()
 		defer sv.mu.Unlock()
-		return !sv.book.Has(w.workers[0].ID)
+		return !sv.book.HasTarget(w.workers[0].ID)
 	})
 }
 
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -45,7 +45,7 @@
 type try struct {
 	id     uint64 // in the balancer
 	target slot.Target
-	why    slot.Why // data behind the choice of the target
+	why    slot.Decision // data behind the choice of the target
 	began  time.Time
 	left   time.Duration // timeout that was sent to the target
 	cancel context.CancelFunc
@@ -173,7 +173,7 @@
 	now := time.Now()
 	r := slot.Request{
 		Arrived: q.arrived, Objective: q.objective, Deadline: q.end(),
-		Priority: q.route.Priority, Hedge: hedge, Class: q.route.Name, Homes: q.route.Homes,
+		Priority: q.route.Priority, Hedge: hedge, Class: q.route.Name, Regions: q.route.Homes,
 	}
 	q.call.Tried(func(target string) { r.Tried = append(r.Tried, target) })
 	q.sought = q.service.arrive(now, r, q.slots)
@@ -181,17 +181,17 @@
 
 // handleDecision handles the balancer's decision: a target or a refusal.
 func (q *request) chosen(now time.Time, a slot.Action) call.Actions {
-	if a.Do == slot.Refuse {
+	if a.Kind == slot.Refuse {
 		q.refused = a
 		q.sought = 0
-		return q.call.Decline(now, call.Decline{Reason: call.ReasonOverload, Retry: a.Retry})
+		return q.call.Decline(now, call.Decline{Reason: call.ReasonOverload, Retry: a.RetryAfter})
 	}
 	q.refused = slot.Action{}
 	if gone(q.r) {
 		return q.call.Leave(now)
 	}
 	d := &q.tries[min(q.next(), call.MaxTries-1)]
-	d.target, d.why = a.Target, a.Why
+	d.target, d.why = a.Target, a.Decision
 	return q.call.Choose(now, call.Choice{Target: a.Target.ID})
 }
 
@@ -229,19 +229,19 @@
 // handleResult handles the outcome of a dispatch.
 func (q *request) ended(now time.Time, res result) call.Actions {
 	d := &q.tries[res.try]
-	completion := slot.End{ID: d.id, Report: q.gateway.reported(d.target.ID, res)}
+	completion := slot.Completion{ID: d.id, Report: q.gateway.reported(d.target.ID, res)}
 	if res.fail == nil && !q.proper(res.answer) {
 		res.fail = &forward.Failure{Target: d.target.Address, Stage: call.StageInvalid, Status: res.answer.Status, Cause: errImproper, Replay: true}
 		res.answer.Close()
 	}
 	if f := res.fail; f != nil {
-		completion.Kind = kindOf(f.Stage)
+		completion.Outcome = kindOf(f.Stage)
 		q.service.done(now, completion)
 		q.service.counts.failures.Inc(1)
 		quarantined := false
 		if f.Stage.Crash() {
 			q.service.counts.crashes.Inc(1)
-			quarantined = q.gateway.suspects.Crashed(now, q.digest, d.target.Run(), d.began)
+			quarantined = q.gateway.suspects.Crashed(now, q.digest, d.target.Incarnation(), d.began)
 		}
 		q.logFailure(d, f)
 		return q.call.Fail(now, call.Failed{Try: res.try, Stage: f.Stage, Ran: f.Ran, Replay: true, Quarantined: quarantined})
@@ -249,12 +249,12 @@
 	resp := res.answer
 	d.answer = resp
 	shed := platform.NotRun(resp.Status, resp.Header)
-	completion.Moved = platform.Misdirected(resp.Status)
+	completion.AddressReused = platform.Misdirected(resp.Status)
 	switch {
 	case shed:
-		completion.Kind = slot.Shed
+		completion.Outcome = slot.Shed
 	case resp.Status >= http.StatusInternalServerError:
-		completion.Kind = slot.Failed
+		completion.Outcome = slot.Failed
 	}
 	q.service.done(now, completion)
 	if complete := resp.Body == nil; complete && !shed {
@@ -274,7 +274,7 @@
 
 // endKind maps the stage at which a dispatch failed to the outcome that the slot
 // scheduler records for the target.
-func kindOf(stage call.Stage) slot.Kind {
+func kindOf(stage call.Stage) slot.Outcome {
 	switch stage {
 	case call.StageCancelled, call.StageCaller:
 		return slot.Cancelled
@@ -308,12 +308,12 @@
 	for ; q.flying > 0; q.flying-- {
 		res := <-q.results
 		d := &q.tries[res.try]
-		completion := slot.End{ID: d.id, Kind: slot.Cancelled, Report: q.gateway.reported(d.target.ID, res)}
+		completion := slot.Completion{ID: d.id, Outcome: slot.Cancelled, Report: q.gateway.reported(d.target.ID, res)}
 		if res.answer != nil {
 			res.answer.Close()
 		}
 		if res.fail != nil && res.fail.Stage == call.StageTimeout {
-			completion.Kind = slot.TimedOut
+			completion.Outcome = slot.TimedOut
 		}
 		q.service.done(time.Now(), completion)
 	}
--- a/internal/gateway/senders.go
+++ b/internal/gateway/senders.go
@@ -52,5 +52,5 @@
 		return
 	}
 	s.senders = names
-	s.book.Senders(now, quota.NewSenders(names, self))
+	s.book.SetSenders(now, quota.NewSenders(names, self))
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -25,7 +25,7 @@
 
 	mu      sync.Mutex
 	is      route.Service
-	book    *slot.Book
+	book    *slot.Balancer
 	waiting map[uint64]chan<- slot.Action
 	last    uint64
 	senders []string     // names of the entries that send requests to this service
@@ -56,7 +56,7 @@
 // baseline service time.
 func (s *service) hedge(class string, left time.Duration) time.Duration {
 	s.mu.Lock()
-	baseline := s.book.Usual(class)
+	baseline := s.book.ServiceTime(class)
 	s.mu.Unlock()
 	return max(left-time.Duration(hedgeReserve*float64(baseline)), baseline)
 }
@@ -65,7 +65,7 @@
 func (s *service) back(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Back(now)
+	return s.book.RetryAfter(now)
 }
 
 // configure applies the service's configuration and the bounds in force.
@@ -74,14 +74,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.is = cfg
-	s.book.Warmup(now, slot.Warmup{Bound: quota.NewColdBound(cfg.WarmRate, b.WarmFactor, b.WarmSlack), Time: cfg.Warmup})
+	s.book.SetWarmup(now, slot.Warmup{Bound: quota.NewColdBound(cfg.WarmRate, b.WarmFactor, b.WarmSlack), Duration: cfg.Warmup})
 }
 
 // setTargets replaces the list of targets.
 func (s *service) take(now time.Time, list []slot.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, s.book.Targets(now, list, nil))
+	s.act(now, s.book.SetTargets(now, list, nil))
 }
 
 // active reports whether any request is pending or in flight. A request in flight may
@@ -89,7 +89,7 @@
 func (s *service) busy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pending, inFlight := s.book.Len()
+	pending, inFlight := s.book.RequestCounts()
 	return pending+inFlight > 0
 }
 
@@ -97,7 +97,7 @@
 func (s *service) size() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Size()
+	return s.book.NumTargets()
 }
 
 // acquire asks the balancer for a target. The decision, a target or a refusal, is sent to
@@ -108,7 +108,7 @@
 	s.last++
 	r.ID = s.last
 	s.waiting[r.ID] = decision
-	s.act(now, s.book.Arrive(now, r, nil))
+	s.act(now, s.book.Submit(now, r, nil))
 	return r.ID
 }
 
@@ -121,7 +121,7 @@
 }
 
 // complete records how a dispatched request ended.
-func (s *service) done(now time.Time, completion slot.End) {
+func (s *service) done(now time.Time, completion slot.Completion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.act(now, s.book.Done(now, completion, nil))
@@ -131,39 +131,39 @@
 // block.
 func (s *service) act(now time.Time, actions []slot.Action) {
 	for _, a := range actions {
-		switch a.Do {
+		switch a.Kind {
 		case slot.Send, slot.Refuse:
-			if a.Do == slot.Refuse {
+			if a.Kind == slot.Refuse {
 				s.counts.refused[a.Reason].Inc(1)
 			}
 			if decision, ok := s.waiting[a.ID]; ok {
 				delete(s.waiting, a.ID)
 				decision <- a
 			}
-		case slot.Ask:
+		case slot.SendProbe:
 			s.counts.asked.Inc(1)
 			go s.ask(a, s.is.Health)
-		case slot.Rest:
+		case slot.NoteEjected:
 			s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID}).Warn("target is out, it fails what it is sent")
-		case slot.Back:
+		case slot.NoteReadmitted:
 			s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID}).Info("target readmitted")
-		case slot.Leaves:
+		case slot.NoteLeaving:
 			s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID}).Info("target says that it leaves")
-		case slot.Limit:
+		case slot.NoteLimit:
 			s.logLimit(a)
-		case slot.Pause:
+		case slot.NotePause:
 			s.counts.pauses.Inc(1)
 			s.gateway.log.WithFields(log.Fields{
-				"service": s.is.Name, "target": a.Target.ID, "for": a.Retry.Milliseconds(),
+				"service": s.is.Name, "target": a.Target.ID, "for": a.RetryAfter.Milliseconds(),
 			}).Info("target wants nothing")
 		}
 	}
-	s.alarm.Set(now, s.book.Next())
+	s.alarm.Set(now, s.book.NextTick())
 }
 
 func (s *service) logLimit(a slot.Action) {
 	logger := s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID})
-	if !a.Named {
+	if !a.HasLimit {
 		logger.Info("target names no limit any more")
 		return
 	}
@@ -184,14 +184,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), askGrace)
 	defer cancel()
 	status, header, err := s.gateway.forward.Ask(ctx, a.Target.Address, path)
-	result := slot.Reply{Target: a.Target.ID}
+	result := slot.ProbeResult{Target: a.Target.ID}
 	if err == nil && platform.Instance(header) == a.Target.ID {
-		result.Well = status == http.StatusOK
+		result.Healthy = status == http.StatusOK
 		result.Report = s.gateway.report(a.Target.ID, status, header)
-		result.Cold, result.Warmth = platform.Cold(header)
+		result.ColdFor, result.ColdKnown = platform.Cold(header)
 	}
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, s.book.Replied(now, result, nil))
+	s.act(now, s.book.ProbeDone(now, result, nil))
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -174,29 +174,29 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := ServiceStatus{Name: name, Saved: s.budget.Saved(), Targets: []TargetStatus{}}
-	out.Seeking, out.Flying = s.book.Len()
+	out.Seeking, out.Flying = s.book.RequestCounts()
 	for _, r := range s.book.Explain(now) {
 		out.Targets = append(out.Targets, targetStatus(now, r))
 	}
 	return out
 }
 
-func targetStatus(now time.Time, r slot.Row) TargetStatus {
+func targetStatus(now time.Time, r slot.TargetStatus) TargetStatus {
 	t := TargetStatus{
-		ID: r.ID, Address: r.Address, Place: r.Place, State: string(r.State), InFlight: r.InFlight, Foreign: r.Foreign,
+		ID: r.ID, Address: r.Address, Place: r.Place, State: string(r.State), InFlight: r.InFlight, Foreign: r.OtherInFlight,
 	}
 	if !r.Until.IsZero() {
 		t.Until = max(r.Until.Sub(now).Seconds(), 0)
 	}
-	if !r.Leaves.IsZero() {
-		leavingFor := now.Sub(r.Leaves).Seconds()
+	if !r.LeavingSince.IsZero() {
+		leavingFor := now.Sub(r.LeavingSince).Seconds()
 		t.Leaves = &leavingFor
 	}
-	if r.Limited {
-		t.Limit = &LimitStatus{Rate: r.Limit, Since: now.Sub(r.Since).Seconds()}
+	if r.HasLimit {
+		t.Limit = &LimitStatus{Rate: r.Limit, Since: now.Sub(r.LimitedSince).Seconds()}
 	}
-	if r.Told {
-		t.Pace, t.Age = r.Pace, r.Age.Seconds()
+	if r.LoadKnown {
+		t.Pace, t.Age = r.Pace, r.LoadAge.Seconds()
 	}
 	return t
 }
--- a/internal/lab/pace/way.go
+++ b/internal/lab/pace/way.go
@@ -97,12 +97,12 @@
 // targets per request: none if negative, the balancer's default if 0.
 func asking(slots, probes int) func(m *site, entry int, rnd *rand.Rand) chooser {
 	return func(m *site, entry int, rnd *rand.Rand) chooser {
-		c := &desk{m: m, entry: entry, book: slot.New(slot.Config{Place: strconv.Itoa(entry % m.shape.Places), Ask: probes}, rnd)}
+		c := &desk{m: m, entry: entry, book: slot.New(slot.Config{Place: strconv.Itoa(entry % m.shape.Places), Probes: probes}, rnd)}
 		var list []slot.Target
 		for i, t := range m.targets {
 			list = append(list, slot.Target{ID: strconv.Itoa(i), Place: strconv.Itoa(t.place), Slots: slots})
 		}
-		c.act(c.book.Targets(m.time(), list, nil))
+		c.act(c.book.SetTargets(m.time(), list, nil))
 		return c
 	}
 }
@@ -111,28 +111,28 @@
 type desk struct {
 	m     *site
 	entry int
-	book  *slot.Book
+	book  *slot.Balancer
 	due   time.Duration // of the scheduled tick; 0 if none
 }
 
 func (c *desk) arrive(id int) {
 	r := c.m.requests[id]
-	c.act(c.book.Arrive(c.m.time(), slot.Request{
+	c.act(c.book.Submit(c.m.time(), slot.Request{
 		ID: uint64(id + 1), Arrived: epoch.Add(r.at), Objective: epoch.Add(r.first + c.m.shape.Objective - 2*c.m.shape.Caller),
 		Deadline: epoch.Add(r.at + c.m.shape.Deadline),
 	}, nil))
 }
 
 func (c *desk) replied(t int, l told) {
-	c.act(c.book.Replied(c.m.time(), slot.Reply{Target: strconv.Itoa(t), Report: slot.Report{Load: load(l, c.m.shape), Loaded: true}, Well: true}, nil))
+	c.act(c.book.ProbeDone(c.m.time(), slot.ProbeResult{Target: strconv.Itoa(t), Report: slot.Report{Load: load(l, c.m.shape), HasLoad: true}, Healthy: true}, nil))
 }
 
 func (c *desk) done(id, _ int, l told, shed bool) {
-	end := slot.End{ID: uint64(id + 1), Report: slot.Report{Load: load(l, c.m.shape), Loaded: true}}
+	end := slot.Completion{ID: uint64(id + 1), Report: slot.Report{Load: load(l, c.m.shape), HasLoad: true}}
 	// The balancer subtracts the request of the response from the reported load.
 	end.Report.Load.Running++
 	if shed {
-		end.Kind = slot.Shed
+		end.Outcome = slot.Shed
 		c.m.refuse(id, c.m.shape.Work/2)
 	}
 	c.act(c.book.Done(c.m.time(), end, nil))
@@ -148,13 +148,13 @@
 
 func (c *desk) act(actions []slot.Action) {
 	for _, a := range actions {
-		switch a.Do {
-		case slot.Ask:
+		switch a.Kind {
+		case slot.SendProbe:
 			c.m.ask(c.entry, number(a.Target.ID))
 		case slot.Send:
 			c.m.send(int(a.ID)-1, number(a.Target.ID))
 		case slot.Refuse:
-			c.m.refuse(int(a.ID)-1, a.Retry)
+			c.m.refuse(int(a.ID)-1, a.RetryAfter)
 		}
 	}
 	c.arm()
@@ -163,7 +163,7 @@
 // scheduleTick schedules the balancer's next tick, unless an earlier one is
 // scheduled.
 func (c *desk) arm() {
-	next := c.book.Next()
+	next := c.book.NextTick()
 	if next.IsZero() {
 		return
 	}
--- a/internal/lab/tail/site.go
+++ b/internal/lab/tail/site.go
@@ -140,7 +140,7 @@
 		Budget: time.Duration(s.sc.budget * slots * float64(window)),
 		Cost:   s.sc.shape.Probe,
 	})
-	b.Share(epoch, probe.Share{Rank: entry, Of: owners})
+	b.SetShare(epoch, probe.Share{Rank: entry, Count: owners})
 	return b
 }
 
--- a/internal/relay/codec.go
+++ b/internal/relay/codec.go
@@ -92,8 +92,8 @@
 		t := c.Value
 		w.Targets = append(w.Targets, &wire.Target{
 			Id: c.Name, Revision: uint64(c.Revision), Address: t.Address, Service: t.Service, Place: t.Place,
-			Slots: uint32(t.Slots), Leaving: t.Leaving, Warm: millis(t.Warm.Sub(now)), Deleted: c.Deleted,
-			Born: t.Born,
+			Slots: uint32(t.Slots), Leaving: t.Leaving, Warm: millis(t.WarmAt.Sub(now)), Deleted: c.Deleted,
+			Born: t.StartedMillis,
 		})
 	}
 	for _, e := range n.Entries {
@@ -127,10 +127,10 @@
 	for _, t := range w.Targets {
 		v := slot.Target{
 			ID: t.Id, Address: t.Address, Service: t.Service, Place: t.Place,
-			Slots: int(t.Slots), Leaving: t.Leaving, Born: t.Born,
+			Slots: int(t.Slots), Leaving: t.Leaving, StartedMillis: t.Born,
 		}
 		if t.Warm > 0 {
-			v.Warm = now.Add(span(t.Warm))
+			v.WarmAt = now.Add(span(t.Warm))
 		}
 		n.Changes = append(n.Changes, roster.Change[slot.Target]{
 			Item: roster.Item[slot.Target]{Name: t.Id, Revision: roster.Revision(t.Revision), Value: v}, Deleted: t.Deleted,
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -134,7 +134,7 @@
 }
 
 func TestPull(t *testing.T) {
-	target := slot.Target{ID: "i-1", Address: "10.0.0.9:1", Service: "s", Place: "hall", Slots: 2, Leaving: true, Born: 1764720000000}
+	target := slot.Target{ID: "i-1", Address: "10.0.0.9:1", Service: "s", Place: "hall", Slots: 2, Leaving: true, StartedMillis: 1764720000000}
 	changes := []roster.Change[slot.Target]{
 		{Item: roster.Item[slot.Target]{Name: "i-1", Revision: 4, Value: target}},
 		{Item: roster.Item[slot.Target]{Name: "i-2", Revision: 5, Value: slot.Target{ID: "i-2"}}, Deleted: true},
--- a/pkg/pool/probe_test.go
+++ b/pkg/pool/probe_test.go
@@ -12,7 +12,7 @@
 
 func budget(now time.Time) *probe.Budget {
 	b := probe.New(probe.Config{Window: 100 * ms, Budget: 10 * ms, Cost: ms})
-	b.Share(now, probe.Share{Of: 1})
+	b.SetShare(now, probe.Share{Count: 1})
 	return b
 }
 
@@ -136,7 +136,7 @@
 	for _, test := range tests {
 		c := qt.New(t)
 		shared := probe.New(probe.Config{Window: 100 * ms, Budget: 10 * ms, Cost: ms})
-		shared.Share(start, probe.Share{Of: test.of})
+		shared.SetShare(start, probe.Share{Count: test.of})
 		b := bedOf(c, "", pool.Config{Budget: shared}, targets(4))
 		b.pool.Tick(b.now.Add(50*ms), nil)
 		b.now = b.now.Add(50 * ms)
--- a/pkg/probe/budget.go
+++ b/pkg/probe/budget.go
@@ -6,28 +6,28 @@
 
 // Config is the budget of one service.
 type Config struct {
-	Window time.Duration // Budget applies to every interval of this length
-	Budget time.Duration // target time that all entries together may spend in it
-	Cost   time.Duration // target time of one probe, and its timeout
-	Settle time.Duration // time until all entries know of a change of shares
+	Window     time.Duration // Budget applies to every interval of this length
+	Budget     time.Duration // target time that all entries together may spend in it
+	Cost       time.Duration // target time of one probe, and its timeout
+	SettleTime time.Duration // time until all entries know of a change of shares
 }
 
 // Share is one entry's share among the entries that probe a service.
 type Share struct {
-	Rank int // position among these entries, from 0
-	Of   int // number of these entries; zero means that this entry may not probe
+	Rank  int // position among these entries, from 0
+	Count int // number of these entries; zero means that this entry may not probe
 }
 
 // Budget counts whole probes. The probes of a window are divided by rank, so that a budget
 // of one probe belongs to the first entry only.
 type Budget struct {
-	cfg    Config
-	now    time.Duration // monotonic, see advance
-	last   time.Time
-	spent  []time.Duration // when the probes of the last span were sent
-	count  int             // probes that may be sent in a span
-	next   int             // limit after the change takes effect
-	change time.Duration   // when nextLimit takes effect
+	cfg         Config
+	elapsed     time.Duration // monotonic, see advance
+	lastReading time.Time
+	sent        []time.Duration // when the probes of the last span were sent
+	limit       int             // probes that may be sent in a span
+	nextLimit   int             // limit after the change takes effect
+	nextLimitAt time.Duration   // when nextLimit takes effect
 }
 
 // New returns a budget without a share.
@@ -45,27 +45,27 @@
 // budget at least once per window loses nothing by that. A clock that steps forward twice
 // within one window by almost a window isn't covered. Go's monotonic clock readings don't
 // step.
-func (b *Budget) set(now time.Time) {
-	step := now.Sub(b.last)
-	b.last = now
+func (b *Budget) advance(now time.Time) {
+	step := now.Sub(b.lastReading)
+	b.lastReading = now
 	if step > 0 && step <= b.cfg.Window {
-		b.now += step
+		b.elapsed += step
 	}
 	kept := 0
-	for _, at := range b.spent {
-		if b.now-at < b.span() {
-			b.spent[kept] = at
+	for _, at := range b.sent {
+		if b.elapsed-at < b.span() {
+			b.sent[kept] = at
 			kept++
 		}
 	}
-	b.spent = b.spent[:kept]
-	if b.now >= b.change {
-		b.count = b.next
+	b.sent = b.sent[:kept]
+	if b.elapsed >= b.nextLimitAt {
+		b.limit = b.nextLimit
 	}
 }
 
 // probesPerWindow returns the number of whole probes that the budget allows in one window.
-func (b *Budget) whole() int {
+func (b *Budget) probesPerWindow() int {
 	if b.cfg.Cost <= 0 {
 		return 0
 	}
@@ -75,38 +75,38 @@
 // SetShare sets this entry's share. A smaller share takes effect at once. A larger one takes
 // effect when the other entries have given up theirs, since both would spend the same part
 // of the budget until then.
-func (b *Budget) Share(now time.Time, s Share) {
-	b.set(now)
+func (b *Budget) SetShare(now time.Time, s Share) {
+	b.advance(now)
 	next := 0
-	if s.Of > 0 && s.Rank >= 0 && s.Rank < s.Of {
-		next = b.whole() / s.Of
-		if s.Rank < b.whole()%s.Of {
+	if s.Count > 0 && s.Rank >= 0 && s.Rank < s.Count {
+		next = b.probesPerWindow() / s.Count
+		if s.Rank < b.probesPerWindow()%s.Count {
 			next++
 		}
 	}
-	if next == b.next {
+	if next == b.nextLimit {
 		return
 	}
-	b.next = next
-	b.count = min(b.count, next)
-	b.change = b.now + b.cfg.Settle + b.span()
+	b.nextLimit = next
+	b.limit = min(b.limit, next)
+	b.nextLimitAt = b.elapsed + b.cfg.SettleTime + b.span()
 }
 
 // Take reports whether a probe may be sent now, and counts it as sent.
 func (b *Budget) Take(now time.Time) bool {
-	b.set(now)
-	if len(b.spent) >= b.count {
+	b.advance(now)
+	if len(b.sent) >= b.limit {
 		return false
 	}
-	b.spent = append(b.spent, b.now)
+	b.sent = append(b.sent, b.elapsed)
 	return true
 }
 
 // Active reports whether this entry has a share or will have one.
-func (b *Budget) Active() bool { return b.count > 0 || b.next > 0 }
+func (b *Budget) Active() bool { return b.limit > 0 || b.nextLimit > 0 }
 
 // Remaining returns the number of probes that may be sent now.
-func (b *Budget) Left(now time.Time) int {
-	b.set(now)
-	return max(b.count-len(b.spent), 0)
+func (b *Budget) Remaining(now time.Time) int {
+	b.advance(now)
+	return max(b.limit-len(b.sent), 0)
 }
--- a/pkg/quota/cold.go
+++ b/pkg/quota/cold.go
@@ -5,8 +5,8 @@
 // ColdBound is the number of requests that a cold target of a service may get within any
 // second from all entries. The zero value means no bound.
 type ColdBound struct {
-	Limited bool
-	Most    int
+	Limited      bool
+	MaxPerSecond int
 }
 
 // NewColdBound returns the bound for targets that can serve rate requests per second while
@@ -16,7 +16,7 @@
 	if rate <= 0 {
 		return ColdBound{}
 	}
-	return ColdBound{Limited: true, Most: max(int(rate*factor+slack), 1)}
+	return ColdBound{Limited: true, MaxPerSecond: max(int(rate*factor+slack), 1)}
 }
 
 const (
@@ -26,7 +26,7 @@
 	ColdSpan = time.Second + 250*time.Millisecond
 	// maxViews is the number of different views of the senders that entries may hold at the
 	// same time. The shares of one view add up to half of the bound.
-	views = 2
+	maxViews = 2
 )
 
 // NewColdShare divides a bound among this number of senders.
@@ -34,7 +34,7 @@
 	if senders <= 0 {
 		return Share{}
 	}
-	perView := max(bound.Most/views, 1)
-	holders := min(mostHolders, senders, perView)
-	return Share{Holders: holders, Each: perView / holders, Wait: ColdSpan}
+	perView := max(bound.MaxPerSecond/maxViews, 1)
+	holders := min(maxHolders, senders, perView)
+	return Share{Holders: holders, PerHolder: perView / holders, Delay: ColdSpan}
 }
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -14,22 +14,22 @@
 func TestSharesOfTwoViewsKeepTheBound(t *testing.T) {
 	for most := 2; most <= 400; most++ {
 		for senders := 1; senders <= 130; senders++ {
-			s := NewColdShare(ColdBound{Limited: true, Most: most}, senders)
-			sum := s.Holders * s.Each
-			qt.Assert(t, sum > 0 && views*sum <= most, qt.IsTrue, qt.Commentf("bound %d, %d senders: %v", most, senders, s))
+			s := NewColdShare(ColdBound{Limited: true, MaxPerSecond: most}, senders)
+			sum := s.Holders * s.PerHolder
+			qt.Assert(t, sum > 0 && maxViews*sum <= most, qt.IsTrue, qt.Commentf("bound %d, %d senders: %v", most, senders, s))
 		}
 	}
 }
 
-func TestBound(t *testing.T) {
+func TestNewColdBound(t *testing.T) {
 	tests := []struct {
 		name                string
 		rate, factor, slack float64
 		want                ColdBound
 	}{
 		{"no bound configured", 0, 1.5, 8, ColdBound{}},
-		{"whole requests", 3.4, 1.5, 8, ColdBound{Limited: true, Most: 13}},
-		{"less than one request", 0.1, 1, 0, ColdBound{Limited: true, Most: 1}},
+		{"whole requests", 3.4, 1.5, 8, ColdBound{Limited: true, MaxPerSecond: 13}},
+		{"less than one request", 0.1, 1, 0, ColdBound{Limited: true, MaxPerSecond: 1}},
 	}
 	for _, tt := range tests {
 		qt.Check(t, NewColdBound(tt.rate, tt.factor, tt.slack), qt.Equals, tt.want, qt.Commentf("%s", tt.name))
@@ -47,21 +47,21 @@
 	for target := range 200 {
 		holders := 0
 		for _, n := range names {
-			if NewSenders(names, n).Holds(Hash(fmt.Sprint("t", target)), 3) {
+			if NewSenders(names, n).IsHolder(Hash(fmt.Sprint("t", target)), 3) {
 				holders++
 			}
 		}
 		qt.Assert(t, holders, qt.Equals, 3)
-		qt.Assert(t, NewSenders(names, "other").Holds(Hash(fmt.Sprint("t", target)), 3), qt.IsFalse)
+		qt.Assert(t, NewSenders(names, "other").IsHolder(Hash(fmt.Sprint("t", target)), 3), qt.IsFalse)
 	}
 }
 
 // Requests arrive at random. The count must never be less than the number sent within the
 // span, and must be below most at the time that freeAt returns.
-func TestRecentCountsTheWholeSpan(t *testing.T) {
+func TestSlidingCounterCoversSpan(t *testing.T) {
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 5))
-		r := newRecent(ColdSpan)
+		r := newSlidingCounter(ColdSpan)
 		var sent []time.Time
 		now := time.Unix(50, 0)
 		for range 300 {
@@ -75,8 +75,8 @@
 			n := r.count(now)
 			qt.Assert(t, n >= within, qt.IsTrue, qt.Commentf("seed %d: %d of %d", seed, n, within))
 			const most = 5
-			free := r.free(now, most)
-			qt.Assert(t, free.Sub(now) <= ColdSpan+r.part, qt.IsTrue)
+			free := r.freeAt(now, most)
+			qt.Assert(t, free.Sub(now) <= ColdSpan+r.bucketWidth, qt.IsTrue)
 			later := r
 			qt.Assert(t, later.count(free) < most, qt.IsTrue, qt.Commentf("seed %d", seed))
 			r.add(now)
@@ -86,16 +86,16 @@
 }
 
 // coldSender is an entry with its view of the senders.
-type sender struct {
+type coldSender struct {
 	name  string
 	share Share
-	Ration
+	Limiter
 }
 
-func (s *sender) sees(now time.Time, b ColdBound, names []string) {
+func (s *coldSender) setView(now time.Time, b ColdBound, names []string) {
 	view := NewSenders(names, s.name)
 	s.share = NewColdShare(b, view.Len())
-	s.Deal(now, view, s.share)
+	s.Update(now, view, s.share)
 }
 
 // The owners of a cold target change, entries start, stop and learn of each other late, and
@@ -108,7 +108,7 @@
 	for seed := range uint64(seeds) {
 		rnd := rand.New(rand.NewPCG(seed, 11))
 		now := time.Unix(9, 0)
-		senders := make([]*sender, entries)
+		senders := make([]*coldSender, entries)
 		randomView := func() (names []string) {
 			for i := range entries {
 				if rnd.IntN(3) > 0 {
@@ -119,8 +119,8 @@
 		}
 		halves := [2][]string{randomView(), randomView()}
 		for i := range senders {
-			senders[i] = &sender{name: fmt.Sprint("e", i), Ration: NewRation("target", ColdSpan)}
-			senders[i].sees(now, b, halves[0])
+			senders[i] = &coldSender{name: fmt.Sprint("e", i), Limiter: NewLimiter("target", ColdSpan)}
+			senders[i].setView(now, b, halves[0])
 		}
 		pending := make(map[int]time.Time) // when an entry learns of the current view
 		half := func(int) int { return 0 }
@@ -143,20 +143,20 @@
 			}
 			for i, at := range pending {
 				if !now.Before(at) {
-					senders[i].sees(now, b, halves[half(i)])
+					senders[i].setView(now, b, halves[half(i)])
 					delete(pending, i)
 				}
 			}
 			for _, s := range senders {
-				if s.Admits(now, s.share) && rnd.IntN(2) == 0 {
-					s.Sent(now)
+				if s.Allows(now, s.share) && rnd.IntN(2) == 0 {
+					s.RecordSent(now)
 					arrivals = append(arrivals, now)
 				}
 			}
 			for len(arrivals) > 0 && now.Sub(arrivals[0]) >= time.Second {
 				arrivals = arrivals[1:]
 			}
-			qt.Assert(t, len(arrivals) <= b.Most, qt.IsTrue, qt.Commentf("seed %d: %d in a second", seed, len(arrivals)))
+			qt.Assert(t, len(arrivals) <= b.MaxPerSecond, qt.IsTrue, qt.Commentf("seed %d: %d in a second", seed, len(arrivals)))
 		}
 	}
 }
--- a/pkg/quota/ration.go
+++ b/pkg/quota/ration.go
@@ -3,50 +3,50 @@
 import "time"
 
 // Limiter bounds the requests of one entry to one target.
-type Ration struct {
-	target uint64
-	holds  bool
-	since  time.Time
-	last   time.Time
-	sent   recent
+type Limiter struct {
+	target      uint64
+	holder      bool
+	holderSince time.Time
+	lastSent    time.Time
+	sent        slidingCounter
 }
 
 // NewLimiter returns a limiter without a share for the target with this ID. It counts
 // requests over span.
-func NewRation(id string, span time.Duration) Ration {
-	return Ration{target: Hash(id), sent: newRecent(span)}
+func NewLimiter(id string, span time.Duration) Limiter {
+	return Limiter{target: Hash(id), sent: newSlidingCounter(span)}
 }
 
 // Update sets the entries that send to the target's service, which determines whether this
 // entry holds a share.
-func (l *Ration) Deal(now time.Time, senders Senders, share Share) {
-	holds := senders.Holds(l.target, share.Holders)
-	if holds && !l.holds {
-		l.since = now
+func (l *Limiter) Update(now time.Time, senders Senders, share Share) {
+	holds := senders.IsHolder(l.target, share.Holders)
+	if holds && !l.holder {
+		l.holderSince = now
 	}
-	l.holds = holds
+	l.holder = holds
 }
 
 // Allows reports whether a request may be sent.
-func (l *Ration) Admits(now time.Time, share Share) bool {
-	return l.holds && now.Sub(l.since) >= share.Wait && now.Sub(l.last) >= share.Gap && l.sent.count(now) < share.Each
+func (l *Limiter) Allows(now time.Time, share Share) bool {
+	return l.holder && now.Sub(l.holderSince) >= share.Delay && now.Sub(l.lastSent) >= share.MinInterval && l.sent.count(now) < share.PerHolder
 }
 
 // RecordSent counts a request. It has to be called for unbounded requests too: a target may
 // become cold or report a limit at any time.
-func (l *Ration) Sent(now time.Time) {
-	l.last = now
+func (l *Limiter) RecordSent(now time.Time) {
+	l.lastSent = now
 	l.sent.add(now)
 }
 
 // NextAllowed returns when a request may be sent if none is sent until then; ok is false if
 // this entry holds no share.
-func (l *Ration) Next(now time.Time, share Share) (at time.Time, ok bool) {
-	if !l.holds {
+func (l *Limiter) NextAllowed(now time.Time, share Share) (at time.Time, ok bool) {
+	if !l.holder {
 		return at, false
 	}
-	at = l.sent.free(now, share.Each)
-	for _, t := range []time.Time{l.since.Add(share.Wait), l.last.Add(share.Gap)} {
+	at = l.sent.freeAt(now, share.PerHolder)
+	for _, t := range []time.Time{l.holderSince.Add(share.Delay), l.lastSent.Add(share.MinInterval)} {
 		if t.After(at) {
 			at = t
 		}
--- a/pkg/quota/recent.go
+++ b/pkg/quota/recent.go
@@ -3,35 +3,37 @@
 import "time"
 
 // slidingCounter counts the requests to a target within a span.
-type recent struct {
-	part   time.Duration
-	counts [parts + 1]uint16
-	epoch  time.Time // beginning of bucket 0
-	last   int64     // newest bucket in counts
+type slidingCounter struct {
+	bucketWidth time.Duration
+	counts      [buckets + 1]uint16
+	epoch       time.Time // beginning of bucket 0
+	newest      int64     // newest bucket in counts
 }
 
 // buckets is the number of buckets per span. A bucket counts in full while any part of it
 // lies within the span.
-const parts = 10
+const buckets = 10
 
-func newRecent(span time.Duration) recent { return recent{part: span / parts} }
+func newSlidingCounter(span time.Duration) slidingCounter {
+	return slidingCounter{bucketWidth: span / buckets}
+}
 
 // span returns the minimum time for which a request is counted.
-func (s *recent) span() time.Duration { return parts * s.part }
+func (s *slidingCounter) span() time.Duration { return buckets * s.bucketWidth }
 
 // add counts a request.
-func (s *recent) add(now time.Time) {
+func (s *slidingCounter) add(now time.Time) {
 	if s.epoch.IsZero() {
 		s.epoch = now
 	}
 	s.advance(now)
-	if c := &s.counts[s.last%(parts+1)]; *c < 1<<16-1 {
+	if c := &s.counts[s.newest%(buckets+1)]; *c < 1<<16-1 {
 		*c++
 	}
 }
 
 // count returns the number of requests within the span, or slightly more.
-func (s *recent) count(now time.Time) (n int) {
+func (s *slidingCounter) count(now time.Time) (n int) {
 	if s.epoch.IsZero() {
 		return 0
 	}
@@ -42,31 +44,31 @@
 	return n
 }
 
-func (s *recent) advance(now time.Time) {
-	bucket := int64(now.Sub(s.epoch) / s.part)
-	if bucket-s.last > parts {
+func (s *slidingCounter) advance(now time.Time) {
+	bucket := int64(now.Sub(s.epoch) / s.bucketWidth)
+	if bucket-s.newest > buckets {
 		clear(s.counts[:])
-		s.last = bucket
+		s.newest = bucket
 	}
-	for s.last < bucket {
-		s.last++
-		s.counts[s.last%(parts+1)] = 0
+	for s.newest < bucket {
+		s.newest++
+		s.counts[s.newest%(buckets+1)] = 0
 	}
 }
 
 // freeAt returns when the count falls below most if no request is added.
-func (s *recent) free(now time.Time, most int) time.Time {
+func (s *slidingCounter) freeAt(now time.Time, most int) time.Time {
 	n := s.count(now)
 	if n < most {
 		return now
 	}
-	for bucket := s.last - parts; bucket <= s.last; bucket++ {
+	for bucket := s.newest - buckets; bucket <= s.newest; bucket++ {
 		if bucket < 0 {
 			continue
 		}
-		n -= int(s.counts[bucket%(parts+1)])
+		n -= int(s.counts[bucket%(buckets+1)])
 		if n < most {
-			return s.epoch.Add(time.Duration(bucket+parts+1) * s.part)
+			return s.epoch.Add(time.Duration(bucket+buckets+1) * s.bucketWidth)
 		}
 	}
 	return now.Add(s.span())
--- a/pkg/quota/senders.go
+++ b/pkg/quota/senders.go
@@ -39,7 +39,7 @@
 
 // IsHolder reports whether this entry is one of the given number of holders of the target
 // with this hash.
-func (s Senders) Holds(target uint64, holders int) bool {
+func (s Senders) IsHolder(target uint64, holders int) bool {
 	if !s.sends {
 		return false
 	}
--- a/pkg/slot/absent.go
+++ b/pkg/slot/absent.go
@@ -5,9 +5,9 @@
 const (
 	// absentRetention is how long the state of a target that is missing from the list is
 	// kept. It exceeds the time for which the store is unavailable or returns old data.
-	absentKept = 10 * time.Minute
+	absentRetention = 10 * time.Minute
 	// maxAbsent bounds the number of such targets.
-	absentMost = 1024
+	maxAbsent = 1024
 )
 
 // absence is a target that is missing from the list.
@@ -22,27 +22,27 @@
 
 // add keeps the state of a target that has reported something or may still do so.
 func (a absences) add(now time.Time, m *member) {
-	if !m.Leaving && m.left.IsZero() && !m.limit.named && m.inFlight == 0 && !now.Before(m.paused) {
+	if !m.Leaving && m.leavingSince.IsZero() && !m.limit.set && m.inFlight == 0 && !now.Before(m.pausedUntil) {
 		return
 	}
-	if len(a) >= absentMost {
+	if len(a) >= maxAbsent {
 		a.evict()
 	}
-	a[m.Run()] = absence{m, now}
+	a[m.Incarnation()] = absence{m, now}
 }
 
 // restore removes and returns the state of a target that is back in the list, or nil if
 // there is none.
-func (a absences) take(t Target) *member {
-	m := a[t.Run()].member
-	delete(a, t.Run())
+func (a absences) restore(t Target) *member {
+	m := a[t.Incarnation()].member
+	delete(a, t.Incarnation())
 	return m
 }
 
 // expire removes targets that have been missing for longer than absentRetention.
 func (a absences) expire(now time.Time) {
 	for incarnation, missing := range a {
-		if now.Sub(missing.since) > absentKept {
+		if now.Sub(missing.since) > absentRetention {
 			delete(a, incarnation)
 		}
 	}
--- a/pkg/slot/absent_test.go
+++ b/pkg/slot/absent_test.go
@@ -10,7 +10,7 @@
 
 // A target's reports must not be lost while it is briefly missing from the list, and must
 // not apply to another incarnation.
-func TestReportsOutliveTheList(t *testing.T) {
+func TestReportsKeptForAbsentTargets(t *testing.T) {
 	tests := []struct {
 		name    string
 		missing time.Duration
@@ -18,23 +18,23 @@
 		known   bool
 	}{
 		{"back at once", time.Second, 1, true},
-		{"back much later", absentKept + time.Minute, 1, false},
+		{"back much later", absentRetention + time.Minute, 1, false},
 		{"started again", time.Second, 2, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			h := newDesk(0)
-			list := []Target{{ID: "t0", Slots: 2, Born: 1}, {ID: "t1", Slots: 2, Born: 1}}
-			h.Targets(h.now, list, nil)
-			h.Replied(h.now, Reply{Target: "t0", Report: Report{Leaving: true, Limited: true, Limit: 2}, Well: true}, nil)
-			h.Targets(h.now, list[1:], nil)
+			h := newHarness(0)
+			list := []Target{{ID: "t0", Slots: 2, StartedMillis: 1}, {ID: "t1", Slots: 2, StartedMillis: 1}}
+			h.SetTargets(h.now, list, nil)
+			h.ProbeDone(h.now, ProbeResult{Target: "t0", Report: Report{Leaving: true, HasLimit: true, Limit: 2}, Healthy: true}, nil)
+			h.SetTargets(h.now, list[1:], nil)
 			h.now = h.now.Add(tt.missing)
-			h.Targets(h.now, list[1:], nil)
-			list[0].Born = tt.started
-			h.Targets(h.now, list, nil)
-			c.Assert(h.members["t0"].leaves(), qt.Equals, tt.known)
-			c.Assert(h.members["t0"].limit.named, qt.Equals, tt.known)
+			h.SetTargets(h.now, list[1:], nil)
+			list[0].StartedMillis = tt.started
+			h.SetTargets(h.now, list, nil)
+			c.Assert(h.members["t0"].excluded(), qt.Equals, tt.known)
+			c.Assert(h.members["t0"].limit.set, qt.Equals, tt.known)
 		})
 	}
 }
@@ -43,33 +43,33 @@
 // The report must not be lost.
 func TestReportOfAnAbsentTarget(t *testing.T) {
 	c := qt.New(t)
-	h := newDesk(2)
+	h := newHarness(2)
 	id, out := h.arrive()
-	for _, a := range pick(out, Ask) {
-		out = append(out, h.says(a.Target.ID, 1, 0)...)
+	for _, a := range actionsOf(out, SendProbe) {
+		out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 	}
-	at := pick(out, Send)[0].Target
-	h.Targets(h.now, nil, nil)
-	h.Done(h.now, End{ID: id, Report: Report{Leaving: true}}, nil)
-	h.Targets(h.now, []Target{at}, nil)
-	c.Assert(h.members[at.ID].leaves(), qt.IsTrue)
+	at := actionsOf(out, Send)[0].Target
+	h.SetTargets(h.now, nil, nil)
+	h.Done(h.now, Completion{ID: id, Report: Report{Leaving: true}}, nil)
+	h.SetTargets(h.now, []Target{at}, nil)
+	c.Assert(h.members[at.ID].excluded(), qt.IsTrue)
 }
 
 // Targets that appear and disappear continually must not accumulate beyond maxAbsent.
 func TestAbsentTargetsAreBounded(t *testing.T) {
-	h := newDesk(0)
-	for i := range 3 * absentMost {
+	h := newHarness(0)
+	for i := range 3 * maxAbsent {
 		id := fmt.Sprint("t", i)
 		h.now = h.now.Add(time.Millisecond)
-		h.Targets(h.now, []Target{{ID: id, Slots: 2}}, nil)
-		h.Replied(h.now, Reply{Target: id, Report: Report{Leaving: true}, Well: true}, nil)
+		h.SetTargets(h.now, []Target{{ID: id, Slots: 2}}, nil)
+		h.ProbeDone(h.now, ProbeResult{Target: id, Report: Report{Leaving: true}, Healthy: true}, nil)
 	}
-	qt.Assert(t, len(h.absent) <= absentMost, qt.IsTrue)
+	qt.Assert(t, len(h.absent) <= maxAbsent, qt.IsTrue)
 }
 
 // A record that is older than the one that reported that the target is leaving must not undo
 // it.
-func TestOlderRecordUndoesNoLeaving(t *testing.T) {
+func TestOlderRecordKeepsLeaving(t *testing.T) {
 	tests := []struct {
 		name    string
 		missing bool // the target is missing from the list in between
@@ -82,15 +82,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h := newDesk(0)
-			target := Target{ID: "t0", Slots: 2, Born: 1, Leaving: true}
-			h.Targets(h.now, []Target{target}, nil)
+			h := newHarness(0)
+			target := Target{ID: "t0", Slots: 2, StartedMillis: 1, Leaving: true}
+			h.SetTargets(h.now, []Target{target}, nil)
 			if tt.missing {
-				h.Targets(h.now, nil, nil)
+				h.SetTargets(h.now, nil, nil)
 			}
-			target.Leaving, target.Born = false, tt.started
-			h.Targets(h.now, []Target{target}, nil)
-			qt.Assert(t, h.members["t0"].leaves(), qt.Equals, tt.leaves)
+			target.Leaving, target.StartedMillis = false, tt.started
+			h.SetTargets(h.now, []Target{target}, nil)
+			qt.Assert(t, h.members["t0"].excluded(), qt.Equals, tt.leaves)
 		})
 	}
 }
--- a/pkg/slot/choose.go
+++ b/pkg/slot/choose.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-func (b *Book) anyOpen() bool {
-	return slices.ContainsFunc(b.order, func(m *member) bool { return !m.leaves() })
+func (b *Balancer) anyAvailable() bool {
+	return slices.ContainsFunc(b.sorted, func(m *member) bool { return !m.excluded() })
 }
 
 // inRegions reports whether the target may serve requests that are restricted to these
 // regions; none means no restriction. A target with an unknown region may be anywhere, so it
 // serves no restricted request.
-func (m *member) atHome(regions []string) bool {
+func (m *member) inRegions(regions []string) bool {
 	return len(regions) == 0 || slices.Contains(regions, m.Region)
 }
 
 // anyInRegions reports whether any available target may serve requests with these regions.
-func (b *Book) housed(regions []string) bool {
-	return len(regions) == 0 || slices.ContainsFunc(b.order, func(m *member) bool { return !m.leaves() && m.atHome(regions) })
+func (b *Balancer) anyInRegions(regions []string) bool {
+	return len(regions) == 0 || slices.ContainsFunc(b.sorted, func(m *member) bool { return !m.excluded() && m.inRegions(regions) })
 }
 
 // usable reports whether s may be dispatched to m, by the current estimate of its load.
-func (b *Book) usable(now time.Time, m *member, s *seeker) bool {
-	return m.open(now) && m.busy(now, &b.cfg) < m.Slots && b.admits(now, m) && m.atHome(s.Homes) && !slices.Contains(s.Tried, m.ID)
+func (b *Balancer) usable(now time.Time, m *member, s *pendingRequest) bool {
+	return m.acceptsRequests(now) && m.totalInFlight(now, &b.config) < m.Slots && b.admits(now, m) && m.inRegions(s.Regions) && !slices.Contains(s.Tried, m.ID)
 }
 
 // anyUsable reports whether any target may get s.
-func (b *Book) room(now time.Time, s *seeker) bool {
-	return slices.ContainsFunc(b.order, func(m *member) bool { return b.usable(now, m, s) })
+func (b *Balancer) anyUsable(now time.Time, s *pendingRequest) bool {
+	return slices.ContainsFunc(b.sorted, func(m *member) bool { return b.usable(now, m, s) })
 }
 
 // candidate is a target with the expected latency of a response from it.
@@ -41,31 +41,31 @@
 
 // candidates returns at most n targets that may get s, in order of cost. It scans all
 // targets once from a random offset, so that targets of equal cost take turns.
-func (b *Book) candidates(now time.Time, s *seeker, n int) []candidate {
+func (b *Balancer) candidates(now time.Time, s *pendingRequest, n int) []candidate {
 	list := b.scratch[:0]
-	total := len(b.order)
+	total := len(b.sorted)
 	if total == 0 || n <= 0 {
 		return nil
 	}
-	offset := b.rnd.IntN(total)
-	var stats survey
+	offset := b.rng.IntN(total)
+	var stats loadStats
 	for i := range total {
-		m := b.order[(offset+i)%total]
-		stats.add(now, m, &b.cfg)
+		m := b.sorted[(offset+i)%total]
+		stats.add(now, m, &b.config)
 		if !b.usable(now, m, s) {
 			continue
 		}
 		list = insert(list, b.candidate(now, m, s), n)
 	}
 	b.scratch = list
-	b.view = stats
+	b.stats = stats
 	return list
 }
 
-func (b *Book) candidate(now time.Time, m *member, s *seeker) candidate {
-	pace := m.estimate(now, b.mean, &b.cfg)
-	c := candidate{member: m, pace: pace, expected: m.expected(now, s.usual, pace, b.knee, &b.cfg)}
-	c.cost = b.cost(now, c)
+func (b *Balancer) candidate(now time.Time, m *member, s *pendingRequest) candidate {
+	pace := m.estimatedPace(now, b.meanPace, &b.config)
+	c := candidate{member: m, pace: pace, expected: m.expectedLatency(now, s.serviceTime, pace, b.crowdedFactor, &b.config)}
+	c.cost = b.costOf(now, c)
 	return c
 }
 
@@ -89,53 +89,53 @@
 // target is held until its connection times out half a second later, and so is every trial
 // request that the target gets after that.
 const (
-	unsureFactor = 3
-	unsureAfter  = 10 * time.Millisecond
+	unansweredPenalty = 3
+	unansweredAfter   = 10 * time.Millisecond
 )
 
-func (b *Book) cost(now time.Time, c candidate) float64 {
+func (b *Balancer) costOf(now time.Time, c candidate) float64 {
 	cost := float64(c.expected)
-	if c.Place != b.cfg.Place {
-		cost *= b.view.far()
+	if c.Place != b.config.Place {
+		cost *= b.stats.remotePenalty()
 	}
-	if c.crowded(c.busy(now, &b.cfg)) {
-		cost *= b.view.crowd()
+	if c.crowded(c.totalInFlight(now, &b.config)) {
+		cost *= b.stats.crowdedPenalty()
 	}
-	if c.asking && now.Sub(c.askedAt) >= unsureAfter {
-		cost *= unsureFactor
+	if c.probing && now.Sub(c.probedAt) >= unansweredAfter {
+		cost *= unansweredPenalty
 	}
 	return cost
 }
 
 // probe probes the most promising targets for their load.
-func (b *Book) ask(now time.Time, s *seeker, out []Action) []Action {
-	list := b.candidates(now, s, choices)
+func (b *Balancer) probe(now time.Time, s *pendingRequest, out []Action) []Action {
+	list := b.candidates(now, s, maxCandidates)
 	if len(list) == 0 {
 		return b.decide(now, s, out)
 	}
-	s.near = [choices]*member{}
+	s.shortlist = [maxCandidates]*member{}
 	for i, c := range list {
-		s.near[i] = c.member
+		s.shortlist[i] = c.member
 	}
-	s.until = now.Add(b.cfg.AskTime)
-	extra := b.more()
-	for i, c := range list[:min(len(list), max(b.cfg.Ask, 0)+extra)] {
-		if i >= b.cfg.Ask && !c.unknown(now, &b.cfg) {
+	s.probeDeadline = now.Add(b.config.ProbeTimeout)
+	extra := b.extraProbes()
+	for i, c := range list[:min(len(list), max(b.config.Probes, 0)+extra)] {
+		if i >= b.config.Probes && !c.loadUnknown(now, &b.config) {
 			continue
 		}
-		if c.mute || c.loads && now.Sub(c.told) < askFresh {
+		if c.omitsLoad || c.loadKnown && now.Sub(c.loadAt) < freshLoadAge {
 			continue
 		}
-		s.pending++
-		s.asked++
-		c.askers = append(c.askers, s)
-		if c.asking {
+		s.outstanding++
+		s.probed++
+		c.probeWaiters = append(c.probeWaiters, s)
+		if c.probing {
 			continue
 		}
-		c.asking, c.askedAt = true, now
-		out = append(out, Action{Do: Ask, Target: c.Target})
+		c.probing, c.probedAt = true, now
+		out = append(out, Action{Kind: SendProbe, Target: c.Target})
 	}
-	if s.pending == 0 {
+	if s.outstanding == 0 {
 		return b.decide(now, s, out)
 	}
 	return out
@@ -143,38 +143,38 @@
 
 // freshLoadAge is the age up to which a load report makes a probe unnecessary. It is a
 // fifteenth of the time in which the pace changes.
-const askFresh = 10 * time.Millisecond
+const freshLoadAge = 10 * time.Millisecond
 
 // A target is ideal when its pace is normal and its responses took no longer than that pace
 // predicts. Both bounds lie within the variation from one response to the next.
 const (
-	idealPace = 1.1
-	idealSlow = 1.5
+	maxIdealPace         = 1.1
+	maxIdealLatencyRatio = 1.5
 )
 
 // ideal reports whether m has just reported that it is idle and that its pace is normal. No
 // other answer can change the choice then.
-func (b *Book) ideal(now time.Time, m *member, s *seeker) bool {
-	idle := b.usable(now, m, s) && m.busy(now, &b.cfg) == 0
-	return idle && m.pace <= idealPace && m.slower(now) < idealSlow && !m.isCold(now)
+func (b *Balancer) ideal(now time.Time, m *member, s *pendingRequest) bool {
+	idle := b.usable(now, m, s) && m.totalInFlight(now, &b.config) == 0
+	return idle && m.pace <= maxIdealPace && m.currentLatencyRatio(now) < maxIdealLatencyRatio && !m.isCold(now)
 }
 
 // decide dispatches s to the acceptable target with the lowest cost.
-func (b *Book) decide(now time.Time, s *seeker, out []Action) []Action {
-	s.pending = 0
-	m := b.firstGood(now, s, b.nearest(now, s))
+func (b *Balancer) decide(now time.Time, s *pendingRequest, out []Action) []Action {
+	s.outstanding = 0
+	m := b.firstAcceptable(now, s, b.refreshShortlist(now, s))
 	if m == nil {
-		m = b.firstGood(now, s, b.candidates(now, s, choices))
+		m = b.firstAcceptable(now, s, b.candidates(now, s, maxCandidates))
 	}
 	if m == nil {
-		return b.settle(now, s, out)
+		return b.waitOrRefuse(now, s, out)
 	}
-	return b.send(now, s, m, out)
+	return b.dispatch(now, s, m, out)
 }
 
-func (b *Book) firstGood(now time.Time, s *seeker, list []candidate) *member {
+func (b *Balancer) firstAcceptable(now time.Time, s *pendingRequest, list []candidate) *member {
 	for _, c := range list {
-		if b.good(now, c, s) {
+		if b.acceptable(now, c, s) {
 			return c.member
 		}
 	}
@@ -184,11 +184,11 @@
 // refreshShortlist returns the shortlist of s with current costs. Little else changes while
 // the probes are answered, so a second scan of all targets is needed only when none of these
 // is acceptable. That scan takes half of the time of a decision with 250 targets.
-func (b *Book) nearest(now time.Time, s *seeker) []candidate {
+func (b *Balancer) refreshShortlist(now time.Time, s *pendingRequest) []candidate {
 	list := b.scratch[:0]
-	for _, m := range s.near {
+	for _, m := range s.shortlist {
 		if m != nil && b.members[m.ID] == m && b.usable(now, m, s) {
-			list = insert(list, b.candidate(now, m, s), choices)
+			list = insert(list, b.candidate(now, m, s), maxCandidates)
 		}
 	}
 	b.scratch = list
@@ -198,12 +198,12 @@
 // maxCandidates is the number of candidates that a decision considers. The first is nearly
 // always chosen. The others are needed when a target can't take a second request, and for
 // extra probes when the load of many targets is unknown.
-const choices = 12
+const maxCandidates = 12
 
 // acceptable reports whether the target is expected to answer s within its objective. A
 // second request at a slow target would delay both for long.
-func (b *Book) good(now time.Time, c candidate, s *seeker) bool {
-	if c.busy(now, &b.cfg) > 0 && c.pace > b.cfg.Slow {
+func (b *Balancer) acceptable(now time.Time, c candidate, s *pendingRequest) bool {
+	if c.totalInFlight(now, &b.config) > 0 && c.pace > b.config.SlowPace {
 		return false
 	}
 	return !now.Add(c.expected).After(s.Objective)
@@ -212,20 +212,20 @@
 // waitOrRefuse handles a request for which no target is acceptable. It is queued while it
 // can still meet its objective. After that it is dispatched late to an idle target, or
 // refused.
-func (b *Book) settle(now time.Time, s *seeker, out []Action) []Action {
+func (b *Balancer) waitOrRefuse(now time.Time, s *pendingRequest, out []Action) []Action {
 	if s.Hedge {
 		return b.refuse(s, Full, 0, out)
 	}
-	if now.Add(s.usual).Before(s.Objective) {
-		return b.wait(now, s, out)
+	if now.Add(s.serviceTime).Before(s.Objective) {
+		return b.enqueue(now, s, out)
 	}
-	for _, c := range b.candidates(now, s, choices) {
-		if c.busy(now, &b.cfg) == 0 && c.pace <= b.cfg.Slow && now.Add(c.expected).Before(s.Deadline) {
-			return b.send(now, s, c.member, out)
+	for _, c := range b.candidates(now, s, maxCandidates) {
+		if c.totalInFlight(now, &b.config) == 0 && c.pace <= b.config.SlowPace && now.Add(c.expected).Before(s.Deadline) {
+			return b.dispatch(now, s, c.member, out)
 		}
 	}
-	if reason, retryAfter, ok := b.hopeless(now, s); ok {
+	if reason, retryAfter, ok := b.throttledPastObjective(now, s); ok {
 		return b.refuse(s, reason, retryAfter, out)
 	}
-	return b.refuse(s, Full, b.retry(s.usual), out)
+	return b.refuse(s, Full, b.retryDelay(s.serviceTime), out)
 }
--- a/pkg/slot/cold_test.go
+++ b/pkg/slot/cold_test.go
@@ -14,12 +14,12 @@
 // newColdHarness returns a balancer for targets that can serve 3.4 requests per second for
 // 3 s after a start. The bound is 13 requests within a second, and this entry is the only
 // sender.
-func warmDesk(list []Target) *desk {
-	h := newDesk(0)
-	h.Warmup(h.now, Warmup{Bound: quota.NewColdBound(3.4, 1.5, 8), Time: 3 * time.Second})
-	h.Senders(h.now, quota.NewSenders([]string{"a"}, "a"))
+func newColdHarness(list []Target) *harness {
+	h := newHarness(0)
+	h.SetWarmup(h.now, Warmup{Bound: quota.NewColdBound(3.4, 1.5, 8), Duration: 3 * time.Second})
+	h.SetSenders(h.now, quota.NewSenders([]string{"a"}, "a"))
 	h.now = h.now.Add(2 * quota.ColdSpan)
-	h.Targets(h.now, list, nil)
+	h.SetTargets(h.now, list, nil)
 	h.now = h.now.Add(2 * quota.ColdSpan)
 	return h
 }
@@ -27,71 +27,71 @@
 // step submits a request and completes those that have run for serviceTime. Probed targets
 // report that they are idle, and the rest of their warm-up unless cold returns a negative
 // duration.
-func (h *desk) serve(cold func(id string) time.Duration) (sent, refused []Action) {
+func (h *harness) step(cold func(id string) time.Duration) (sent, refused []Action) {
 	var out []Action
-	for id, d := range h.flights {
-		if h.now.Sub(d.sent) >= h.work {
-			out = h.Done(h.now, End{ID: id, Report: Report{Load: Load{Running: d.member.inFlight, Slots: 2, Pace: 1}, Loaded: true}}, out)
+	for id, d := range h.dispatches {
+		if h.now.Sub(d.sent) >= h.serviceTime {
+			out = h.Done(h.now, Completion{ID: id, Report: Report{Load: Load{Running: d.member.inFlight, Slots: 2, Pace: 1}, HasLoad: true}}, out)
 		}
 	}
 	out = h.Tick(h.now, out)
 	_, submitted := h.arrive()
 	out = append(out, submitted...)
-	for _, a := range pick(out, Ask) {
+	for _, a := range actionsOf(out, SendProbe) {
 		remaining := cold(a.Target.ID)
-		out = append(out, h.Replied(h.now, Reply{
-			Target: a.Target.ID, Report: Report{Load: Load{Running: h.members[a.Target.ID].inFlight, Slots: 2, Pace: 1}, Loaded: true},
-			Well: true, Cold: remaining, Warmth: remaining >= 0,
+		out = append(out, h.ProbeDone(h.now, ProbeResult{
+			Target: a.Target.ID, Report: Report{Load: Load{Running: h.members[a.Target.ID].inFlight, Slots: 2, Pace: 1}, HasLoad: true},
+			Healthy: true, ColdFor: remaining, ColdKnown: remaining >= 0,
 		}, nil)...)
 	}
-	return pick(out, Send), pick(out, Refuse)
+	return actionsOf(out, Send), actionsOf(out, Refuse)
 }
 
 // The targets of a failure domain come back cold while the load exceeds what the warm ones
 // can serve. No cold target may get more than its bound within any second, whichever way the
 // balancer learns that it is cold. Above the bound it would crash with all requests that it
 // runs.
-func TestColdTargetsGetWhatTheyBear(t *testing.T) {
+func TestColdTargetsStayWithinBound(t *testing.T) {
 	const most, work, cold = 13, 10 * time.Millisecond, 4
 	reported := func(remaining time.Duration) time.Duration { return remaining }
 	unreported := func(time.Duration) time.Duration { return -1 }
 	tests := []struct {
 		name     string
-		makeCold func(h *desk)                               // makes the first targets cold
+		makeCold func(h *harness)                            // makes the first targets cold
 		reports  func(remaining time.Duration) time.Duration // what they report when they are probed
 	}{
-		{"reported by records", func(h *desk) {
+		{"reported by records", func(h *harness) {
 			list := targets(cold+1, 0)
 			for i := range cold {
-				list[i].Warm = h.now.Add(3 * time.Second)
+				list[i].WarmAt = h.now.Add(3 * time.Second)
 			}
-			h.Targets(h.now, list, nil)
+			h.SetTargets(h.now, list, nil)
 		}, unreported},
-		{"reported by probe answers only", func(*desk) {}, reported},
-		{"evacuation ended, not reported", func(h *desk) {
-			h.Targets(h.now, targets(cold+1, cold), nil)
+		{"reported by probe answers only", func(*harness) {}, reported},
+		{"evacuation ended, not reported", func(h *harness) {
+			h.SetTargets(h.now, targets(cold+1, cold), nil)
 			h.now = h.now.Add(5 * time.Second)
-			h.Targets(h.now, targets(cold+1, 0), nil)
+			h.SetTargets(h.now, targets(cold+1, 0), nil)
 		}, unreported},
-		{"restarted under the same IDs", func(h *desk) {
+		{"restarted under the same IDs", func(h *harness) {
 			list := targets(cold+1, 0)
 			for i := range cold {
-				list[i].Born, list[i].Warm = 7, h.now.Add(3*time.Second)
+				list[i].StartedMillis, list[i].WarmAt = 7, h.now.Add(3*time.Second)
 			}
-			h.Targets(h.now, list, nil)
+			h.SetTargets(h.now, list, nil)
 		}, reported},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			h := warmDesk(targets(cold+1, 0))
-			h.work = work
+			h := newColdHarness(targets(cold+1, 0))
+			h.serviceTime = work
 			for range 500 {
 				h.now = h.now.Add(work)
-				h.serve(func(string) time.Duration { return 0 })
+				h.step(func(string) time.Duration { return 0 })
 			}
-			for id := range h.flights {
-				h.Done(h.now, End{ID: id, Kind: Cancelled}, nil)
+			for id := range h.dispatches {
+				h.Done(h.now, Completion{ID: id, Outcome: Cancelled}, nil)
 			}
 			h.now = h.now.Add(2 * quota.ColdSpan)
 			tt.makeCold(h)
@@ -100,7 +100,7 @@
 			warm := 0
 			for h.now.Before(until) {
 				h.now = h.now.Add(3 * time.Millisecond)
-				sent, _ := h.serve(func(id string) time.Duration {
+				sent, _ := h.step(func(id string) time.Duration {
 					if id == "t4" {
 						return 0
 					}
@@ -130,46 +130,46 @@
 func TestAllCold(t *testing.T) {
 	c := qt.New(t)
 	list := targets(2, 0)
-	h := warmDesk(nil)
+	h := newColdHarness(nil)
 	for i := range list {
-		list[i].Warm = h.now.Add(time.Minute)
+		list[i].WarmAt = h.now.Add(time.Minute)
 	}
-	h.Targets(h.now, list, nil)
+	h.SetTargets(h.now, list, nil)
 	h.now = h.now.Add(2 * quota.ColdSpan)
 	served, refusals := 0, 0
 	began := h.now
 	for h.now.Sub(began) < 10*time.Second {
 		h.now = h.now.Add(10 * time.Millisecond)
-		sent, refused := h.serve(func(string) time.Duration { return time.Minute })
+		sent, refused := h.step(func(string) time.Duration { return time.Minute })
 		served += len(sent)
 		refusals += len(refused)
 		for _, a := range refused {
 			c.Assert(a.Reason, qt.Not(qt.Equals), NoTarget)
-			c.Assert(a.Retry > 0 && a.Retry < 2*quota.ColdSpan, qt.IsTrue, qt.Commentf("%v", a.Retry))
+			c.Assert(a.RetryAfter > 0 && a.RetryAfter < 2*quota.ColdSpan, qt.IsTrue, qt.Commentf("%v", a.RetryAfter))
 		}
 	}
-	pending, _ := h.Len()
+	pending, _ := h.RequestCounts()
 	c.Assert(served+refusals+pending, qt.Equals, 1000, qt.Commentf("each is served or refused at once"))
 	c.Assert(served >= 80, qt.IsTrue, qt.Commentf("%d", served))
 }
 
 // Two requests wait for the only target, which is cold and has used up its share. The more
 // urgent one, which arrived last, must be dispatched first.
-func TestUrgentFirstAtAColdTarget(t *testing.T) {
+func TestUrgentRequestFirstAtColdTarget(t *testing.T) {
 	c := qt.New(t)
-	h := warmDesk(nil)
+	h := newColdHarness(nil)
 	list := targets(1, 0)
-	list[0].Warm = h.now.Add(time.Minute)
-	h.Targets(h.now, list, nil)
+	list[0].WarmAt = h.now.Add(time.Minute)
+	h.SetTargets(h.now, list, nil)
 	h.now = h.now.Add(2 * quota.ColdSpan)
 	for range 13 {
 		h.now = h.now.Add(time.Millisecond)
-		h.members["t0"].ration.Sent(h.now)
+		h.members["t0"].coldLimiter.RecordSent(h.now)
 	}
 	for _, priority := range []int{2, 0} {
-		h.last++
-		out := h.Arrive(h.now, Request{
-			ID: h.last, Arrived: h.now, Objective: h.now.Add(5 * time.Second), Deadline: h.now.Add(6 * time.Second), Priority: priority,
+		h.lastID++
+		out := h.Submit(h.now, Request{
+			ID: h.lastID, Arrived: h.now, Objective: h.now.Add(5 * time.Second), Deadline: h.now.Add(6 * time.Second), Priority: priority,
 		}, nil)
 		c.Assert(out, qt.HasLen, 0)
 	}
@@ -178,28 +178,28 @@
 		if len(sent) > 0 {
 			break
 		}
-		h.now = h.Next()
+		h.now = h.NextTick()
 		out := h.Tick(h.now, nil)
-		for _, a := range pick(out, Ask) {
-			out = append(out, h.says(a.Target.ID, 1, 0)...)
+		for _, a := range actionsOf(out, SendProbe) {
+			out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 		}
-		sent = pick(out, Send)
+		sent = actionsOf(out, Send)
 	}
-	c.Assert(sent[0].ID, qt.Equals, h.last)
+	c.Assert(sent[0].ID, qt.Equals, h.lastID)
 }
 
 // An isolated entry must send nothing to a cold target, since the other entries use its
 // bound.
-func TestEntryThatIsCutOffLeavesColdTargets(t *testing.T) {
+func TestIsolatedEntrySkipsColdTargets(t *testing.T) {
 	c := qt.New(t)
 	list := targets(4, 0)
-	h := warmDesk(nil)
-	list[0].Warm = h.now.Add(time.Minute)
-	h.Targets(h.now, list, nil)
-	h.Senders(h.now, quota.NewSenders(nil, "a"))
+	h := newColdHarness(nil)
+	list[0].WarmAt = h.now.Add(time.Minute)
+	h.SetTargets(h.now, list, nil)
+	h.SetSenders(h.now, quota.NewSenders(nil, "a"))
 	for range 500 {
 		h.now = h.now.Add(10 * time.Millisecond)
-		sent, _ := h.serve(func(id string) time.Duration {
+		sent, _ := h.step(func(id string) time.Duration {
 			if id == "t0" {
 				return time.Minute
 			}
@@ -212,7 +212,7 @@
 
 // A warm target becomes cold again under the same ID. The record of that must not count as
 // equivalent, and one that repeats the same warm-up must.
-func TestColdAgainMatters(t *testing.T) {
+func TestEquivalentDetectsNewWarmup(t *testing.T) {
 	at := start.Add(3 * time.Second)
 	tests := []struct {
 		name   string
@@ -227,7 +227,7 @@
 		{"cold again", at, at.Add(4 * time.Second), false},
 	}
 	for _, tt := range tests {
-		qt.Check(t, Same(Target{Warm: tt.before}, Target{Warm: tt.after}), qt.Equals, tt.same, qt.Commentf("%s", tt.name))
+		qt.Check(t, Equivalent(Target{WarmAt: tt.before}, Target{WarmAt: tt.after}), qt.Equals, tt.same, qt.Commentf("%s", tt.name))
 	}
 }
 
@@ -235,13 +235,13 @@
 // warm and in use, 14 us if 100 are evacuated and 50 cold, with 3 allocations each. Without
 // the checks of evacuations and shares, it takes 18.6 us and 3 allocations if all are in
 // use.
-func BenchmarkArriveEvacuatedAndCold(b *testing.B) {
+func BenchmarkSubmitEvacuatedAndCold(b *testing.B) {
 	for _, bb := range []struct {
 		name            string
 		evacuated, cold int
 	}{{"all", 0, 0}, {"some", 100, 50}} {
 		b.Run(bb.name, func(b *testing.B) {
-			h := newDesk(0)
+			h := newHarness(0)
 			h.now = time.Now()
 			var names []string
 			for i := range 12 {
@@ -249,24 +249,24 @@
 			}
 			list := targets(300, bb.evacuated)
 			for i := range list[:bb.evacuated+bb.cold] {
-				list[i].Warm = h.now.Add(time.Hour)
+				list[i].WarmAt = h.now.Add(time.Hour)
 			}
-			h.Warmup(h.now, Warmup{Bound: quota.NewColdBound(3.4, 1.5, 8), Time: 3 * time.Second})
-			h.Senders(h.now, quota.NewSenders(names, "e0"))
-			h.Targets(h.now, list, nil)
+			h.SetWarmup(h.now, Warmup{Bound: quota.NewColdBound(3.4, 1.5, 8), Duration: 3 * time.Second})
+			h.SetSenders(h.now, quota.NewSenders(names, "e0"))
+			h.SetTargets(h.now, list, nil)
 			rnd := rand.New(rand.NewPCG(4, 4))
 			for i := range list {
-				h.says(list[i].ID, 1+rnd.Float64(), 0)
+				h.replyLoad(list[i].ID, 1+rnd.Float64(), 0)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				id, out := h.arrive()
 				for _, a := range out {
-					if a.Do == Ask {
-						h.says(a.Target.ID, 1, 0)
+					if a.Kind == SendProbe {
+						h.replyLoad(a.Target.ID, 1, 0)
 					}
 				}
-				h.Done(h.now, End{ID: id}, nil)
+				h.Done(h.now, Completion{ID: id}, nil)
 			}
 		})
 	}
--- a/pkg/slot/config.go
+++ b/pkg/slot/config.go
@@ -4,54 +4,54 @@
 
 // Config configures a Balancer. Zero fields take the defaults.
 type Config struct {
-	Place    string        // failure domain of this entry; its targets are preferred
-	Ask      int           // probes per request; 0 takes the default, a negative value disables probes
-	AskTime  time.Duration // longest wait for the answers to probes
-	Usual    time.Duration // baseline service time before any is measured
-	Knee     float64       // increase of the service time at a crowded target before any is measured
-	Slow     float64       // targets are slow above this pace
-	Hold     time.Duration // age at which a load report has lost half of its weight
-	PauseMin time.Duration // first ejection of a failing target; doubles with each failed trial request
-	PauseMax time.Duration
+	Place                string        // failure domain of this entry; its targets are preferred
+	Probes               int           // probes per request; 0 takes the default, a negative value disables probes
+	ProbeTimeout         time.Duration // longest wait for the answers to probes
+	InitialServiceTime   time.Duration // baseline service time before any is measured
+	InitialCrowdedFactor float64       // increase of the service time at a crowded target before any is measured
+	SlowPace             float64       // targets are slow above this pace
+	LoadHalfLife         time.Duration // age at which a load report has lost half of its weight
+	MinEjection          time.Duration // first ejection of a failing target; doubles with each failed trial request
+	MaxEjection          time.Duration
 }
 
 // Defaults. With two slots per target, these values serve most requests within the
 // objective.
 const (
-	defaultAsk     = 4
-	defaultAskTime = 20 * time.Millisecond
-	defaultUsual   = 60 * time.Millisecond
-	defaultKnee    = 1.7
-	defaultSlow    = 1.6
-	defaultHold    = 75 * time.Millisecond
-	defaultPause   = 500 * time.Millisecond
-	defaultLongest = 4 * time.Second
+	defaultProbes        = 4
+	defaultProbeTimeout  = 20 * time.Millisecond
+	defaultServiceTime   = 60 * time.Millisecond
+	defaultCrowdedFactor = 1.7
+	defaultSlowPace      = 1.6
+	defaultLoadHalfLife  = 75 * time.Millisecond
+	defaultMinEjection   = 500 * time.Millisecond
+	defaultMaxEjection   = 4 * time.Second
 )
 
 func (c Config) withDefaults() Config {
-	if c.Ask == 0 {
-		c.Ask = defaultAsk
+	if c.Probes == 0 {
+		c.Probes = defaultProbes
 	}
-	if c.AskTime <= 0 {
-		c.AskTime = defaultAskTime
+	if c.ProbeTimeout <= 0 {
+		c.ProbeTimeout = defaultProbeTimeout
 	}
-	if c.Usual <= 0 {
-		c.Usual = defaultUsual
+	if c.InitialServiceTime <= 0 {
+		c.InitialServiceTime = defaultServiceTime
 	}
-	if c.Knee <= 0 {
-		c.Knee = defaultKnee
+	if c.InitialCrowdedFactor <= 0 {
+		c.InitialCrowdedFactor = defaultCrowdedFactor
 	}
-	if c.Slow <= 0 {
-		c.Slow = defaultSlow
+	if c.SlowPace <= 0 {
+		c.SlowPace = defaultSlowPace
 	}
-	if c.Hold <= 0 {
-		c.Hold = defaultHold
+	if c.LoadHalfLife <= 0 {
+		c.LoadHalfLife = defaultLoadHalfLife
 	}
-	if c.PauseMin <= 0 {
-		c.PauseMin = defaultPause
+	if c.MinEjection <= 0 {
+		c.MinEjection = defaultMinEjection
 	}
-	if c.PauseMax <= 0 {
-		c.PauseMax = defaultLongest
+	if c.MaxEjection <= 0 {
+		c.MaxEjection = defaultMaxEjection
 	}
 	return c
 }
--- a/pkg/slot/doc.go
+++ b/pkg/slot/doc.go
@@ -29,15 +29,15 @@
 	// Evacuated reports whether the operator has evacuated the target's failure domain. It
 	// isn't part of the target's own record.
 	Evacuated bool
-	Warm      time.Time // end of the warm-up, during which the service time is higher
+	WarmAt    time.Time // end of the warm-up, during which the service time is higher
 	// StartedMillis is the start of this incarnation in Unix milliseconds, 0 if unknown. A
 	// target may restart under the same ID.
-	Born int64
+	StartedMillis int64
 }
 
 // Incarnation returns a name that is unique to this incarnation of the target.
-func (t Target) Run() string {
-	return t.ID + "@" + strconv.FormatInt(t.Born, 10)
+func (t Target) Incarnation() string {
+	return t.ID + "@" + strconv.FormatInt(t.StartedMillis, 10)
 }
 
 // Evacuation excludes the targets of a failure domain from new requests. It is stored under
@@ -45,17 +45,17 @@
 type Evacuation struct{}
 
 // EquivalentEvacuations reports whether two evacuations are the same for every decision.
-func SameEvacuation(Evacuation, Evacuation) bool { return true }
+func EquivalentEvacuations(Evacuation, Evacuation) bool { return true }
 
 // warmupTolerance bounds the difference between two reports of the end of the same warm-up.
 // Each report counts from the time at which it was read.
-const warmNoise = 1500 * time.Millisecond
+const warmupTolerance = 1500 * time.Millisecond
 
 // Equivalent reports whether b, the record that follows a, is the same for every decision. A
 // warm-up that has begun again makes a difference: a running target may become cold again.
-func Same(a, b Target) bool {
-	cold := b.Warm.Sub(a.Warm) > warmNoise
-	a.Warm, b.Warm = time.Time{}, time.Time{}
+func Equivalent(a, b Target) bool {
+	cold := b.WarmAt.Sub(a.WarmAt) > warmupTolerance
+	a.WarmAt, b.WarmAt = time.Time{}, time.Time{}
 	a.Evacuated, b.Evacuated = false, false
 	a.Region, b.Region = "", ""
 	return a == b && !cold
--- a/pkg/slot/event.go
+++ b/pkg/slot/event.go
@@ -9,55 +9,55 @@
 	Objective time.Time // a response has its full value until then
 	Deadline  time.Time // a response is useless after it
 	Priority  int       // 0 is the most urgent
-	Homes     []string  // regions whose targets may serve it; empty for all
+	Regions   []string  // regions whose targets may serve it; empty for all
 	Tried     []string  // IDs of targets that failed it and may not get it again
 	Hedge     bool      // it is dispatched without a wait in the queue, or refused
 	Class     string    // requests of one class have similar service times
 }
 
 // Outcome is how a request ended at its target.
-type Kind uint8
+type Outcome uint8
 
 // Outcomes of a request at a target.
 const (
-	Served    Kind = iota // successful response
-	Failed                // response with a server error
-	Shed                  // refused by the target and certainly not run
-	Lost                  // the connection failed, or the response was incomplete
-	TimedOut              // no response in time
-	Cancelled             // the caller left, or another response came first
+	Served    Outcome = iota // successful response
+	Failed                   // response with a server error
+	Shed                     // refused by the target and certainly not run
+	Lost                     // the connection failed, or the response was incomplete
+	TimedOut                 // no response in time
+	Cancelled                // the caller left, or another response came first
 )
 
 // Completion is the end of a request at a target.
-type End struct {
-	ID     uint64
-	Kind   Kind
-	Report Report
-	Moved  bool // another target now has this address
+type Completion struct {
+	ID            uint64
+	Outcome       Outcome
+	Report        Report
+	AddressReused bool // another target now has this address
 }
 
 // ProbeResult is the end of a load probe.
-type Reply struct {
-	Target string
-	Report Report
-	Well   bool          // the target answered and reported that it is healthy
-	Cold   time.Duration // rest of its warm-up
-	Warmth bool          // whether ColdFor was reported
+type ProbeResult struct {
+	Target    string
+	Report    Report
+	Healthy   bool          // the target answered and reported that it is healthy
+	ColdFor   time.Duration // rest of its warm-up
+	ColdKnown bool          // whether ColdFor was reported
 }
 
 // ActionKind is what the caller of the balancer has to do.
-type Do uint8
+type ActionKind uint8
 
 // Kinds of actions. Those with the prefix Note only announce a change.
 const (
-	Ask    Do = iota + 1 // probe Target for its load; ProbeDone has to be called in any case
-	Send                 // send request ID to Target
-	Refuse               // refuse request ID
-	Rest                 // Target was ejected because it fails requests
-	Back                 // Target gets requests again
-	Leaves               // Target has reported that it is leaving
-	Limit                // Target has reported a new limit, or none any more
-	Pause                // Target has asked this entry to pause for RetryAfter
+	SendProbe      ActionKind = iota + 1 // probe Target for its load; ProbeDone has to be called in any case
+	Send                                 // send request ID to Target
+	Refuse                               // refuse request ID
+	NoteEjected                          // Target was ejected because it fails requests
+	NoteReadmitted                       // Target gets requests again
+	NoteLeaving                          // Target has reported that it is leaving
+	NoteLimit                            // Target has reported a new limit, or none any more
+	NotePause                            // Target has asked this entry to pause for RetryAfter
 )
 
 // Reason is why a request was refused.
@@ -73,35 +73,35 @@
 	Limited         // all targets are at their bounds, at least one of them at a limit that it reports
 )
 
-var reasons = [...]string{"none", "full", "notarget", "cold", "paused", "limited"}
+var reasonNames = [...]string{"none", "full", "notarget", "cold", "paused", "limited"}
 
 // String returns the name of the reason as one word.
 func (r Reason) String() string {
-	if int(r) >= len(reasons) {
-		return reasons[0]
+	if int(r) >= len(reasonNames) {
+		return reasonNames[0]
 	}
-	return reasons[r]
+	return reasonNames[r]
 }
 
 // Action is something that the caller of the balancer has to do.
 type Action struct {
-	Do     Do
-	ID     uint64
-	Target Target
-	Reason Reason        // for Refuse
-	Retry  time.Duration // for Refuse: when a retry is likely to succeed; for NotePause: length of the pause
-	Why    Why           // for Send
-	Rate   float64       // for NoteLimit: requests per second
-	Named  bool          // for NoteLimit: whether the target has a limit
+	Kind       ActionKind
+	ID         uint64
+	Target     Target
+	Reason     Reason        // for Refuse
+	RetryAfter time.Duration // for Refuse: when a retry is likely to succeed; for NotePause: length of the pause
+	Decision   Decision      // for Send
+	Rate       float64       // for NoteLimit: requests per second
+	HasLimit   bool          // for NoteLimit: whether the target has a limit
 }
 
 // Decision holds the inputs of the choice of a target, for the log.
-type Why struct {
-	InFlight int           // requests at the target, not counting this one
-	Told     bool          // whether the target has reported its load
-	Pace     float64       // from the last load report
-	Age      time.Duration // age of that report
-	Expected time.Duration // expected latency
-	Asked    int           // targets that were probed
-	Waited   time.Duration // time since the request arrived
+type Decision struct {
+	InFlight  int           // requests at the target, not counting this one
+	LoadKnown bool          // whether the target has reported its load
+	Pace      float64       // from the last load report
+	LoadAge   time.Duration // age of that report
+	Expected  time.Duration // expected latency
+	Probed    int           // targets that were probed
+	Waited    time.Duration // time since the request arrived
 }
--- a/pkg/slot/homes_test.go
+++ b/pkg/slot/homes_test.go
@@ -10,39 +10,39 @@
 // Requests with regions arrive while every target there is busy, and idle targets elsewhere
 // could answer at once. They must wait, be served late or be refused, but not go to another
 // region. If no target is in their regions, they must be refused at once.
-func TestRequestsStayAtHome(t *testing.T) {
+func TestRequestsStayInTheirRegions(t *testing.T) {
 	c := qt.New(t)
-	h := newDesk(0)
-	h.Targets(h.now, []Target{
+	h := newHarness(0)
+	h.SetTargets(h.now, []Target{
 		{ID: "t0", Slots: 2, Region: "metro"}, {ID: "t1", Slots: 2, Region: "river"}, {ID: "t2", Slots: 2},
 	}, nil)
 	arrive := func(homes ...string) []Action {
-		h.last++
-		out := h.Arrive(h.now, Request{
-			ID: h.last, Arrived: h.now, Objective: h.now.Add(200 * time.Millisecond), Deadline: h.now.Add(time.Second), Homes: homes,
+		h.lastID++
+		out := h.Submit(h.now, Request{
+			ID: h.lastID, Arrived: h.now, Objective: h.now.Add(200 * time.Millisecond), Deadline: h.now.Add(time.Second), Regions: homes,
 		}, nil)
-		for _, a := range pick(out, Ask) {
-			out = append(out, h.says(a.Target.ID, 1, 0)...)
+		for _, a := range actionsOf(out, SendProbe) {
+			out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 		}
 		return out
 	}
 	for i := range 40 {
 		h.now = h.now.Add(10 * time.Millisecond)
 		out := append(arrive("metro"), h.Tick(h.now, nil)...)
-		for _, a := range append(pick(out, Send), pick(out, Ask)...) {
+		for _, a := range append(actionsOf(out, Send), actionsOf(out, SendProbe)...) {
 			c.Assert(a.Target.ID, qt.Equals, "t0", qt.Commentf("request %d", i))
 		}
 	}
-	refused := pick(arrive("nowhere"), Refuse)
+	refused := actionsOf(arrive("nowhere"), Refuse)
 	c.Assert(refused, qt.HasLen, 1)
 	c.Assert(refused[0].Reason, qt.Equals, NoTarget)
 	out := arrive()
 	for range 3 {
-		h.now = h.now.Add(askAgain)
+		h.now = h.now.Add(reprobeInterval)
 		out = h.Tick(h.now, out)
-		for _, a := range pick(out, Ask) {
-			out = append(out, h.says(a.Target.ID, 1, 0)...)
+		for _, a := range actionsOf(out, SendProbe) {
+			out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 		}
 	}
-	c.Assert(pick(out, Send), qt.HasLen, 1, qt.Commentf("one without homes goes anywhere"))
+	c.Assert(actionsOf(out, Send), qt.HasLen, 1, qt.Commentf("one without homes goes anywhere"))
 }
--- a/pkg/slot/limit_test.go
+++ b/pkg/slot/limit_test.go
@@ -11,50 +11,50 @@
 )
 
 // limitHarness is a harness whose targets report limits, in requests per second.
-type needy struct {
-	*desk
+type limitHarness struct {
+	*harness
 	limits map[string]float64
 	// dispatchTimes holds the times of the requests to each target.
-	answers map[string][]time.Time
+	dispatchTimes map[string][]time.Time
 }
 
-func newNeedy(targets int, limits map[string]float64) *needy {
-	n := &needy{desk: newDesk(targets), limits: limits, answers: make(map[string][]time.Time)}
-	n.work = 60 * time.Millisecond
-	n.Senders(n.now, quota.NewSenders([]string{"a"}, "a"))
+func newLimitHarness(targets int, limits map[string]float64) *limitHarness {
+	n := &limitHarness{harness: newHarness(targets), limits: limits, dispatchTimes: make(map[string][]time.Time)}
+	n.serviceTime = 60 * time.Millisecond
+	n.SetSenders(n.now, quota.NewSenders([]string{"a"}, "a"))
 	return n
 }
 
-func (n *needy) report(id string) Report {
+func (n *limitHarness) report(id string) Report {
 	rate, limited := n.limits[id]
-	return Report{Load: Load{Slots: 2, Pace: 1}, Loaded: true, Limit: rate, Limited: limited, Unlimited: !limited}
+	return Report{Load: Load{Slots: 2, Pace: 1}, HasLoad: true, Limit: rate, HasLimit: limited, Unlimited: !limited}
 }
 
 // step completes requests that have run for serviceTime, and answers probes.
-func (n *needy) step(out []Action) []Action {
+func (n *limitHarness) step(out []Action) []Action {
 	n.now = n.now.Add(5 * time.Millisecond)
-	for id, d := range n.flights {
-		if n.now.Sub(d.sent) >= n.work {
-			out = n.Done(n.now, End{ID: id, Report: n.report(d.member.ID)}, out)
+	for id, d := range n.dispatches {
+		if n.now.Sub(d.sent) >= n.serviceTime {
+			out = n.Done(n.now, Completion{ID: id, Report: n.report(d.member.ID)}, out)
 		}
 	}
 	out = n.Tick(n.now, out)
 	for {
-		probed := pick(out, Ask)
+		probed := actionsOf(out, SendProbe)
 		if len(probed) == 0 {
 			break
 		}
-		out = slices.DeleteFunc(out, func(a Action) bool { return a.Do == Ask })
+		out = slices.DeleteFunc(out, func(a Action) bool { return a.Kind == SendProbe })
 		for _, a := range probed {
 			r := n.report(a.Target.ID)
 			if m := n.members[a.Target.ID]; m != nil {
 				r.Load.Running = m.inFlight
 			}
-			out = n.Replied(n.now, Reply{Target: a.Target.ID, Report: r, Well: true}, out)
+			out = n.ProbeDone(n.now, ProbeResult{Target: a.Target.ID, Report: r, Healthy: true}, out)
 		}
 	}
-	for _, a := range pick(out, Send) {
-		n.answers[a.Target.ID] = append(n.answers[a.Target.ID], n.now)
+	for _, a := range actionsOf(out, Send) {
+		n.dispatchTimes[a.Target.ID] = append(n.dispatchTimes[a.Target.ID], n.now)
 	}
 	return out
 }
@@ -63,12 +63,12 @@
 // the rest, and it must get its normal share soon after the limit has ended.
 func TestLimitedTargetAmongOthers(t *testing.T) {
 	c := qt.New(t)
-	n := newNeedy(3, nil)
+	n := newLimitHarness(3, nil)
 	run := func(d time.Duration) (refused int) {
 		for end := n.now.Add(d); n.now.Before(end); {
 			_, out := n.arrive()
 			out = n.step(out)
-			refused += len(pick(out, Refuse))
+			refused += len(actionsOf(out, Refuse))
 			n.step(nil)
 			n.step(nil)
 			n.step(nil)
@@ -81,7 +81,7 @@
 	refused := run(20 * time.Second)
 	c.Assert(refused, qt.Equals, 0)
 	most := 0
-	runs := slices.DeleteFunc(slices.Clone(n.answers["t0"]), func(at time.Time) bool { return at.Before(from) })
+	runs := slices.DeleteFunc(slices.Clone(n.dispatchTimes["t0"]), func(at time.Time) bool { return at.Before(from) })
 	for i := range runs {
 		for i-most >= 0 && runs[i].Sub(runs[i-most]) <= 4*time.Second {
 			most++
@@ -91,9 +91,9 @@
 	c.Assert(len(runs) >= 25, qt.IsTrue, qt.Commentf("%d in 19.5 s", len(runs)))
 	n.limits = nil
 	run(2 * time.Second)
-	before := map[string]int{"t0": len(n.answers["t0"]), "t1": len(n.answers["t1"])}
+	before := map[string]int{"t0": len(n.dispatchTimes["t0"]), "t1": len(n.dispatchTimes["t1"])}
 	run(time.Second)
-	one, other := len(n.answers["t0"])-before["t0"], len(n.answers["t1"])-before["t1"]
+	one, other := len(n.dispatchTimes["t0"])-before["t0"], len(n.dispatchTimes["t1"])-before["t1"]
 	c.Assert(2*one > other, qt.IsTrue, qt.Commentf("%d in a second, another one gets %d", one, other))
 }
 
@@ -102,19 +102,19 @@
 // first.
 func TestAllLimited(t *testing.T) {
 	c := qt.New(t)
-	n := newNeedy(4, map[string]float64{"t0": 3, "t1": 3, "t2": 3, "t3": 3})
+	n := newLimitHarness(4, map[string]float64{"t0": 3, "t1": 3, "t2": 3, "t3": 3})
 	const load, objective = 30 * time.Second, 250 * time.Millisecond
 	arrived := make(map[uint64]time.Time)
 	var served [2]int // by priority
 	refused, waited := 0, 0
 	count := func(out []Action) {
 		for _, a := range out {
-			switch a.Do {
+			switch a.Kind {
 			case Send:
 				served[a.ID%2]++
 			case Refuse:
 				refused++
-				c.Assert(a.Retry > 0 && a.Retry <= time.Second, qt.IsTrue, qt.Commentf("%v", a.Retry))
+				c.Assert(a.RetryAfter > 0 && a.RetryAfter <= time.Second, qt.IsTrue, qt.Commentf("%v", a.RetryAfter))
 				if took := n.now.Sub(arrived[a.ID]); took > objective/8 {
 					waited++
 				}
@@ -122,10 +122,10 @@
 		}
 	}
 	for end := n.now.Add(load); n.now.Before(end); {
-		n.last++
-		arrived[n.last] = n.now
-		count(n.step(n.Arrive(n.now, Request{
-			ID: n.last, Arrived: n.now, Objective: n.now.Add(objective), Deadline: n.now.Add(2 * time.Second), Priority: int(n.last % 2),
+		n.lastID++
+		arrived[n.lastID] = n.now
+		count(n.step(n.Submit(n.now, Request{
+			ID: n.lastID, Arrived: n.now, Objective: n.now.Add(objective), Deadline: n.now.Add(2 * time.Second), Priority: int(n.lastID % 2),
 		}, nil)))
 		count(n.step(nil))
 		count(n.step(nil))
@@ -138,7 +138,7 @@
 
 // A response from before the limit that is read after the limit was reported must not end or
 // raise it.
-func TestLateResponseEndsNoLimit(t *testing.T) {
+func TestStaleResponseKeepsLimit(t *testing.T) {
 	tests := []struct {
 		name  string
 		sent  time.Duration // relative to the last response with the limit
@@ -148,20 +148,20 @@
 		rate  float64
 	}{
 		{"sent before", -time.Millisecond, Report{Unlimited: true}, false, true, 2},
-		{"sent before, higher limit", -time.Millisecond, Report{Limited: true, Limit: 5}, false, true, 2},
-		{"sent before, lower limit", -time.Millisecond, Report{Limited: true, Limit: 1}, false, true, 1},
+		{"sent before, higher limit", -time.Millisecond, Report{HasLimit: true, Limit: 5}, false, true, 2},
+		{"sent before, lower limit", -time.Millisecond, Report{HasLimit: true, Limit: 1}, false, true, 1},
 		{"sent after", time.Millisecond, Report{Unlimited: true}, false, false, 0},
-		{"sent after, higher limit", time.Millisecond, Report{Limited: true, Limit: 5}, false, true, 5},
+		{"sent after, higher limit", time.Millisecond, Report{HasLimit: true, Limit: 5}, false, true, 5},
 		{"no response", time.Millisecond, Report{}, false, true, 2},
 		{"probe, answers never report the limit", time.Millisecond, Report{Unlimited: true}, true, true, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l := newLimit("t0")
-			l.take(start, start, Report{Limited: true, Limit: 2}, false)
+			l := newTargetLimit("t0")
+			l.update(start, start, Report{HasLimit: true, Limit: 2}, false)
 			sent := start.Add(tt.sent)
-			l.take(start.Add(time.Second), sent, tt.r, tt.probe)
-			qt.Assert(t, l.named, qt.Equals, tt.named)
+			l.update(start.Add(time.Second), sent, tt.r, tt.probe)
+			qt.Assert(t, l.set, qt.Equals, tt.named)
 			qt.Assert(t, l.rate, qt.Equals, tt.rate)
 		})
 	}
@@ -171,15 +171,15 @@
 // It must probe the target, and send again once the limit has ended.
 func TestLimitEndsAtAnEntryWithoutAShare(t *testing.T) {
 	c := qt.New(t)
-	n := newNeedy(1, map[string]float64{"t0": 2})
-	n.Senders(n.now, quota.NewSenders([]string{"b", "c"}, "a"))
+	n := newLimitHarness(1, map[string]float64{"t0": 2})
+	n.SetSenders(n.now, quota.NewSenders([]string{"b", "c"}, "a"))
 	_, out := n.arrive()
 	n.step(out)
 	for range 40 {
 		n.step(nil)
 	}
 	_, out = n.arrive()
-	refused := pick(n.step(out), Refuse)
+	refused := actionsOf(n.step(out), Refuse)
 	c.Assert(refused, qt.HasLen, 1)
 	c.Assert(refused[0].Reason, qt.Equals, Limited)
 	n.limits = nil
@@ -189,5 +189,5 @@
 	_, out = n.arrive() // sends a probe
 	n.step(out)
 	_, out = n.arrive()
-	c.Assert(pick(n.step(out), Send), qt.HasLen, 1)
+	c.Assert(actionsOf(n.step(out), Send), qt.HasLen, 1)
 }
--- a/pkg/slot/queue_test.go
+++ b/pkg/slot/queue_test.go
@@ -11,7 +11,7 @@
 // The targets of a service refuse requests. If they have room, that is a fault, and the
 // caller should retry at once. If they are full or other requests wait, the retry should
 // follow after about the service time.
-func TestWhenToComeBack(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	tests := []struct {
 		name      string
 		perTarget int // requests at each of the four targets with two slots
@@ -25,14 +25,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h := newDesk(4)
+			h := newHarness(4)
 			for i := range 4 {
-				h.says(fmt.Sprintf("t%d", i), 1, tt.perTarget)
+				h.replyLoad(fmt.Sprintf("t%d", i), 1, tt.perTarget)
 			}
 			for range tt.waiting {
 				h.arrive()
 			}
-			qt.Assert(t, h.Back(h.now) < 10*time.Millisecond, qt.Equals, tt.immediate, qt.Commentf("%v", h.Back(h.now)))
+			qt.Assert(t, h.RetryAfter(h.now) < 10*time.Millisecond, qt.Equals, tt.immediate, qt.Commentf("%v", h.RetryAfter(h.now)))
 		})
 	}
 }
--- a/pkg/slot/slot_test.go
+++ b/pkg/slot/slot_test.go
@@ -13,37 +13,37 @@
 var start = time.Unix(1000, 0)
 
 // harness is a balancer with a test clock and request IDs.
-type desk struct {
-	*Book
-	now  time.Time
-	last uint64
-	work time.Duration
+type harness struct {
+	*Balancer
+	now         time.Time
+	lastID      uint64
+	serviceTime time.Duration
 }
 
-func newDesk(targets int) *desk {
-	h := &desk{Book: New(Config{}, rand.New(rand.NewPCG(1, 2))), now: start}
+func newHarness(targets int) *harness {
+	h := &harness{Balancer: New(Config{}, rand.New(rand.NewPCG(1, 2))), now: start}
 	var list []Target
 	for i := range targets {
 		list = append(list, Target{ID: fmt.Sprintf("t%d", i), Slots: 2})
 	}
-	h.Targets(h.now, list, nil)
+	h.SetTargets(h.now, list, nil)
 	return h
 }
 
-func (h *desk) arrive() (id uint64, out []Action) {
-	h.last++
-	return h.last, h.Arrive(h.now, Request{
-		ID: h.last, Arrived: h.now, Objective: h.now.Add(200 * time.Millisecond), Deadline: h.now.Add(800 * time.Millisecond),
+func (h *harness) arrive() (id uint64, out []Action) {
+	h.lastID++
+	return h.lastID, h.Submit(h.now, Request{
+		ID: h.lastID, Arrived: h.now, Objective: h.now.Add(200 * time.Millisecond), Deadline: h.now.Add(800 * time.Millisecond),
 	}, nil)
 }
 
-func (h *desk) says(id string, pace float64, running int) []Action {
-	return h.Replied(h.now, Reply{Target: id, Report: Report{Load: Load{Running: running, Slots: 2, Pace: pace}, Loaded: true}, Well: true}, nil)
+func (h *harness) replyLoad(id string, pace float64, running int) []Action {
+	return h.ProbeDone(h.now, ProbeResult{Target: id, Report: Report{Load: Load{Running: running, Slots: 2, Pace: pace}, HasLoad: true}, Healthy: true}, nil)
 }
 
-func pick(out []Action, do Do) (list []Action) {
+func actionsOf(out []Action, do ActionKind) (list []Action) {
 	for _, a := range out {
-		if a.Do == do {
+		if a.Kind == do {
 			list = append(list, a)
 		}
 	}
@@ -52,38 +52,38 @@
 
 // A request probes a few targets and is dispatched to the first one that reports that it is
 // idle with a normal pace, without waiting for the other answers.
-func TestGoesToTheIdealAtOnce(t *testing.T) {
+func TestIdealTargetChosenImmediately(t *testing.T) {
 	c := qt.New(t)
-	h := newDesk(4)
+	h := newHarness(4)
 	_, out := h.arrive()
-	c.Assert(pick(out, Ask), qt.HasLen, 4)
-	c.Assert(pick(h.says("t0", 5, 0), Send), qt.HasLen, 0)
-	sent := pick(h.says("t1", 1, 0), Send)
+	c.Assert(actionsOf(out, SendProbe), qt.HasLen, 4)
+	c.Assert(actionsOf(h.replyLoad("t0", 5, 0), Send), qt.HasLen, 0)
+	sent := actionsOf(h.replyLoad("t1", 1, 0), Send)
 	c.Assert(sent, qt.HasLen, 1)
 	c.Assert(sent[0].Target.ID, qt.Equals, "t1")
 }
 
 // Two concurrent requests must share one probe to each target, and must not both be
 // dispatched to the same idle target.
-func TestQuestionsAreShared(t *testing.T) {
+func TestProbesAreShared(t *testing.T) {
 	c := qt.New(t)
-	h := newDesk(2)
+	h := newHarness(2)
 	_, first := h.arrive()
 	_, second := h.arrive()
-	c.Assert(pick(first, Ask), qt.HasLen, 2)
-	c.Assert(pick(second, Ask), qt.HasLen, 0)
-	out := append(h.says("t0", 1, 0), h.says("t1", 1, 0)...)
-	sent := pick(out, Send)
+	c.Assert(actionsOf(first, SendProbe), qt.HasLen, 2)
+	c.Assert(actionsOf(second, SendProbe), qt.HasLen, 0)
+	out := append(h.replyLoad("t0", 1, 0), h.replyLoad("t1", 1, 0)...)
+	sent := actionsOf(out, Send)
 	c.Assert(sent, qt.HasLen, 2)
 	c.Assert(sent[0].Target.ID, qt.Not(qt.Equals), sent[1].Target.ID)
 }
 
 // No probe is answered. The request must still be dispatched when the probes time out.
-func TestNoAnswer(t *testing.T) {
-	h := newDesk(3)
+func TestNoProbeAnswer(t *testing.T) {
+	h := newHarness(3)
 	h.arrive()
-	h.now = h.Next()
-	qt.Assert(t, pick(h.Tick(h.now, nil), Send), qt.HasLen, 1)
+	h.now = h.NextTick()
+	qt.Assert(t, actionsOf(h.Tick(h.now, nil), Send), qt.HasLen, 1)
 }
 
 // A target's VM is gone, so neither responses nor refusals come back. Each request that is
@@ -93,30 +93,30 @@
 	const timeout, work = 500 * time.Millisecond, 60 * time.Millisecond
 	type end struct {
 		at   time.Time
-		kind Kind
+		kind Outcome
 	}
 	c := qt.New(t)
-	h := newDesk(3)
+	h := newHarness(3)
 	sent, ends, replies := 0, map[uint64]end{}, []time.Time{}
 	for range 1200 {
 		h.now = h.now.Add(30 * time.Millisecond)
 		_, out := h.arrive()
 		if len(replies) > 0 && !h.now.Before(replies[0]) {
 			replies = replies[1:]
-			h.Replied(h.now, Reply{Target: "t0"}, nil)
+			h.ProbeDone(h.now, ProbeResult{Target: "t0"}, nil)
 		}
-		for _, a := range pick(out, Ask) {
+		for _, a := range actionsOf(out, SendProbe) {
 			if a.Target.ID == "t0" {
 				replies = append(replies, h.now.Add(time.Second))
 				continue
 			}
-			out = append(out, h.says(a.Target.ID, 1.2, 0)...)
+			out = append(out, h.replyLoad(a.Target.ID, 1.2, 0)...)
 		}
-		if len(pick(out, Send)) == 0 {
-			h.now = h.now.Add(defaultAskTime)
+		if len(actionsOf(out, Send)) == 0 {
+			h.now = h.now.Add(defaultProbeTimeout)
 			out = append(out, h.Tick(h.now, nil)...)
 		}
-		for _, a := range pick(out, Send) {
+		for _, a := range actionsOf(out, Send) {
 			if a.Target.ID == "t0" {
 				sent++
 				ends[a.ID] = end{h.now.Add(timeout), Lost}
@@ -127,7 +127,7 @@
 		for id, e := range ends {
 			if !h.now.Before(e.at) {
 				delete(ends, id)
-				h.Done(h.now, End{ID: id, Kind: e.kind}, nil)
+				h.Done(h.now, Completion{ID: id, Outcome: e.kind}, nil)
 			}
 		}
 	}
@@ -138,26 +138,26 @@
 // objective, well before its deadline.
 func TestRefusedWhenTooLate(t *testing.T) {
 	c := qt.New(t)
-	h := newDesk(1)
+	h := newHarness(1)
 	h.arrive()
-	h.says("t0", 1, 0)
+	h.replyLoad("t0", 1, 0)
 	h.now = h.now.Add(50 * time.Millisecond)
 	arrived := h.now
 	_, out := h.arrive()
-	out = append(out, h.says("t0", 5, 1)...)
-	c.Assert(pick(out, Send), qt.HasLen, 0)
-	for len(pick(out, Refuse)) == 0 {
-		at := h.Next()
+	out = append(out, h.replyLoad("t0", 5, 1)...)
+	c.Assert(actionsOf(out, Send), qt.HasLen, 0)
+	for len(actionsOf(out, Refuse)) == 0 {
+		at := h.NextTick()
 		c.Assert(at.IsZero(), qt.IsFalse)
 		h.now = at
 		out = h.Tick(h.now, nil)
-		for range pick(out, Ask) {
-			out = append(out, h.says("t0", 5, 1)...)
+		for range actionsOf(out, SendProbe) {
+			out = append(out, h.replyLoad("t0", 5, 1)...)
 		}
 	}
 	c.Assert(h.now.Sub(arrived) < 200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", h.now.Sub(arrived)))
-	c.Assert(pick(out, Refuse)[0].Retry > 0, qt.IsTrue)
-	pending, _ := h.Len()
+	c.Assert(actionsOf(out, Refuse)[0].RetryAfter > 0, qt.IsTrue)
+	pending, _ := h.RequestCounts()
 	c.Assert(pending, qt.Equals, 0)
 }
 
@@ -165,15 +165,15 @@
 // never go to it.
 func TestLeavingTarget(t *testing.T) {
 	c := qt.New(t)
-	h := newDesk(2)
-	h.Targets(h.now, []Target{{ID: "t0", Slots: 2, Leaving: true}, {ID: "t1", Slots: 2}}, nil)
+	h := newHarness(2)
+	h.SetTargets(h.now, []Target{{ID: "t0", Slots: 2, Leaving: true}, {ID: "t1", Slots: 2}}, nil)
 	_, out := h.arrive()
-	asks := pick(out, Ask)
+	asks := actionsOf(out, SendProbe)
 	c.Assert(asks, qt.HasLen, 1)
 	c.Assert(asks[0].Target.ID, qt.Equals, "t1")
-	h.Targets(h.now, nil, nil)
+	h.SetTargets(h.now, nil, nil)
 	_, out = h.arrive()
-	refused := pick(out, Refuse)
+	refused := actionsOf(out, Refuse)
 	c.Assert(refused, qt.HasLen, 1)
 	c.Assert(refused[0].Reason, qt.Equals, NoTarget)
 }
@@ -195,16 +195,16 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h := newDesk(0)
-			h.Targets(h.now, list("10.0.0.1:1"), nil)
+			h := newHarness(0)
+			h.SetTargets(h.now, list("10.0.0.1:1"), nil)
 			id, _ := h.arrive()
-			sent := pick(h.says("t0", 1, 0), Send)
+			sent := actionsOf(h.replyLoad("t0", 1, 0), Send)
 			qt.Assert(t, sent, qt.HasLen, 1)
-			h.Done(h.now, End{ID: id, Kind: Shed, Moved: true}, nil)
+			h.Done(h.now, Completion{ID: id, Outcome: Shed, AddressReused: true}, nil)
 			h.now = h.now.Add(time.Second)
-			h.Targets(h.now, tt.list, nil)
+			h.SetTargets(h.now, tt.list, nil)
 			_, out := h.arrive()
-			probed := slices.ContainsFunc(pick(out, Ask), func(a Action) bool { return a.Target.ID == "t0" })
+			probed := slices.ContainsFunc(actionsOf(out, SendProbe), func(a Action) bool { return a.Target.ID == "t0" })
 			qt.Assert(t, probed, qt.Equals, tt.want)
 		})
 	}
@@ -213,14 +213,14 @@
 // An entry has just started, and a third of the targets is slow. Targets that report that
 // they are idle and fast must be preferred to those with an unknown load: a request that was
 // sent to one of these took five times as long.
-func TestToldBeforeUntold(t *testing.T) {
-	h := newDesk(12)
+func TestKnownLoadBeforeUnknown(t *testing.T) {
+	h := newHarness(12)
 	_, out := h.arrive()
-	asks := pick(out, Ask)
+	asks := actionsOf(out, SendProbe)
 	for i, a := range asks {
-		out = append(out, h.says(a.Target.ID, []float64{5, 1.2, 5, 1.3}[i], 0)...)
+		out = append(out, h.replyLoad(a.Target.ID, []float64{5, 1.2, 5, 1.3}[i], 0)...)
 	}
-	sent := pick(out, Send)
+	sent := actionsOf(out, Send)
 	qt.Assert(t, sent, qt.HasLen, 1)
 	qt.Assert(t, sent[0].Target.ID, qt.Equals, asks[1].Target.ID)
 }
@@ -230,28 +230,28 @@
 func TestFailingTargets(t *testing.T) {
 	tests := []struct {
 		name string
-		kind Kind
+		kind Outcome
 	}{
 		{"errors", Failed}, {"lost connections", Lost}, {"hangs", TimedOut}, {"refusals", Shed},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			h := newDesk(4)
+			h := newHarness(4)
 			got := 0
 			for range 200 {
 				h.now = h.now.Add(10 * time.Millisecond)
 				id, out := h.arrive()
-				for _, a := range pick(out, Ask) {
-					out = append(out, h.says(a.Target.ID, 1, 0)...)
+				for _, a := range actionsOf(out, SendProbe) {
+					out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 				}
-				for _, a := range pick(out, Send) {
+				for _, a := range actionsOf(out, Send) {
 					kind := Served
 					if a.Target.ID == "t0" {
 						kind = tt.kind
 						got++
 					}
-					h.Done(h.now, End{ID: id, Kind: kind}, nil)
+					h.Done(h.now, Completion{ID: id, Outcome: kind}, nil)
 				}
 			}
 			c.Assert(got < 20, qt.IsTrue, qt.Commentf("%d of 200 went to the failing one", got))
@@ -260,14 +260,14 @@
 			for range 200 {
 				h.now = h.now.Add(10 * time.Millisecond)
 				id, out := h.arrive()
-				for _, a := range pick(out, Ask) {
-					out = append(out, h.says(a.Target.ID, 1, 0)...)
+				for _, a := range actionsOf(out, SendProbe) {
+					out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 				}
-				for _, a := range pick(out, Send) {
+				for _, a := range actionsOf(out, Send) {
 					if a.Target.ID == "t0" {
 						back++
 					}
-					h.Done(h.now, End{ID: id, Kind: Served}, nil)
+					h.Done(h.now, Completion{ID: id, Outcome: Served}, nil)
 				}
 			}
 			c.Assert(back > 20, qt.IsTrue, qt.Commentf("%d of 200 went to the recovered one", back))
@@ -275,21 +275,21 @@
 	}
 }
 
-func TestHalfStaysIn(t *testing.T) {
-	h := newDesk(4)
+func TestAtMostHalfEjected(t *testing.T) {
+	h := newHarness(4)
 	for range 400 {
 		h.now = h.now.Add(10 * time.Millisecond)
 		id, out := h.arrive()
-		for _, a := range pick(out, Ask) {
-			out = append(out, h.says(a.Target.ID, 1, 0)...)
+		for _, a := range actionsOf(out, SendProbe) {
+			out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 		}
-		for range pick(out, Send) {
-			h.Done(h.now, End{ID: id, Kind: Failed}, nil)
+		for range actionsOf(out, Send) {
+			h.Done(h.now, Completion{ID: id, Outcome: Failed}, nil)
 		}
 	}
 	out := 0
-	for _, m := range h.order {
-		if m.out {
+	for _, m := range h.sorted {
+		if m.ejected {
 			out++
 		}
 	}
@@ -298,18 +298,18 @@
 
 // The targets of a service don't report their load. Each is probed once, and the choice then
 // depends on the requests of this entry at each target.
-func TestTargetsThatTellNothing(t *testing.T) {
+func TestTargetsWithoutLoadReports(t *testing.T) {
 	c := qt.New(t)
-	h := newDesk(3)
+	h := newHarness(3)
 	probed := 0
 	count := map[string]int{}
 	for range 9 {
 		_, out := h.arrive()
-		for _, a := range pick(out, Ask) {
+		for _, a := range actionsOf(out, SendProbe) {
 			probed++
-			out = append(out, h.Replied(h.now, Reply{Target: a.Target.ID, Well: true}, nil)...)
+			out = append(out, h.ProbeDone(h.now, ProbeResult{Target: a.Target.ID, Healthy: true}, nil)...)
 		}
-		for _, a := range pick(out, Send) {
+		for _, a := range actionsOf(out, Send) {
 			count[a.Target.ID]++
 		}
 		h.now = h.now.Add(time.Millisecond)
@@ -322,33 +322,33 @@
 // monotonic readings as in production; without them, each comparison of times costs double.
 // It takes 12 us, and 22 to 27 us if each decision scans all targets twice and computes
 // their costs at each comparison.
-func BenchmarkArrive(b *testing.B) {
-	h := newDesk(250)
+func BenchmarkSubmit(b *testing.B) {
+	h := newHarness(250)
 	h.now = time.Now()
 	for i := range 250 {
-		h.says(fmt.Sprintf("t%d", i), 1, 0)
+		h.replyLoad(fmt.Sprintf("t%d", i), 1, 0)
 	}
 	for b.Loop() {
 		id, out := h.arrive()
 		for _, a := range out {
-			if a.Do == Ask {
-				h.says(a.Target.ID, 1, 0)
+			if a.Kind == SendProbe {
+				h.replyLoad(a.Target.ID, 1, 0)
 			}
 		}
-		h.Done(h.now, End{ID: id}, nil)
+		h.Done(h.now, Completion{ID: id}, nil)
 	}
 }
 
 // Requests wait while all targets are full or while probes are unanswered. The next tick
 // must always be in the future: a timer that is due at once, again and again, would keep the
 // CPU busy just when it is needed for refusals.
-func TestTimerLiesAhead(t *testing.T) {
+func TestNextTickIsInTheFuture(t *testing.T) {
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
-		h := newDesk(1 + rnd.IntN(3))
+		h := newHarness(1 + rnd.IntN(3))
 		var inFlight []uint64
 		collect := func(out []Action) {
-			for _, a := range pick(out, Send) {
+			for _, a := range actionsOf(out, Send) {
 				inFlight = append(inFlight, a.ID)
 			}
 		}
@@ -358,16 +358,16 @@
 				_, out := h.arrive()
 				collect(out)
 			case 2:
-				collect(h.says(fmt.Sprintf("t%d", rnd.IntN(3)), []float64{1, 5}[rnd.IntN(2)], rnd.IntN(3)))
+				collect(h.replyLoad(fmt.Sprintf("t%d", rnd.IntN(3)), []float64{1, 5}[rnd.IntN(2)], rnd.IntN(3)))
 			case 3:
 				if len(inFlight) > 0 {
-					collect(h.Done(h.now, End{ID: inFlight[0]}, nil))
+					collect(h.Done(h.now, Completion{ID: inFlight[0]}, nil))
 					inFlight = inFlight[1:]
 				}
 			}
 			h.now = h.now.Add(time.Duration(rnd.IntN(30)) * time.Millisecond)
 			collect(h.Tick(h.now, nil))
-			next := h.Next()
+			next := h.NextTick()
 			qt.Assert(t, next.IsZero() || next.After(h.now), qt.IsTrue, qt.Commentf("seed %d: %v", seed, next.Sub(h.now)))
 		}
 	}
--- a/pkg/slot/survey.go
+++ b/pkg/slot/survey.go
@@ -7,65 +7,67 @@
 // With hundreds of targets and several entries, nearly none has. A target with one request
 // of this entry may then have one of another entry too, and in a burst none of the few
 // probed targets may be idle although many others are.
-type survey struct {
-	all     int // available targets
-	taken   int // targets with a request, by the current estimate
+type loadStats struct {
+	total   int // available targets
+	busy    int // targets with a request, by the current estimate
 	unknown int // targets whose current load is unknown
 }
 
-func (s *survey) add(now time.Time, m *member, c *Config) {
-	if m.leaves() {
+func (s *loadStats) add(now time.Time, m *member, c *Config) {
+	if m.excluded() {
 		return
 	}
-	s.all++
-	if m.busy(now, c) > 0 {
-		s.taken++
+	s.total++
+	if m.totalInFlight(now, c) > 0 {
+		s.busy++
 	}
-	if m.unknown(now, c) {
+	if m.loadUnknown(now, c) {
 		s.unknown++
 	}
 }
 
 // loadUnknown reports whether the last load report is so old that the pace has changed since
 // then and other entries may have sent requests.
-func (m *member) unknown(now time.Time, c *Config) bool {
-	return !m.loads || now.Sub(m.told) > 2*c.Hold
+func (m *member) loadUnknown(now time.Time, c *Config) bool {
+	return !m.loadKnown || now.Sub(m.loadAt) > 2*c.LoadHalfLife
 }
 
 // unknownShare returns the share of targets whose load is unknown.
-func (s survey) blind() float64 { return float64(s.unknown) / float64(max(s.all, 1)) }
+func (s loadStats) unknownShare() float64 { return float64(s.unknown) / float64(max(s.total, 1)) }
 
 // pressure is near 1 when nearly all targets are busy and their load is unknown.
-func (s survey) strain() float64 { return float64(s.taken) / float64(max(s.all, 1)) * s.blind() }
+func (s loadStats) pressure() float64 {
+	return float64(s.busy) / float64(max(s.total, 1)) * s.unknownShare()
+}
 
 // Factors that raise the cost of a target.
 const (
 	// maxRemotePenalty applies to targets in another failure domain. Traffic between domains
 	// has a price, but a choice among too few targets causes late responses.
-	farFactor = 2
+	maxRemotePenalty = 2
 	// maxExtraCrowdedPenalty applies in addition to a target that one more request would
 	// crowd, when loads are unknown. The target may have a request of another entry too, and
 	// an idle one in another failure domain takes precedence.
-	crowdFactor = 2
+	maxExtraCrowdedPenalty = 2
 )
 
 // remotePenalty returns the current cost factor of targets in another failure domain. It
 // falls as the pressure rises, since the nearby targets alone may then be too few.
-func (s survey) far() float64 { return farFactor - s.strain() }
+func (s loadStats) remotePenalty() float64 { return maxRemotePenalty - s.pressure() }
 
 // crowdedPenalty returns the current cost factor of targets that one more request would
 // crowd.
-func (s survey) crowd() float64 { return 1 + crowdFactor*s.blind() }
+func (s loadStats) crowdedPenalty() float64 { return 1 + maxExtraCrowdedPenalty*s.unknownShare() }
 
 // maxExtraProbes is the number of extra probes at the highest pressure. The total is bounded
 // by maxCandidates.
-const mostMore = 16
+const maxExtraProbes = 16
 
 // extraProbes returns the number of extra probes per request, for targets whose load is
 // unknown.
-func (b *Book) more() int {
-	if b.cfg.Ask <= 0 {
+func (b *Balancer) extraProbes() int {
+	if b.config.Probes <= 0 {
 		return 0
 	}
-	return int(mostMore * b.view.strain())
+	return int(maxExtraProbes * b.stats.pressure())
 }
--- a/pkg/slot/throttle.go
+++ b/pkg/slot/throttle.go
@@ -8,53 +8,53 @@
 // admits reports whether this entry may send to m now by its cold bound, its limit and its
 // pause. A cold target crashes above its bound and loses the requests that it runs. A target
 // with a limit or a pause is overloaded.
-func (b *Book) admits(now time.Time, m *member) bool {
-	return !now.Before(m.paused) && b.bears(now, m) && m.limit.admits(now)
+func (b *Balancer) admits(now time.Time, m *member) bool {
+	return !now.Before(m.pausedUntil) && b.admitsCold(now, m) && m.limit.admits(now)
 }
 
 // nextAdmitted returns when this entry may send to m again; ok is false if that is unknown.
-func (b *Book) allowed(now time.Time, m *member) (at time.Time, ok bool) {
-	at, ok = m.limit.next(now)
-	at = later(at, m.paused)
-	if !ok || b.bears(now, m) {
+func (b *Balancer) nextAdmitted(now time.Time, m *member) (at time.Time, ok bool) {
+	at, ok = m.limit.nextAdmitted(now)
+	at = latest(at, m.pausedUntil)
+	if !ok || b.admitsCold(now, m) {
 		return at, ok
 	}
-	return later(at, b.thawed(now, m)), true
+	return latest(at, b.nextAdmittedCold(now, m)), true
 }
 
 // throttle is the state in which no target may get a request because all are at their
 // bounds.
 type throttle struct {
-	until time.Time // when a target may get a request again; zero if unknown
-	why   Reason
+	until  time.Time // when a target may get a request again; zero if unknown
+	reason Reason
 }
 
 // throttled reports whether all available targets for requests with these regions are at
 // their bounds.
-func (b *Book) throttled(now time.Time, regions []string) (t throttle, all bool) {
-	for _, m := range b.order {
-		if m.leaves() || !m.atHome(regions) {
+func (b *Balancer) throttled(now time.Time, regions []string) (t throttle, all bool) {
+	for _, m := range b.sorted {
+		if m.excluded() || !m.inRegions(regions) {
 			continue
 		}
 		if b.admits(now, m) {
 			return t, false
 		}
-		if at, ok := b.allowed(now, m); ok {
-			t.until = soonest(t.until, at)
+		if at, ok := b.nextAdmitted(now, m); ok {
+			t.until = earliest(t.until, at)
 		}
 		all = true
-		t.why = max(t.why, m.heldBy(now))
+		t.reason = max(t.reason, m.throttleReason(now))
 	}
 	return t, all
 }
 
 // throttleReason returns why m may get no request now. The most severe reason takes
 // precedence.
-func (m *member) heldBy(now time.Time) Reason {
+func (m *member) throttleReason(now time.Time) Reason {
 	switch {
-	case m.limit.named:
+	case m.limit.set:
 		return Limited
-	case now.Before(m.paused):
+	case now.Before(m.pausedUntil):
 		return Paused
 	}
 	return Cold
@@ -62,38 +62,38 @@
 
 // throttledPastObjective reports whether s can't meet its objective because all targets are
 // at their bounds, and returns the time after which to retry.
-func (b *Book) hopeless(now time.Time, s *seeker) (reason Reason, retryAfter time.Duration, ok bool) {
-	t, all := b.throttled(now, s.Homes)
+func (b *Balancer) throttledPastObjective(now time.Time, s *pendingRequest) (reason Reason, retryAfter time.Duration, ok bool) {
+	t, all := b.throttled(now, s.Regions)
 	if !all {
 		return NoReason, 0, false
 	}
 	if t.until.IsZero() {
-		return t.why, b.cfg.PauseMin, true
+		return t.reason, b.config.MinEjection, true
 	}
-	serviceTime := s.usual
-	if t.why == Cold {
+	serviceTime := s.serviceTime
+	if t.reason == Cold {
 		serviceTime *= coldFactor
 	}
 	if !t.until.Add(serviceTime).After(s.Objective) {
 		return NoReason, 0, false
 	}
-	return t.why, b.comeback(now, t.until, s.usual), true
+	return t.reason, b.throttledRetryDelay(now, t.until, s.serviceTime), true
 }
 
 // throttledRetryDelay returns the time after which to retry a request that was refused
 // because all targets are at their bounds.
-func (b *Book) comeback(now, until time.Time, serviceTime time.Duration) time.Duration {
-	return max(until.Sub(now), soon) + time.Duration(b.rnd.Int64N(int64(serviceTime)+1))
+func (b *Balancer) throttledRetryDelay(now, until time.Time, serviceTime time.Duration) time.Duration {
+	return max(until.Sub(now), minRetryDelay) + time.Duration(b.rng.Int64N(int64(serviceTime)+1))
 }
 
 // capacity returns the number of requests with this service time that the targets serve at
 // once.
-func (b *Book) capacity(now time.Time, regions []string, serviceTime time.Duration) (slots float64) {
-	for _, m := range b.order {
-		if !m.atHome(regions) || !m.open(now) && (m.inFlight == 0 || m.leaves()) {
+func (b *Balancer) capacity(now time.Time, regions []string, serviceTime time.Duration) (slots float64) {
+	for _, m := range b.sorted {
+		if !m.inRegions(regions) || !m.acceptsRequests(now) && (m.inFlight == 0 || m.excluded()) {
 			continue
 		}
-		if m.limit.named {
+		if m.limit.set {
 			slots += min(1, m.limit.perSecond()*serviceTime.Seconds())
 			continue
 		}
@@ -104,9 +104,9 @@
 
 // queuedAhead returns the number of queued requests that are served before s. Requests with
 // other regions don't count: they wait for other targets.
-func (b *Book) ahead(s *seeker) (n int) {
+func (b *Balancer) queuedAhead(s *pendingRequest) (n int) {
 	for _, q := range b.queue {
-		if before(q, s) < 0 && slices.Equal(q.Homes, s.Homes) {
+		if compareQueued(q, s) < 0 && slices.Equal(q.Regions, s.Regions) {
 			n++
 		}
 	}
--- a/pkg/slot/usual.go
+++ b/pkg/slot/usual.go
@@ -3,55 +3,55 @@
 import "time"
 
 // meanTime is a moving average of the service time at targets that are idle and not slow.
-type usual struct {
-	mean  time.Duration
-	count int
+type meanTime struct {
+	mean    time.Duration
+	samples int
 }
 
 // add updates the mean. It is a plain average until the number of samples reaches maxSamples.
-func (u *usual) add(serviceTime time.Duration) {
+func (u *meanTime) add(serviceTime time.Duration) {
 	const maxSamples = 64
-	u.count = min(u.count+1, maxSamples)
-	u.mean += (serviceTime - u.mean) / time.Duration(u.count)
+	u.samples = min(u.samples+1, maxSamples)
+	u.mean += (serviceTime - u.mean) / time.Duration(u.samples)
 }
 
 // serviceTimes holds the baseline service time of each request class of a service. A single
 // mean isn't enough: 2 ms requests on rarely used routes pulled it down to 1 ms where most
 // requests take 120 ms, and every target seemed fast enough for all of them.
-type usuals struct {
-	all   usual
-	class map[string]*usual
+type serviceTimes struct {
+	overall meanTime
+	byClass map[string]*meanTime
 }
 
 const (
 	// minClassSamples is the number of samples after which a class has its own mean.
-	classKnown = 4
+	minClassSamples = 4
 	// maxClasses bounds the number of classes; one class more clears them all.
-	classesKept = 1024
+	maxClasses = 1024
 )
 
-func newUsuals(initial time.Duration) usuals {
-	return usuals{all: usual{mean: initial}, class: make(map[string]*usual)}
+func newServiceTimes(initial time.Duration) serviceTimes {
+	return serviceTimes{overall: meanTime{mean: initial}, byClass: make(map[string]*meanTime)}
 }
 
 // forClass returns the mean of the class, or the overall mean while the class has too few
 // samples.
-func (u *usuals) of(class string) time.Duration {
-	if c := u.class[class]; c != nil && c.count >= classKnown {
+func (u *serviceTimes) forClass(class string) time.Duration {
+	if c := u.byClass[class]; c != nil && c.samples >= minClassSamples {
 		return c.mean
 	}
-	return u.all.mean
+	return u.overall.mean
 }
 
-func (u *usuals) add(class string, serviceTime time.Duration) {
-	u.all.add(serviceTime)
-	c := u.class[class]
+func (u *serviceTimes) add(class string, serviceTime time.Duration) {
+	u.overall.add(serviceTime)
+	c := u.byClass[class]
 	if c == nil {
-		if len(u.class) >= classesKept {
-			clear(u.class)
+		if len(u.byClass) >= maxClasses {
+			clear(u.byClass)
 		}
-		c = &usual{}
-		u.class[class] = c
+		c = &meanTime{}
+		u.byClass[class] = c
 	}
 	c.add(serviceTime)
 }
