--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -102,7 +102,7 @@
 }
 
 // Run dispatches the request and returns its outcome. It ends with ctx.
-type Run func(ctx context.Context) claim.Ended
+type Run func(ctx context.Context) claim.RunResult
 
 type flightKey struct {
 	service string
@@ -134,7 +134,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return claim.Result{Kind: claim.Uncertain, Reason: claim.ReasonInProgress, RetryAfter: claim.RetrySoon}
+			return claim.Result{Kind: claim.Uncertain, Reason: claim.ReasonInProgress, RetryAfter: claim.RetryDelay}
 		case <-a.done:
 		}
 		if a.again != nil {
@@ -178,20 +178,20 @@
 // execute claims the key, runs the request and settles the claim.
 func (c *Claims) fly(ctx context.Context, r Request, run Run, a *flight) (result claim.Result) {
 	h := hold{claims: c, name: recordName(r.Service, r.Key), record: claim.Record{
-		Print: r.Print, ID: fmt.Sprintf("%s#%x.%x", c.cfg.Entry, c.cfg.Boot, c.attempts.Add(1)),
-		At: c.cfg.Now(), Until: r.Deadline,
+		Fingerprint: r.Print, ID: fmt.Sprintf("%s#%x.%x", c.cfg.Entry, c.cfg.Boot, c.attempts.Add(1)),
+		ClaimedAt: c.cfg.Now(), DispatchDeadline: r.Deadline,
 	}}
 	if refusal, granted := h.take(ctx); !granted {
 		return refusal
 	}
-	runResult := claim.Ended{Outcome: call.NotRun, Reason: claim.ReasonDeadline, RetryAfter: claim.RetrySoon}
+	runResult := claim.RunResult{Outcome: call.NotRun, Reason: claim.ReasonDeadline, RetryAfter: claim.RetryDelay}
 	if ctx.Err() == nil {
 		runResult = run(ctx)
 	}
 	result, kept := claim.Finish(runResult)
 	a.settled = h.settle(kept)
 	if kept != nil {
-		resendResult := claim.Meet(c.cfg.Now(), claim.Record{Print: r.Print, Answer: kept}, r.Print)
+		resendResult := claim.ResolveExisting(c.cfg.Now(), claim.Record{Fingerprint: r.Print, Response: kept}, r.Print)
 		a.again = &resendResult
 	}
 	return result
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -18,10 +18,10 @@
 // the recorded response, or the result that the outcome is unknown. It runs only if the
 // first attempt certainly didn't run.
 func TestResend(t *testing.T) {
-	ended := func(e claim.Ended) func(*site) Run {
+	ended := func(e claim.RunResult) func(*site) Run {
 		return func(s *site) Run {
 			run := s.run("k")
-			return func(ctx context.Context) claim.Ended {
+			return func(ctx context.Context) claim.RunResult {
 				if e.Outcome != call.NotRun {
 					run(ctx)
 				}
@@ -29,7 +29,7 @@
 			}
 		}
 	}
-	oversized := claim.Answer{Status: 200, Body: make([]byte, maxKept+1), Whole: true}
+	oversized := claim.Response{Status: 200, Body: make([]byte, maxKept+1), Complete: true}
 	for _, tt := range []struct {
 		name   string
 		first  func(s *site) Run
@@ -39,9 +39,9 @@
 		runs   int
 	}{
 		{name: "it ran", kind: claim.Replay, runs: 1},
-		{name: "its response was cut", first: ended(claim.Ended{Reason: "cut"}), kind: claim.Uncertain, reason: claim.ReasonRanUnknown, runs: 1},
-		{name: "its response was too long to store", first: ended(claim.Ended{Outcome: call.Ran, Answer: oversized}), kind: claim.Replay, reason: claim.ReasonNotKept, runs: 1},
-		{name: "it was shed", first: ended(claim.Ended{Outcome: call.NotRun, Reason: "shed"}), kind: claim.Fresh, runs: 1},
+		{name: "its response was cut", first: ended(claim.RunResult{Reason: "cut"}), kind: claim.Uncertain, reason: claim.ReasonRunUnknown, runs: 1},
+		{name: "its response was too long to store", first: ended(claim.RunResult{Outcome: call.Ran, Response: oversized}), kind: claim.Replay, reason: claim.ReasonNotRecorded, runs: 1},
+		{name: "it was shed", first: ended(claim.RunResult{Outcome: call.NotRun, Reason: "shed"}), kind: claim.Fresh, runs: 1},
 		{name: "another body", print: 2, kind: claim.Conflict, reason: claim.ReasonKeyReused, runs: 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -148,7 +148,7 @@
 					senders.Go(func() {
 						got := s.do(entry%2, key, s.run(key))
 						if got.Kind == claim.Fresh || got.Kind == claim.Replay {
-							s.c.Check(string(got.Answer.Body), qt.Equals, key)
+							s.c.Check(string(got.Response.Body), qt.Equals, key)
 						}
 					})
 				}
@@ -172,7 +172,7 @@
 	s := newSite(t)
 	started, finish := make(chan struct{}), make(chan struct{})
 	run := s.run("k")
-	slowRun := func(ctx context.Context) claim.Ended {
+	slowRun := func(ctx context.Context) claim.RunResult {
 		close(started)
 		<-finish
 		return run(ctx)
@@ -229,7 +229,7 @@
 	s.now = func() time.Time { return time.Now().Add(claim.Retention / 2) }
 	got := s.do(1, "k", s.run("k"))
 	s.c.Assert(got.Kind, qt.Equals, claim.Uncertain)
-	s.c.Assert(got.Reason, qt.Equals, claim.ReasonRanUnknown)
+	s.c.Assert(got.Reason, qt.Equals, claim.ReasonRunUnknown)
 	s.c.Assert(s.count("k"), qt.Equals, 1)
 }
 
@@ -266,14 +266,14 @@
 func TestResendWhileTheOutcomeIsRecorded(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
-		result claim.Ended
+		result claim.RunResult
 		want   claim.Result
 	}{
-		{"outcome unknown", claim.Ended{Reason: "panic"}, claim.Result{Reason: claim.ReasonRanUnknown}},
+		{"outcome unknown", claim.RunResult{Reason: "panic"}, claim.Result{Reason: claim.ReasonRunUnknown}},
 		{
 			"it ran",
-			claim.Ended{Outcome: call.Ran, Answer: claim.Answer{Status: 201, Whole: true}},
-			claim.Result{Kind: claim.Replay, Answer: claim.Answer{Outcome: call.Ran, Status: 201, Whole: true}},
+			claim.RunResult{Outcome: call.Ran, Response: claim.Response{Status: 201, Complete: true}},
+			claim.Result{Kind: claim.Replay, Response: claim.Response{Outcome: call.Ran, Status: 201, Complete: true}},
 		},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -284,7 +284,7 @@
 				}
 				return none
 			})
-			s.do(0, "k", func(context.Context) claim.Ended { return tt.result })
+			s.do(0, "k", func(context.Context) claim.RunResult { return tt.result })
 			s.c.Assert(s.do(0, "k", s.run("k")), qt.DeepEquals, tt.want)
 			s.c.Assert(s.count("k"), qt.Equals, 0)
 			s.store.fail(nil)
--- a/internal/claims/codec.go
+++ b/internal/claims/codec.go
@@ -34,10 +34,10 @@
 
 func encode(r claim.Record) []byte {
 	j := recordJSON{
-		Print: strconv.FormatUint(r.Print, 16), ID: r.ID, At: r.At.UnixMilli(), Until: r.Until.UnixMilli(),
+		Print: strconv.FormatUint(r.Fingerprint, 16), ID: r.ID, At: r.ClaimedAt.UnixMilli(), Until: r.DispatchDeadline.UnixMilli(),
 	}
-	if a := r.Answer; a != nil {
-		j.Answer = &answerJSON{Ran: a.Outcome == call.Ran, Status: a.Status, Whole: a.Whole && len(a.Body) <= maxKept}
+	if a := r.Response; a != nil {
+		j.Answer = &answerJSON{Ran: a.Outcome == call.Ran, Status: a.Status, Whole: a.Complete && len(a.Body) <= maxKept}
 		for _, f := range a.Header {
 			j.Answer.Header = append(j.Answer.Header, [2]string{f.Name, f.Value})
 		}
@@ -58,20 +58,20 @@
 	if err := json.Unmarshal(b, &j); err != nil {
 		return r, err
 	}
-	if r.Print, err = strconv.ParseUint(j.Print, 16, 64); err != nil {
+	if r.Fingerprint, err = strconv.ParseUint(j.Print, 16, 64); err != nil {
 		return r, errors.Errorf("print: found %q, expected a hexadecimal number", j.Print)
 	}
 	if j.ID == "" {
 		return r, errors.New("id: found nothing, expected a value")
 	}
-	r.ID, r.At, r.Until = j.ID, time.UnixMilli(j.At), time.UnixMilli(j.Until)
+	r.ID, r.ClaimedAt, r.DispatchDeadline = j.ID, time.UnixMilli(j.At), time.UnixMilli(j.Until)
 	if a := j.Answer; a != nil {
-		r.Answer = &claim.Answer{Outcome: call.Unknown, Status: a.Status, Body: a.Body, Whole: a.Whole}
+		r.Response = &claim.Response{Outcome: call.Unknown, Status: a.Status, Body: a.Body, Complete: a.Whole}
 		if a.Ran {
-			r.Answer.Outcome = call.Ran
+			r.Response.Outcome = call.Ran
 		}
 		for _, f := range a.Header {
-			r.Answer.Header = append(r.Answer.Header, claim.Field{Name: f[0], Value: f[1]})
+			r.Response.Header = append(r.Response.Header, claim.Field{Name: f[0], Value: f[1]})
 		}
 	}
 	return r, nil
--- a/internal/claims/fake_test.go
+++ b/internal/claims/fake_test.go
@@ -189,11 +189,11 @@
 
 // run returns a Run that counts the run of a key and returns the key as its response.
 func (s *site) run(key string) Run {
-	return func(context.Context) claim.Ended {
+	return func(context.Context) claim.RunResult {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.runs[key]++
-		return claim.Ended{Outcome: call.Ran, Answer: claim.Answer{Status: 200, Body: []byte(key), Whole: true}}
+		return claim.RunResult{Outcome: call.Ran, Response: claim.Response{Status: 200, Body: []byte(key), Complete: true}}
 	}
 }
 
--- a/internal/claims/hold.go
+++ b/internal/claims/hold.go
@@ -67,7 +67,7 @@
 	if mayExist {
 		h.settle(nil)
 	}
-	return claim.Doubt(), false
+	return claim.StoreUnreachable(), false
 }
 
 func (h *hold) create(ctx context.Context) (err error) {
@@ -92,7 +92,7 @@
 		h.version = version
 		return refusal, true, nil
 	}
-	return claim.Meet(h.claims.cfg.Now(), found, h.record.Print), false, nil
+	return claim.ResolveExisting(h.claims.cfg.Now(), found, h.record.Fingerprint), false, nil
 }
 
 func (h *hold) read(ctx context.Context) (found claim.Record, version uint64, err error) {
@@ -107,7 +107,7 @@
 // settle records the outcome of the run, or removes the record if kept is nil. It
 // retries in the background while the store is unavailable, for settleTimeout at most.
 // A removal is awaited for up to withdrawWait. settled is closed when the write has ended.
-func (h *hold) settle(kept *claim.Answer) (settled <-chan struct{}) {
+func (h *hold) settle(kept *claim.Response) (settled <-chan struct{}) {
 	done := make(chan struct{})
 	h.claims.settling.Go(func() {
 		defer close(done)
@@ -134,7 +134,7 @@
 	settleTime = 15 * time.Minute
 )
 
-func (h *hold) deliver(kept *claim.Answer) {
+func (h *hold) deliver(kept *claim.Response) {
 	ctx, cancel := context.WithTimeout(h.claims.life, settleTime)
 	defer cancel()
 	delay := settleFirst
@@ -154,7 +154,7 @@
 // writeOutcome records the outcome, or removes the record if kept is nil. If a response
 // was lost, the known version may be older than the record's; after a conflict the next
 // call reads the record again.
-func (h *hold) write(ctx context.Context, kept *claim.Answer) (err error) {
+func (h *hold) write(ctx context.Context, kept *claim.Response) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
 	if h.version == 0 {
@@ -166,7 +166,7 @@
 		err = h.claims.cfg.Store.Delete(ctx, Kind, h.name, h.version)
 	} else {
 		record := h.record
-		record.Answer = kept
+		record.Response = kept
 		_, err = h.claims.cfg.Store.Put(ctx, Kind, h.name, h.version, encode(record))
 	}
 	if store.IsConflict(err) {
@@ -191,7 +191,7 @@
 		return false, err
 	}
 	h.version = version
-	return found.ID != h.record.ID || found.Answer != nil, nil
+	return found.ID != h.record.ID || found.Response != nil, nil
 }
 
 func (h *hold) log(err error) log.Interface {
--- a/internal/entry/drive.go
+++ b/internal/entry/drive.go
@@ -25,7 +25,7 @@
 	seek    ticket // latest acquisition of a target
 	seeking bool   // the balancer hasn't decided on it yet
 	wait    trace.Span
-	tries   [call.MaxTries]flight
+	tries   [call.MaxDispatches]flight
 	results chan result // from separate goroutines; nil if the request may not be hedged
 	flying  int         // dispatches whose result is still to come through results
 	hedge   <-chan time.Time
@@ -54,9 +54,9 @@
 func newDrive(ctx context.Context, e *Entry, q *request) *drive {
 	d := &drive{entry: e, q: q, ctx: ctx, wait: noSpan}
 	d.call = call.New(call.Config{
-		Tries:  q.policy.Attempts,
-		Retry:  q.policy.RetryAfter,
-		Budget: q.service.budget.Load(),
+		MaxDispatches: q.policy.Attempts,
+		RetryAfter:    q.policy.RetryAfter,
+		Budget:        q.service.budget.Load(),
 	})
 	return d
 }
@@ -87,15 +87,15 @@
 func (d *drive) arrival() call.Arrival {
 	q := d.q
 	a := call.Arrival{
-		Deadline:    q.deadline,
-		Idempotent:  q.idempotent(),
-		Attempt:     q.header.Attempt,
-		Depth:       q.header.Depth,
-		Quarantined: d.entry.suspects.Quarantined(q.arrived, q.fingerprint()),
+		Deadline:            q.deadline,
+		Idempotent:          q.idempotent(),
+		Attempt:             q.header.Attempt,
+		Depth:               q.header.Depth,
+		QuarantineRemaining: d.entry.suspects.QuarantineRemaining(q.arrived, q.fingerprint()),
 	}
 	if q.policy.Hedge && q.stream == nil && a.Idempotent {
-		a.Hedge = q.policy.HedgeAfter
-		d.results = make(chan result, call.MaxTries)
+		a.HedgeDelay = q.policy.HedgeAfter
+		d.results = make(chan result, call.MaxDispatches)
 	}
 	return a
 }
@@ -125,7 +125,7 @@
 		if d.ctx.Err() == context.DeadlineExceeded {
 			return d.call.Expire(time.Now())
 		}
-		return d.call.Leave(time.Now())
+		return d.call.CallerLeft(time.Now())
 	}
 }
 
@@ -135,7 +135,7 @@
 	d.seeking = false
 	if a.Kind == pool.Refuse {
 		ended(d.wait, a.Reason.String())
-		return d.call.Decline(time.Now(), call.Decline{Reason: reasonOf(a.Reason), Retry: a.RetryAfter})
+		return d.call.Decline(time.Now(), call.Decline{Reason: reasonOf(a.Reason), RetryAfter: a.RetryAfter})
 	}
 	d.wait.End()
 	d.tries[d.free()] = flight{ticket: d.seek, action: a}
@@ -157,28 +157,28 @@
 // with its result, which leads to further actions.
 func (d *drive) perform(acts call.Actions) {
 	for _, a := range acts.All() {
-		switch a.Do {
-		case call.DoSeek:
+		switch a.Kind {
+		case call.ActionAcquire:
 			d.enter()
-		case call.DoHedge:
+		case call.ActionAcquireHedge:
 			d.enterHedge()
-		case call.DoWithdraw:
+		case call.ActionWithdraw:
 			d.seeking = false
 			ended(d.wait, "withdrawn")
 			d.seek.cancel(time.Now())
-		case call.DoRelease:
+		case call.ActionRelease:
 			d.seek.cancel(time.Now())
-		case call.DoDispatch:
+		case call.ActionDispatch:
 			d.dispatch(a)
-		case call.DoTimer:
+		case call.ActionStartHedgeTimer:
 			d.timer = time.NewTimer(a.After)
 			d.hedge = d.timer.C
-		case call.DoCancel:
-			d.cancel(a.Try)
-		case call.DoAnswer:
-			sent := &d.tries[a.Try]
+		case call.ActionCancel:
+			d.cancel(a.Dispatch)
+		case call.ActionRespond:
+			sent := &d.tries[a.Dispatch]
 			d.won = &passing{answer: sent.answer, ticket: sent.ticket, drive: d, began: sent.began}
-		case call.DoRefuse:
+		case call.ActionRefuse:
 			d.refused = true
 		}
 	}
@@ -215,10 +215,10 @@
 // dispatch sends the request to the target that the balancer chose, in a separate
 // goroutine if the request may be hedged.
 func (d *drive) dispatch(a call.Action) {
-	sent := &d.tries[a.Try]
+	sent := &d.tries[a.Dispatch]
 	ctx, cancel := context.WithCancel(d.ctx)
 	sent.cancel, sent.began = cancel, time.Now()
-	d.q.service.metrics.dispatched(a.Try, d.flying)
+	d.q.service.metrics.dispatched(a.Dispatch, d.flying)
 	if d.results == nil {
 		d.perform(d.took(d.send(ctx, a, sent.action)))
 		return
@@ -238,7 +238,7 @@
 		e.tracing.carry.Inject(ctx, propagation.HeaderCarrier(header))
 		defer func() { describe(span, to.Target, a.Attempt, r) }()
 	}
-	r.try = a.Try
+	r.try = a.Dispatch
 	if q.stream != nil {
 		defer context.AfterFunc(ctx, q.upload.interrupt)()
 	}
@@ -274,21 +274,21 @@
 		sent.cancel()
 		sent.ticket.done(now, d.kindOf(r.failure.Stage), pool.Load{})
 		return d.call.Fail(now, call.Failed{
-			Try: r.try, Stage: r.failure.Stage, Ran: r.failure.Ran, Replay: replay,
+			Dispatch: r.try, Stage: r.failure.Stage, Execution: r.failure.Ran, Replayable: replay,
 			Quarantined: d.crashed(now, r.failure, sent.began),
 		})
 	}
 	sent.answer = r.answer
 	if r.answer.Body == nil {
-		d.entry.suspects.Answered(now, d.q.fingerprint())
+		d.entry.suspects.RecordResponse(now, d.q.fingerprint())
 	}
-	return d.call.Head(now, call.Head{Try: r.try, Status: r.answer.Status, Shed: r.answer.Load.Shed, Replay: replay})
+	return d.call.ReceiveHead(now, call.ResponseHead{Dispatch: r.try, Status: r.answer.Status, Shed: r.answer.Load.Shed, Replayable: replay})
 }
 
 // outcomeOfFailure returns the outcome that a failed dispatch counts as for its
 // target. A timeout while the caller is still sending the body isn't the
 // target's fault and counts as cancelled.
-func (d *drive) kindOf(s call.Stage) pool.Kind {
+func (d *drive) kindOf(s call.Stage) pool.Outcome {
 	if s == call.StageTimeout && d.q.uploading() {
 		return pool.Cancelled
 	}
@@ -298,10 +298,10 @@
 // recordCrash records a failure that may be a crash of the target, announces it
 // to the peers and reports whether the request is quarantined.
 func (d *drive) crashed(now time.Time, f *forward.Failure, began time.Time) bool {
-	if !f.Stage.Crash() {
+	if !f.Stage.MayBeCrash() {
 		return false
 	}
-	quarantined := d.entry.suspects.Crashed(now, d.q.fingerprint(), f.Target, began)
+	quarantined := d.entry.suspects.RecordCrash(now, d.q.fingerprint(), f.Target, began)
 	go d.entry.tellSuspect(d.q.fingerprint())
 	return quarantined
 }
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -149,7 +149,7 @@
 	sv := w.site.Load().services[name]
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	queued, inFlight := sv.chooser.Len()
+	queued, inFlight := sv.chooser.RequestCounts()
 	return queued + inFlight
 }
 
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -13,7 +13,7 @@
 		return malformed(err.Error())
 	}
 	timeout := q.policy.Timeout
-	if q.header.Limited {
+	if q.header.HasTimeout {
 		timeout = min(timeout, q.header.Timeout)
 	}
 	q.deadline = now.Add(timeout)
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -60,12 +60,12 @@
 	defer r.release()
 	result := e.claims.Do(ctx, claims.Request{
 		Service: q.service.name, Key: q.key, Print: q.fingerprint(), Deadline: q.deadline,
-	}, func(context.Context) claim.Ended { return r.run(context.WithoutCancel(ctx)) })
+	}, func(context.Context) claim.RunResult { return r.run(context.WithoutCancel(ctx)) })
 	switch {
 	case result.Kind == claim.Fresh && r.own != nil:
 		return r.take(), nil
-	case result.Kind == claim.Replay && result.Answer.Whole:
-		return &passing{replay: &result.Answer}, nil
+	case result.Kind == claim.Replay && result.Response.Complete:
+		return &passing{replay: &result.Response}, nil
 	}
 	return nil, finalError{q.explain(finalOf(result))}
 }
@@ -80,19 +80,19 @@
 
 // run executes the request. It returns a panic as an outcome: without one, the
 // key's record would show the request as in progress until it expires.
-func (r *keyedRun) run(ctx context.Context) (result claim.Ended) {
+func (r *keyedRun) run(ctx context.Context) (result claim.RunResult) {
 	defer func() {
 		if v := recover(); v != nil {
 			r.entry.logPanic(r.q.in.Header.Get(headerID), v)
-			result = claim.Ended{Outcome: call.Unknown, Reason: claim.Reason(call.ReasonPanic)}
+			result = claim.RunResult{Outcome: call.Unknown, Reason: claim.Reason(call.ReasonPanic)}
 		}
 	}()
 	p, final := r.entry.drive(ctx, r.q)
 	if p == nil {
-		return claim.Ended{Outcome: final.Outcome, Reason: claim.Reason(final.Reason), RetryAfter: final.Retry}
+		return claim.RunResult{Outcome: final.Outcome, Reason: claim.Reason(final.Reason), RetryAfter: final.RetryAfter}
 	}
 	r.own = p
-	return claim.Ended{Outcome: call.Ran, Answer: recorded(p.answer)}
+	return claim.RunResult{Outcome: call.Ran, Response: recorded(p.answer)}
 }
 
 // takeResponse returns the response, which release then no longer closes.
@@ -110,7 +110,7 @@
 // finalOfClaim returns the final response for a claim's result that has no
 // response to copy.
 func finalOf(r claim.Result) call.Final {
-	f := call.Final{Outcome: call.Unknown, Reason: call.Reason(r.Reason), Retry: r.RetryAfter}
+	f := call.Final{Outcome: call.Unknown, Reason: call.Reason(r.Reason), RetryAfter: r.RetryAfter}
 	switch r.Kind {
 	case claim.NotRun:
 		f.Outcome = call.NotRun
@@ -126,8 +126,8 @@
 
 // recordedResponse converts a response to the form in which a claim records it.
 // The body of a streamed response isn't recorded.
-func recorded(a *forward.Answer) claim.Answer {
-	out := claim.Answer{Outcome: call.Ran, Status: a.Status, Whole: a.Body == nil, Body: a.Whole}
+func recorded(a *forward.Answer) claim.Response {
+	out := claim.Response{Outcome: call.Ran, Status: a.Status, Complete: a.Body == nil, Body: a.Whole}
 	for name, values := range a.Header {
 		for _, v := range values {
 			out.Header = append(out.Header, claim.Field{Name: name, Value: v})
@@ -137,7 +137,7 @@
 }
 
 // writeReplay writes a recorded response.
-func writeReplay(w http.ResponseWriter, a *claim.Answer) {
+func writeReplay(w http.ResponseWriter, a *claim.Response) {
 	h := w.Header()
 	for _, f := range a.Header {
 		h.Add(f.Name, f.Value)
--- a/internal/entry/kind.go
+++ b/internal/entry/kind.go
@@ -10,7 +10,7 @@
 
 // outcomeOfStatus returns the outcome that a complete response counts as for its
 // target.
-func kindOf(status int) pool.Kind {
+func kindOf(status int) pool.Outcome {
 	if status >= http.StatusInternalServerError {
 		return pool.Failed
 	}
@@ -19,20 +19,20 @@
 
 // outcomeOfStage returns the outcome that a failed dispatch counts as for its
 // target.
-func kindOfStage(s call.Stage) pool.Kind {
+func kindOfStage(s call.Stage) pool.Outcome {
 	switch s {
 	case call.StageConnect, call.StageRefused, call.StageUnsent:
-		return pool.RefusedConn
+		return pool.ConnectFailed
 	case call.StageTimeout:
 		return pool.TimedOut
 	case call.StageCancelled, call.StageCaller:
 		return pool.Cancelled
 	}
-	return pool.Broken
+	return pool.ConnectionLost
 }
 
 func loadOf(l forward.Load) pool.Load {
-	return pool.Load{InFlight: max(l.Inflight, 0), Known: l.Inflight >= 0, Leaving: l.Leaving}
+	return pool.Load{InFlight: max(l.Inflight, 0), HasInFlight: l.Inflight >= 0, Leaving: l.Leaving}
 }
 
 // refusalReason returns the reason that a caller gets for a balancer's refusal.
@@ -40,7 +40,7 @@
 	switch r {
 	case pool.QueueFull:
 		return call.ReasonOverload
-	case pool.TooLate, pool.DeadlineUp:
+	case pool.TooLate, pool.DeadlineNear:
 		return call.ReasonDeadline
 	}
 	return call.ReasonUnavailable
--- a/internal/entry/locate.go
+++ b/internal/entry/locate.go
@@ -34,7 +34,7 @@
 		if len(addrs) == 0 {
 			return nil, finalError{call.Final{
 				Outcome: call.NotRun, Reason: call.ReasonUnavailable,
-				Detail: "no entry is live", Retry: time.Second,
+				Detail: "no entry is live", RetryAfter: time.Second,
 			}}
 		}
 		return locateAnswer{q.service, addrs, ttl}, nil
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -97,7 +97,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.chooser.Explain(now) {
-		row := explainRow{r.Target, r.Chosen, r.Why, r.InFlight, r.Limit, r.Foreign, r.Slow, r.Fail, ""}
+		row := explainRow{r.Target, r.Chosen, r.Why, r.InFlight, r.Limit, r.OtherInFlight, r.SlowEvidence, r.FailEvidence, ""}
 		if !r.Until.IsZero() {
 			row.Until = r.Until.UTC().Format(time.RFC3339Nano)
 		}
--- a/internal/entry/plane.go
+++ b/internal/entry/plane.go
@@ -94,7 +94,7 @@
 	}
 	now := time.Now()
 	for _, c := range r.Crashers {
-		e.suspects.Merge(now, "rumour", []call.Suspect{{Print: c.Print, Crashes: int(c.Crashes), Age: now.Sub(c.At)}})
+		e.suspects.Merge(now, "rumour", []call.Suspect{{Fingerprint: c.Print, Crashes: int(c.Crashes), Age: now.Sub(c.At)}})
 	}
 }
 
@@ -110,7 +110,7 @@
 func (e *Entry) tellSuspect(fingerprint uint64) {
 	now := time.Now()
 	for _, s := range e.suspects.Export(now, maxSuspects) {
-		if s.Print != fingerprint {
+		if s.Fingerprint != fingerprint {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/internal/entry/policy_test.go
+++ b/internal/entry/policy_test.go
@@ -20,7 +20,7 @@
 // applied at all.
 func TestEveryPolicyOfTheSettingsIsAPools(t *testing.T) {
 	names := []string{tree.FreeSlot, tree.LeastInFlight, tree.TwoChoices, tree.RoundRobin, tree.Random}
-	qt.Assert(t, names, qt.ContentEquals, pool.Names())
+	qt.Assert(t, names, qt.ContentEquals, pool.PolicyNames())
 	for _, name := range names {
 		_, err := newChooser(tree.Policy{Policy: name}, probe.New(probe.Config{}))
 		qt.Check(t, err, qt.IsNil, qt.Commentf("%s", name))
--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -81,7 +81,7 @@
 	e.prober.sent.Add(1)
 	e.prober.spent.Add(int64(took))
 	s.metrics.probes.Inc(1)
-	s.probed(time.Now(), pool.Probed{Target: a.Target, OK: ok, Took: took, Load: load})
+	s.probed(time.Now(), pool.ProbeResult{Target: a.Target, OK: ok, Took: took, Load: load})
 }
 
 func (p *prober) ask(ctx context.Context, url string) (load pool.Load, ok bool) {
--- a/internal/entry/release.go
+++ b/internal/entry/release.go
@@ -76,11 +76,11 @@
 // would end the process with all its requests, so it is passed as a result and
 // raised again in the request's goroutine.
 func (d *drive) sendApart(ctx context.Context, a call.Action, to pool.Action) {
-	r := result{try: a.Try}
+	r := result{try: a.Dispatch}
 	defer func() {
 		if v := recover(); v != nil {
 			d.entry.log.WithField("stack", string(debug.Stack())).Errorf("panic in a dispatch: %v", v)
-			r = result{try: a.Try, panicked: v}
+			r = result{try: a.Dispatch, panicked: v}
 		}
 		d.results <- r
 	}()
@@ -95,7 +95,7 @@
 		outcome = kindOfStage(f.Stage)
 		o.drive.crashed(now, f, o.began)
 	} else if o.answer.Body != nil {
-		o.drive.entry.suspects.Answered(now, o.drive.q.fingerprint())
+		o.drive.entry.suspects.RecordResponse(now, o.drive.q.fingerprint())
 	}
 	o.ended = true
 	o.ticket.done(now, outcome, loadOf(o.answer.Load))
@@ -110,7 +110,7 @@
 	}
 	o.ended = true
 	o.answer.Close()
-	o.ticket.done(time.Now(), pool.Broken, pool.Load{})
+	o.ticket.done(time.Now(), pool.ConnectionLost, pool.Load{})
 }
 
 // logPanic logs a panic in the handling of a request, with the stack.
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -52,10 +52,10 @@
 
 // poolStatus reads the balancer's state under the lock. It unlocks with defer: a
 // panic that left the service locked would block all its requests.
-func (s *service) look(now time.Time) (queued, inFlight int, rows []pool.Row) {
+func (s *service) look(now time.Time) (queued, inFlight int, rows []pool.TargetStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	queued, inFlight = s.chooser.Len()
+	queued, inFlight = s.chooser.RequestCounts()
 	return queued, inFlight, s.chooser.Explain(now)
 }
 
--- a/internal/entry/report_test.go
+++ b/internal/entry/report_test.go
@@ -12,9 +12,9 @@
 )
 
 // panickingBalancer panics when its status is read for the gauges.
-type brokenChooser struct{ pool.Chooser }
+type brokenChooser struct{ pool.Balancer }
 
-func (brokenChooser) Explain(time.Time) []pool.Row { panic("broken") }
+func (brokenChooser) Explain(time.Time) []pool.TargetStatus { panic("broken") }
 
 // The reporter panics while it reads a balancer under the service's lock. Requests
 // must not block on that lock afterwards.
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -74,7 +74,7 @@
 
 // computeFingerprint hashes the request with the given hash of its body.
 func (q *request) printOf(body uint64) uint64 {
-	return call.Print(q.service.name, q.in.Method, q.path, q.in.URL.RawQuery, body)
+	return call.Fingerprint(q.service.name, q.in.Method, q.path, q.in.URL.RawQuery, body)
 }
 
 // idempotent reports whether the policy declares the method idempotent.
@@ -131,7 +131,7 @@
 	ticket ticket
 	cancel context.CancelFunc
 	ended  bool
-	replay *claim.Answer // recorded response; the other fields are unset
+	replay *claim.Response // recorded response; the other fields are unset
 }
 
 func encodeAnswer(_ context.Context, w http.ResponseWriter, response any) error {
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -28,8 +28,8 @@
 	mu      sync.Mutex
 	probes  *probe.Budget // shared with the balancer
 	granted probe.Config  // of the probe budget
-	chooser pool.Chooser
-	retired []pool.Chooser // replaced balancers that still have requests
+	chooser pool.Balancer
+	retired []pool.Balancer // replaced balancers that still have requests
 	waiting map[uint64]chan pool.Action
 	list    []pool.Target
 	scratch []pool.Action
@@ -67,11 +67,11 @@
 }
 
 // newBalancer returns a balancer of the type that the policy names.
-func newChooser(p tree.Policy, budget *probe.Budget) (b pool.Chooser, err error) {
+func newChooser(p tree.Policy, budget *probe.Budget) (b pool.Balancer, err error) {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	cfg := poolConfig(p)
-	cfg.Budget = budget
-	return pool.ByName(p.Policy, cfg, rng)
+	cfg.ProbeBudget = budget
+	return pool.NewBalancer(p.Policy, cfg, rng)
 }
 
 // newRetryBudget returns the budget of retries and hedges, or nil if the policy
@@ -80,20 +80,20 @@
 	if p.RetryShare == 0 {
 		return nil
 	}
-	return call.NewBudget(call.BudgetConfig{Share: p.RetryShare})
+	return call.NewBudget(call.BudgetConfig{RetryShare: p.RetryShare})
 }
 
 func poolConfig(p tree.Policy) pool.Config {
 	return pool.Config{
-		Slots:    p.Slots,
-		MaxQueue: p.Queue,
-		MaxWait:  p.MaxWait,
-		MaxOut:   p.EjectShare,
-		Hold:     p.LeaveHold,
-		TrialMin: p.TrialMin,
-		TrialMax: p.TrialMax,
-		Warmup:   p.Warmup,
-		Silent:   p.ProbeAfter,
+		DefaultSlots:    p.Slots,
+		MaxQueue:        p.Queue,
+		MaxWait:         p.MaxWait,
+		MaxEjectedShare: p.EjectShare,
+		LeavingHold:     p.LeaveHold,
+		TrialMin:        p.TrialMin,
+		TrialMax:        p.TrialMax,
+		Warmup:          p.Warmup,
+		ProbeAfter:      p.ProbeAfter,
 	}
 }
 
@@ -115,13 +115,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	notices := s.chooser.Held(now)
+	notices := s.chooser.LeavingNotices(now)
 	s.retired = append(s.retired, s.chooser)
 	s.chooser = b
 	for _, n := range notices {
-		s.act(now, b.Leave(now, n.Target, n.Boot, s.scratch[:0]))
+		s.act(now, b.MarkLeaving(now, n.Target, n.Boot, s.scratch[:0]))
 	}
-	s.act(now, b.Targets(now, s.list, s.scratch[:0]))
+	s.act(now, b.SetTargets(now, s.list, s.scratch[:0]))
 	return nil
 }
 
@@ -130,21 +130,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list = list
-	s.act(now, s.chooser.Targets(now, list, s.scratch[:0]))
+	s.act(now, s.chooser.SetTargets(now, list, s.scratch[:0]))
 }
 
 // markLeaving notes that an incarnation of a target is leaving.
 func (s *service) leave(now time.Time, target string, boot uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, s.chooser.Leave(now, target, boot, s.scratch[:0]))
+	s.act(now, s.chooser.MarkLeaving(now, target, boot, s.scratch[:0]))
 }
 
 // ticket identifies a request at the balancer: its place in the queue, and its
 // slot once it is dispatched.
 type ticket struct {
 	service *service
-	chooser pool.Chooser // that received the request
+	chooser pool.Balancer // that received the request
 	id      uint64
 	answer  chan pool.Action // receives one Dispatch or Refuse
 }
@@ -159,7 +159,7 @@
 	a.ID = s.last
 	t.id, t.chooser = a.ID, s.chooser
 	s.waiting[a.ID] = t.answer
-	s.act(now, s.chooser.Arrive(now, a, s.scratch[:0]))
+	s.act(now, s.chooser.Submit(now, a, s.scratch[:0]))
 	return t
 }
 
@@ -173,11 +173,11 @@
 }
 
 // done reports the outcome of a dispatched request and frees its slot.
-func (t ticket) done(now time.Time, outcome pool.Kind, load pool.Load) {
+func (t ticket) done(now time.Time, outcome pool.Outcome, load pool.Load) {
 	s := t.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, t.chooser.Done(now, pool.Answer{ID: t.id, Kind: outcome, Load: load}, s.scratch[:0]))
+	s.act(now, t.chooser.Done(now, pool.Completion{ID: t.id, Outcome: outcome, Load: load}, s.scratch[:0]))
 }
 
 // perform executes the balancer's actions. The caller holds the lock, so nothing
@@ -192,7 +192,7 @@
 			}
 		case pool.Probe:
 			go s.probe(s, a)
-		case pool.Left:
+		case pool.NoteLeaving:
 			go s.left(a.Target, a.Boot)
 		}
 	}
@@ -202,7 +202,7 @@
 
 // scheduleTick sets the alarm to the next tick that a balancer needs.
 func (s *service) arm(now time.Time) {
-	next := s.chooser.Next()
+	next := s.chooser.NextTick()
 	if len(s.retired) > 0 {
 		next = now.Add(retiredTick)
 	}
@@ -230,7 +230,7 @@
 	kept := s.retired[:0]
 	for _, b := range s.retired {
 		s.act(now, b.Tick(now, s.scratch[:0]))
-		if queued, inFlight := b.Len(); queued+inFlight > 0 {
+		if queued, inFlight := b.RequestCounts(); queued+inFlight > 0 {
 			kept = append(kept, b)
 		}
 	}
@@ -238,10 +238,10 @@
 }
 
 // probeDone passes the result of a probe to the balancer.
-func (s *service) probed(now time.Time, p pool.Probed) {
+func (s *service) probed(now time.Time, p pool.ProbeResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, s.chooser.Probed(now, p, s.scratch[:0]))
+	s.act(now, s.chooser.ProbeDone(now, p, s.scratch[:0]))
 }
 
 // close stops the alarm. Requests in flight end as usual.
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -65,6 +65,6 @@
 func (s *service) status(preferred []string) statusService {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	queued, inFlight := s.chooser.Len()
+	queued, inFlight := s.chooser.RequestCounts()
 	return statusService{Name: s.name, Homes: preferred, Targets: len(s.list), Queued: queued, InFlight: inFlight}
 }
--- a/internal/forward/header_test.go
+++ b/internal/forward/header_test.go
@@ -152,9 +152,9 @@
 		retry  [2]string
 		body   string
 	}{
-		{call.Final{Outcome: call.NotRun, Reason: call.ReasonOverload, Detail: `queue "q" full`, Retry: 1500 * time.Microsecond}, 503, [2]string{"1", "2"}, `{"outcome":"not-run","reason":"overload","detail":"queue \"q\" full","retry":2}`},
+		{call.Final{Outcome: call.NotRun, Reason: call.ReasonOverload, Detail: `queue "q" full`, RetryAfter: 1500 * time.Microsecond}, 503, [2]string{"1", "2"}, `{"outcome":"not-run","reason":"overload","detail":"queue \"q\" full","retry":2}`},
 		{call.Final{Outcome: call.Ran, Reason: call.ReasonCut}, 502, [2]string{"", ""}, `{"outcome":"ran","reason":"cut","detail":"","retry":0}`},
-		{call.Final{Reason: call.ReasonTimeout, Retry: 1001 * time.Millisecond}, 504, [2]string{"2", "1001"}, `{"outcome":"unknown","reason":"timeout","detail":"","retry":1001}`},
+		{call.Final{Reason: call.ReasonTimeout, RetryAfter: 1001 * time.Millisecond}, 504, [2]string{"2", "1001"}, `{"outcome":"unknown","reason":"timeout","detail":"","retry":1001}`},
 	}
 	for _, tt := range tests {
 		c := qt.New(t)
--- a/internal/forward/refuse.go
+++ b/internal/forward/refuse.go
@@ -23,18 +23,18 @@
 	h.Set(call.HeaderOutcome, f.Outcome.String())
 	h.Set(call.HeaderReason, string(f.Reason))
 	h.Set("Cache-Control", "no-store")
-	if f.Retry > 0 {
-		h.Set(call.HeaderRetryAfter, strconv.FormatInt(int64((f.Retry+time.Second-1)/time.Second), 10))
-		h.Set(call.HeaderRetry, strconv.FormatInt(millis(f.Retry), 10))
+	if f.RetryAfter > 0 {
+		h.Set(call.HeaderRetryAfter, strconv.FormatInt(int64((f.RetryAfter+time.Second-1)/time.Second), 10))
+		h.Set(call.HeaderRetry, strconv.FormatInt(millis(f.RetryAfter), 10))
 	}
-	body, err := json.Marshal(refusal{f.Outcome.String(), string(f.Reason), f.Detail, millis(f.Retry)})
+	body, err := json.Marshal(refusal{f.Outcome.String(), string(f.Reason), f.Detail, millis(f.RetryAfter)})
 	if err != nil {
 		body = []byte(`{}`)
 	}
 	body = append(body, '\n')
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	w.WriteHeader(f.Code())
+	w.WriteHeader(f.StatusCode())
 	// A write error means that the caller has left; there is nobody to report it to.
 	_, _ = w.Write(body)
 }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -73,7 +73,7 @@
 		panic(http.ErrAbortHandler)
 	case final.Outcome == call.NotRun:
 		reason := string(final.Reason)
-		retry := final.Retry
+		retry := final.RetryAfter
 		switch {
 		case q.refused.Kind != 0:
 			reason = q.refused.Reason.String()
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -29,7 +29,7 @@
 // requests fill it; shareRetries sets how much it may save up.
 func retryBudget(b platform.Bounds) *call.Budget {
 	budget := call.NewBudget(call.BudgetConfig{Burst: 1})
-	budget.SetShare(b.RetryShare * retryMargin)
+	budget.SetRetryShare(b.RetryShare * retryMargin)
 	return budget
 }
 
@@ -64,9 +64,9 @@
 
 func (s *service) shareRetries(ratio float64, burst int, aged bool) {
 	if aged {
-		s.budget.Age()
+		s.budget.StartPeriod()
 	}
-	s.budget.SetShare(ratio * retryMargin)
+	s.budget.SetRetryShare(ratio * retryMargin)
 	s.budget.SetBurst(burst)
 }
 
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -47,13 +47,13 @@
 			budget := retryBudget(b)
 			budget.SetBurst(retryBurst(b, 1/float64(tt.entries)))
 			for range earlier / tt.entries {
-				budget.First(0, 0)
+				budget.CountFirst(0, 0)
 			}
-			budget.Age()
+			budget.StartPeriod()
 			for range tt.before / tt.entries {
-				budget.First(0, 0)
+				budget.CountFirst(0, 0)
 			}
-			budget.Age()
+			budget.StartPeriod()
 			for i := range tt.during/tt.entries + 1 {
 				for _, notRun := range []bool{true, false} {
 					for range 10 {
@@ -63,7 +63,7 @@
 					}
 				}
 				if i < tt.during/tt.entries {
-					budget.First(0, 0)
+					budget.CountFirst(0, 0)
 				}
 			}
 		}
--- a/internal/gateway/budget_views_test.go
+++ b/internal/gateway/budget_views_test.go
@@ -79,7 +79,7 @@
 		e := s.owners[s.rnd.IntN(len(s.owners))]
 		received[e]++
 		s.sent[tick]++
-		s.entries[e].budget.First(0, 0)
+		s.entries[e].budget.CountFirst(0, 0)
 		if !s.failing {
 			continue
 		}
@@ -106,7 +106,7 @@
 		e.budget.SetBurst(retryBurst(s.bounds, e.mean/all))
 	}
 	if tick-e.aged >= int(s.bounds.RetryWindow/tickPeriod) {
-		e.budget.Age()
+		e.budget.StartPeriod()
 		e.aged = tick
 	}
 }
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -50,7 +50,7 @@
 func (q *request) logRepeat(d *try, why call.Reason) {
 	f := q.fields()
 	choice(f, d)
-	f["why"], f["saved"] = string(why), math.Round(10*q.service.budget.Saved())/10
+	f["why"], f["saved"] = string(why), math.Round(10*q.service.budget.Available())/10
 	q.gateway.log.WithFields(f).Warn("sent again")
 }
 
@@ -64,7 +64,7 @@
 
 // addBudgetDenied adds a field if the budget denied a retry or hedge of the request.
 func (q *request) logSpent(f log.Fields) {
-	if q.call.Spent() {
+	if q.call.BudgetDenied() {
 		f["spent"] = true
 	}
 }
@@ -74,8 +74,8 @@
 	f := q.fields()
 	choice(f, d)
 	f["stage"], f["ran"], f["connect"] = fail.Stage.String(), ran(fail.Ran), fail.Connect.Milliseconds()
-	if fail.Stage.Crash() {
-		f["print"], f["crashes"] = strconv.FormatUint(q.digest, 36), q.gateway.suspects.Crashes(q.digest)
+	if fail.Stage.MayBeCrash() {
+		f["print"], f["crashes"] = strconv.FormatUint(q.digest, 36), q.gateway.suspects.CrashCount(q.digest)
 	}
 	q.gateway.log.WithFields(f).WithError(fail.Cause).Warn("dispatch failed")
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -84,7 +84,7 @@
 		forward: forward.New(forward.Config{
 			Echo: platform.HeaderRequest, Silence: targetSilence, Connect: targetConnect, Idle: targetIdle, Whole: wholeAnswer,
 		}),
-		suspects:    call.NewSuspects(call.SuspectsConfig{Crashes: crashLimit}),
+		suspects:    call.NewSuspects(call.SuspectsConfig{CrashLimit: crashLimit}),
 		refused:     newRefusals(cfg.Log),
 		instruments: newInstruments(cfg.Settings.Name),
 		freshness:   newFreshness(),
--- a/internal/gateway/instruments.go
+++ b/internal/gateway/instruments.go
@@ -90,7 +90,7 @@
 	i.targets.Update(float64(c.targets.Len()))
 	i.marks.Update(float64(c.evacuations.Len()))
 	for _, s := range c.services {
-		s.counts.saved.Update(s.budget.Saved())
+		s.counts.saved.Update(s.budget.Available())
 		s.counts.burst.Update(float64(c.shared.burst))
 	}
 	for d := range duties {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -32,7 +32,7 @@
 	objective time.Time
 
 	call    call.Call
-	tries   [call.MaxTries]try
+	tries   [call.MaxDispatches]try
 	sought  uint64 // ID of the pending target request in the balancer; 0 if none
 	slots   chan slot.Action
 	results chan result
@@ -92,7 +92,7 @@
 		case <-q.gateway.ending:
 			actions = q.call.Expire(time.Now())
 		case <-q.r.Context().Done():
-			actions = q.call.Leave(time.Now())
+			actions = q.call.CallerLeft(time.Now())
 		}
 	}
 }
@@ -100,18 +100,18 @@
 // start initializes the request and passes it to the call state machine.
 func (q *request) arrive(now, deadline time.Time) call.Actions {
 	q.slots = make(chan slot.Action, 1)
-	q.results = make(chan result, call.MaxTries)
+	q.results = make(chan result, call.MaxDispatches)
 	q.digest = q.fingerprint()
 	q.objective = q.arrived.Add(q.route.Objective)
 	if left, ok := platform.RequestTime(q.r.Header); ok {
 		q.objective = q.objective.Add(-q.route.Patience.Elapsed(left))
 	}
 	q.call = call.New(call.Config{
-		Tries: min(q.route.Attempts, call.MaxTries), Margin: endMargin, Budget: q.service.budget,
+		MaxDispatches: min(q.route.Attempts, call.MaxDispatches), Margin: endMargin, Budget: q.service.budget,
 	})
 	return q.call.Arrive(now, call.Arrival{
-		Deadline: deadline, Idempotent: q.route.Idempotent, Hedge: q.service.hedge(q.route.Name, q.objective.Sub(now)),
-		Quarantined: q.gateway.suspects.Quarantined(now, q.digest),
+		Deadline: deadline, Idempotent: q.route.Idempotent, HedgeDelay: q.service.hedge(q.route.Name, q.objective.Sub(now)),
+		QuarantineRemaining: q.gateway.suspects.QuarantineRemaining(now, q.digest),
 	})
 }
 
@@ -143,25 +143,25 @@
 // has ended.
 func (q *request) do(actions []call.Action) (ended bool) {
 	for _, a := range actions {
-		switch a.Do {
-		case call.DoSeek:
+		switch a.Kind {
+		case call.ActionAcquire:
 			q.seek(false)
-		case call.DoHedge:
+		case call.ActionAcquireHedge:
 			q.seek(true)
-		case call.DoWithdraw, call.DoRelease:
+		case call.ActionWithdraw, call.ActionRelease:
 			q.service.cancel(time.Now(), q.sought)
 			q.sought = 0
-		case call.DoDispatch:
+		case call.ActionDispatch:
 			q.dispatch(a)
-		case call.DoCancel:
-			q.tries[a.Try].cancel()
-		case call.DoAnswer:
-			q.pass(a.Try)
+		case call.ActionCancel:
+			q.tries[a.Dispatch].cancel()
+		case call.ActionRespond:
+			q.pass(a.Dispatch)
 			return true
-		case call.DoRefuse:
+		case call.ActionRefuse:
 			q.giveUp()
 			return true
-		case call.DoTimer:
+		case call.ActionStartHedgeTimer:
 			q.hedge.Reset(a.After)
 		}
 	}
@@ -175,7 +175,7 @@
 		Arrived: q.arrived, Objective: q.objective, Deadline: q.end(),
 		Priority: q.route.Priority, Hedge: hedge, Class: q.route.Name, Regions: q.route.Homes,
 	}
-	q.call.Tried(func(target string) { r.Tried = append(r.Tried, target) })
+	q.call.EachTarget(func(target string) { r.Tried = append(r.Tried, target) })
 	q.sought = q.service.arrive(now, r, q.slots)
 }
 
@@ -184,26 +184,26 @@
 	if a.Kind == slot.Refuse {
 		q.refused = a
 		q.sought = 0
-		return q.call.Decline(now, call.Decline{Reason: call.ReasonOverload, Retry: a.RetryAfter})
+		return q.call.Decline(now, call.Decline{Reason: call.ReasonOverload, RetryAfter: a.RetryAfter})
 	}
 	q.refused = slot.Action{}
 	if gone(q.r) {
-		return q.call.Leave(now)
+		return q.call.CallerLeft(now)
 	}
-	d := &q.tries[min(q.next(), call.MaxTries-1)]
+	d := &q.tries[min(q.next(), call.MaxDispatches-1)]
 	d.target, d.why = a.Target, a.Decision
 	return q.call.Choose(now, call.Choice{Target: a.Target.ID})
 }
 
 // dispatchCount returns the number of dispatches so far.
 func (q *request) next() (n int) {
-	q.call.Tried(func(string) { n++ })
+	q.call.EachTarget(func(string) { n++ })
 	return n
 }
 
 // dispatch sends the request to the chosen target.
 func (q *request) dispatch(a call.Action) {
-	d := &q.tries[a.Try]
+	d := &q.tries[a.Dispatch]
 	d.id, q.sought = q.sought, 0
 	d.began = time.Now()
 	ctx, cancel := context.WithCancel(context.WithoutCancel(q.r.Context()))
@@ -212,9 +212,9 @@
 	q.service.counts.sent.Inc(1)
 	timeout := q.end().Sub(d.began)
 	d.left = timeout
-	if a.Try > 0 {
-		q.service.counts.again(string(a.Why)).Inc(1)
-		q.logRepeat(d, a.Why)
+	if a.Dispatch > 0 {
+		q.service.counts.again(string(a.Reason)).Inc(1)
+		q.logRepeat(d, a.Reason)
 	}
 	outgoing := forward.Try{
 		Target: d.target.Address, Request: q.r, Path: q.r.URL.EscapedPath(), Body: q.body,
@@ -222,7 +222,7 @@
 	}
 	go func() {
 		response, failure := q.gateway.forward.Dispatch(ctx, outgoing)
-		q.results <- result{a.Try, response, failure}
+		q.results <- result{a.Dispatch, response, failure}
 	}()
 }
 
@@ -239,12 +239,12 @@
 		q.service.done(now, completion)
 		q.service.counts.failures.Inc(1)
 		quarantined := false
-		if f.Stage.Crash() {
+		if f.Stage.MayBeCrash() {
 			q.service.counts.crashes.Inc(1)
-			quarantined = q.gateway.suspects.Crashed(now, q.digest, d.target.Incarnation(), d.began)
+			quarantined = q.gateway.suspects.RecordCrash(now, q.digest, d.target.Incarnation(), d.began)
 		}
 		q.logFailure(d, f)
-		return q.call.Fail(now, call.Failed{Try: res.try, Stage: f.Stage, Ran: f.Ran, Replay: true, Quarantined: quarantined})
+		return q.call.Fail(now, call.Failed{Dispatch: res.try, Stage: f.Stage, Execution: f.Ran, Replayable: true, Quarantined: quarantined})
 	}
 	resp := res.answer
 	d.answer = resp
@@ -260,14 +260,14 @@
 	if complete := resp.Body == nil; complete && !shed {
 		q.clear(now, d, resp.Status)
 	}
-	return q.call.Head(now, call.Head{
-		Try: res.try, Status: resp.Status, Shed: shed, Replay: true, Unwell: resp.Status >= http.StatusInternalServerError,
+	return q.call.ReceiveHead(now, call.ResponseHead{
+		Dispatch: res.try, Status: resp.Status, Shed: shed, Replayable: true, TargetFailed: resp.Status >= http.StatusInternalServerError,
 	})
 }
 
 // clearSuspicion records that a target ran the request and sent its complete response.
 func (q *request) clear(now time.Time, d *try, status int) {
-	if q.gateway.suspects.Answered(now, q.digest) {
+	if q.gateway.suspects.RecordResponse(now, q.digest) {
 		q.logCleared(d, status)
 	}
 }
@@ -287,7 +287,7 @@
 // release frees the resources of the request. It cancels the dispatches in flight; their
 // results are collected in the background.
 func (q *request) release() {
-	if q.call.Spent() {
+	if q.call.BudgetDenied() {
 		q.service.counts.denied.Inc(1)
 	}
 	if q.sought != 0 {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -173,7 +173,7 @@
 func (s *service) status(now time.Time, name string) ServiceStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := ServiceStatus{Name: name, Saved: s.budget.Saved(), Targets: []TargetStatus{}}
+	out := ServiceStatus{Name: name, Saved: s.budget.Available(), Targets: []TargetStatus{}}
 	out.Seeking, out.Flying = s.book.RequestCounts()
 	for _, r := range s.book.Explain(now) {
 		out.Targets = append(out.Targets, targetStatus(now, r))
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -87,7 +87,7 @@
 // quarantined returns the requests in quarantine, in the form sent to other entries.
 func (c *control) quarantined(now time.Time) (list []call.Suspect) {
 	for _, s := range c.gateway.suspects.Export(now, maxSuspects) {
-		if c.gateway.suspects.Quarantined(now, s.Print) > 0 {
+		if c.gateway.suspects.QuarantineRemaining(now, s.Fingerprint) > 0 {
 			list = append(list, s)
 		}
 	}
@@ -98,9 +98,9 @@
 // has announced the quarantined ones to all entries, so they are recorded as announced.
 func (c *control) hearSuspects(now time.Time, by string, list []call.Suspect) {
 	for _, s := range list {
-		c.logTold(s.Print, uint32(s.Crashes), by)
+		c.logTold(s.Fingerprint, uint32(s.Crashes), by)
 		if s.Crashes >= crashLimit {
-			c.suspects[s.Print] = crashLimit
+			c.suspects[s.Fingerprint] = crashLimit
 		}
 	}
 	c.gateway.suspects.Merge(now, by, list)
@@ -110,7 +110,7 @@
 func (c *control) learned(now time.Time, r member.Rumours) {
 	for _, s := range r.Crashers {
 		c.logTold(s.Print, s.Crashes, s.By)
-		suspect := call.Suspect{Print: s.Print, Crashes: int(s.Crashes), Age: now.Sub(s.At)}
+		suspect := call.Suspect{Fingerprint: s.Print, Crashes: int(s.Crashes), Age: now.Sub(s.At)}
 		c.gateway.suspects.Merge(now, s.By, []call.Suspect{suspect})
 	}
 }
@@ -130,15 +130,15 @@
 	var rumours member.Rumours
 	var changed []call.Suspect
 	for _, s := range c.gateway.suspects.Export(now, maxSuspects) {
-		quarantined := c.gateway.suspects.Quarantined(now, s.Print) > 0
+		quarantined := c.gateway.suspects.QuarantineRemaining(now, s.Fingerprint) > 0
 		if quarantined {
 			s.Crashes = crashLimit
 		}
-		announced, ok := c.suspects[s.Print]
+		announced, ok := c.suspects[s.Fingerprint]
 		if ok && announced == s.Crashes {
 			continue
 		}
-		c.suspects[s.Print] = s.Crashes
+		c.suspects[s.Fingerprint] = s.Crashes
 		changed = append(changed, s)
 		if quarantined || announced == crashLimit {
 			rumours.Crashers = append(rumours.Crashers, c.crasher(now, s))
@@ -162,7 +162,7 @@
 func (c *control) crasher(now time.Time, s call.Suspect) member.Crasher {
 	c.said++
 	return member.Crasher{
-		Print: s.Print, Crashes: uint32(s.Crashes), At: now.Add(-s.Age), By: c.gateway.self.Name, Sequence: c.gateway.self.Boot + c.said,
+		Print: s.Fingerprint, Crashes: uint32(s.Crashes), At: now.Add(-s.Age), By: c.gateway.self.Name, Sequence: c.gateway.self.Boot + c.said,
 	}
 }
 
--- a/internal/lab/capacity/memory.go
+++ b/internal/lab/capacity/memory.go
@@ -125,7 +125,7 @@
 	const perService = 18
 	var pools []any
 	for done := 0; done < workers; done += perService {
-		c, err := pool.ByName(pool.Names()[0], pool.Config{}, rand.New(rand.NewPCG(1, 1)))
+		c, err := pool.NewBalancer(pool.PolicyNames()[0], pool.Config{}, rand.New(rand.NewPCG(1, 1)))
 		if err != nil {
 			panic(err)
 		}
@@ -136,7 +136,7 @@
 				Addr: fmt.Sprintf("10.2.%d.%d:9000", (done+i)/250, (done+i)%250),
 			})
 		}
-		c.Targets(epoch, targets, nil)
+		c.SetTargets(epoch, targets, nil)
 		pools = append(pools, c)
 	}
 	return pools
--- a/internal/lab/order/order.go
+++ b/internal/lab/order/order.go
@@ -59,7 +59,7 @@
 func Run(ctx context.Context, cfg Config, w io.Writer) (err error) {
 	defer func() { err = errors.WithMessage(err, "order") }()
 	var rows []row
-	for _, policy := range pool.Names() {
+	for _, policy := range pool.PolicyNames() {
 		r, err := measure(ctx, cfg, policy)
 		if err != nil {
 			return err
--- a/internal/lab/tail/entry.go
+++ b/internal/lab/tail/entry.go
@@ -9,7 +9,7 @@
 
 // entry runs the balancer of one simulated entry.
 type entry struct {
-	pool   pool.Chooser
+	pool   pool.Balancer
 	idle   []int // idle connections to each worker
 	tick   int64 // virtual time of the scheduled tick, in nanoseconds; 0 for none
 	tokens float64
@@ -44,7 +44,7 @@
 	r := &s.requests[i]
 	e := &s.entries[r.entry]
 	a := pool.Arrival{ID: attempt(i, r.try), Deadline: epoch.Add(time.Duration(r.at) + s.sc.deadline), Idempotent: !r.write, Avoid: avoid}
-	s.do(r.entry, e.pool.Arrive(s.time(), a, e.out[:0]))
+	s.do(r.entry, e.pool.Submit(s.time(), a, e.out[:0]))
 }
 
 // execute carries out the actions that the balancer of entry i returned.
@@ -60,7 +60,7 @@
 		case pool.Probe:
 			w, _ := strconv.Atoi(a.Target)
 			s.probe(i, int32(w))
-		case pool.Left:
+		case pool.NoteLeaving:
 			s.tell(i, a)
 		}
 	}
@@ -96,7 +96,7 @@
 		if int32(i) == from {
 			continue
 		}
-		s.do(int32(i), s.entries[i].pool.Leave(s.time(), a.Target, a.Boot, nil))
+		s.do(int32(i), s.entries[i].pool.MarkLeaving(s.time(), a.Target, a.Boot, nil))
 	}
 }
 
@@ -104,7 +104,7 @@
 // earlier tick is already scheduled.
 func (s *site) plan(i int32) {
 	e := &s.entries[i]
-	next := e.pool.Next()
+	next := e.pool.NextTick()
 	if next.IsZero() {
 		return
 	}
@@ -129,21 +129,21 @@
 // receiveResponse processes the response to a dispatch or a probe at the entry.
 func (s *site) answer(j job) {
 	e := &s.entries[j.entry]
-	load := pool.Load{InFlight: j.end.load, Known: !s.sc.deaf, Leaving: j.end.leaving}
+	load := pool.Load{InFlight: j.end.load, HasInFlight: !s.sc.deaf, Leaving: j.end.leaving}
 	if s.sc.mislead {
 		load.InFlight = 0
 	}
 	if j.request < 0 {
 		load.InFlight--
-		r := pool.Probed{Target: strconv.Itoa(int(j.worker)), OK: j.end.kind != pool.RefusedConn, Load: load}
-		s.do(j.entry, e.pool.Probed(s.time(), r, e.out[:0]))
+		r := pool.ProbeResult{Target: strconv.Itoa(int(j.worker)), OK: j.end.kind != pool.ConnectFailed, Load: load}
+		s.do(j.entry, e.pool.ProbeDone(s.time(), r, e.out[:0]))
 		return
 	}
-	if j.end.kind != pool.RefusedConn && j.end.kind != pool.Broken {
+	if j.end.kind != pool.ConnectFailed && j.end.kind != pool.ConnectionLost {
 		e.idle[j.worker]++
 	}
 	s.settle(j)
-	s.do(j.entry, e.pool.Done(s.time(), pool.Answer{ID: attempt(j.request, j.try), Kind: j.end.kind, Load: load}, e.out[:0]))
+	s.do(j.entry, e.pool.Done(s.time(), pool.Completion{ID: attempt(j.request, j.try), Outcome: j.end.kind, Load: load}, e.out[:0]))
 	s.again(j)
 }
 
@@ -172,7 +172,7 @@
 		return
 	}
 	e := &s.entries[r.entry]
-	notExecuted := j.end.kind == pool.Shed || j.end.kind == pool.RefusedConn
+	notExecuted := j.end.kind == pool.Shed || j.end.kind == pool.ConnectFailed
 	if !s.sc.retries || r.write && !notExecuted || r.try+1 >= maxTries || e.tokens < 1 {
 		s.stat.failed++
 		s.close(j.request)
--- a/internal/lab/tail/site.go
+++ b/internal/lab/tail/site.go
@@ -107,12 +107,12 @@
 	for i := range s.entries {
 		e := &s.entries[i]
 		e.idle = make([]int, len(s.workers))
-		cfg := s.sc.tweak.apply(pool.Config{Slots: s.sc.shape.Slots})
-		cfg.Budget = s.share(i)
-		if e.pool, err = pool.ByName(s.sc.policy, cfg, rand.New(rand.NewPCG(s.sc.seed, uint64(2+i)))); err != nil {
+		cfg := s.sc.tweak.apply(pool.Config{DefaultSlots: s.sc.shape.Slots})
+		cfg.ProbeBudget = s.share(i)
+		if e.pool, err = pool.NewBalancer(s.sc.policy, cfg, rand.New(rand.NewPCG(s.sc.seed, uint64(2+i)))); err != nil {
 			return err
 		}
-		s.do(int32(i), e.pool.Targets(epoch, s.list(), nil))
+		s.do(int32(i), e.pool.SetTargets(epoch, s.list(), nil))
 		if len(s.sc.faults) > 0 {
 			s.at(int64(time.Second)+int64(i), event{kind: listRead, where: int32(i)})
 		}
@@ -184,7 +184,7 @@
 	case faultOn, faultOff:
 		s.fault(s.sc.faults[e.where], e.kind == faultOn)
 	case listRead:
-		s.do(e.where, s.entries[e.where].pool.Targets(s.time(), s.list(), nil))
+		s.do(e.where, s.entries[e.where].pool.SetTargets(s.time(), s.list(), nil))
 		s.at(s.now+int64(time.Second), e)
 	case periodic:
 		for i := range s.workers {
--- a/internal/lab/tail/stats.go
+++ b/internal/lab/tail/stats.go
@@ -64,7 +64,7 @@
 		t.refusedWrites++
 	}
 	t.reasons[r]++
-	if r == pool.DeadlineUp {
+	if r == pool.DeadlineNear {
 		t.late++
 	}
 }
--- a/internal/lab/tail/worker.go
+++ b/internal/lab/tail/worker.go
@@ -4,7 +4,7 @@
 
 // result is the outcome of a job and the load report that comes with it.
 type end struct {
-	kind    pool.Kind
+	kind    pool.Outcome
 	load    int
 	leaving bool
 }
@@ -40,7 +40,7 @@
 	}
 	switch {
 	case w.dead:
-		s.reply(j, pool.RefusedConn)
+		s.reply(j, pool.ConnectFailed)
 	case w.failing && j.request >= 0:
 		s.reply(j, pool.Failed)
 	case w.refuses && j.request >= 0, len(w.waiting) >= s.sc.shape.Backlog:
@@ -92,7 +92,7 @@
 
 // sendResponse schedules the arrival of the response at the entry. The response
 // reports the current load of the worker, including this job.
-func (s *site) reply(j job, outcome pool.Kind) {
+func (s *site) reply(j job, outcome pool.Outcome) {
 	w := &s.workers[j.worker]
 	j.end = end{kind: outcome, load: len(w.running) + len(w.waiting) + 1, leaving: w.leaving && !w.silent && !w.refuses}
 	s.at(s.now+int64(s.sc.shape.Target), event{kind: answered, where: j.entry, job: j})
@@ -110,7 +110,7 @@
 
 func (s *site) crash(w *worker) {
 	for _, j := range append(w.running, w.waiting...) {
-		s.reply(j, pool.Broken)
+		s.reply(j, pool.ConnectionLost)
 	}
 	w.running, w.waiting, w.dead = nil, nil, true
 }
--- a/internal/relay/packet.go
+++ b/internal/relay/packet.go
@@ -106,7 +106,7 @@
 		w.Loads = append(w.Loads, &wire.Load{Host: l.Host, Rate: float32(l.Rate)})
 	}
 	for _, s := range p.Suspects[:min(len(p.Suspects), maxSuspects)] {
-		w.Suspects = append(w.Suspects, &peerwire.Suspect{Print: s.Print, Crashes: uint32(s.Crashes), Ago: millis(s.Age)})
+		w.Suspects = append(w.Suspects, &peerwire.Suspect{Print: s.Fingerprint, Crashes: uint32(s.Crashes), Ago: millis(s.Age)})
 	}
 	return proto.Marshal(w)
 }
@@ -154,7 +154,7 @@
 		p.Loads = append(p.Loads, Load{Host: l.Host, Rate: float64(l.Rate)})
 	}
 	for _, s := range w.Suspects {
-		p.Suspects = append(p.Suspects, call.Suspect{Print: s.Print, Crashes: int(s.Crashes), Age: span(s.Ago)})
+		p.Suspects = append(p.Suspects, call.Suspect{Fingerprint: s.Print, Crashes: int(s.Crashes), Age: span(s.Ago)})
 	}
 	return p, nil
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -52,7 +52,7 @@
 		}},
 		{"answer", Packet{Kind: Answer, Exchange: 8, Message: member.Message{From: from, Sums: []uint32{1, 2}}, Knowledge: knowledge}},
 		{"knowledge", Packet{Kind: Tell, Knowledge: knowledge}},
-		{"suspects", Packet{Kind: Suspects, ID: from, Suspects: []call.Suspect{{Print: 5, Crashes: 2, Age: time.Second}}}},
+		{"suspects", Packet{Kind: Suspects, ID: from, Suspects: []call.Suspect{{Fingerprint: 5, Crashes: 2, Age: time.Second}}}},
 		{"loads", Packet{Kind: Loads, ID: from, Loads: []Load{{Host: 9, Rate: 2.5}}}},
 	}
 	for _, tt := range tests {
--- a/pkg/call/action.go
+++ b/pkg/call/action.go
@@ -3,53 +3,53 @@
 import "time"
 
 // ActionKind is the kind of an Action.
-type Do uint8
+type ActionKind uint8
 
 // Kinds of actions.
 const (
 	// ActionAcquire: request a target from the pool, excluding those already used.
-	DoSeek Do = iota + 1
+	ActionAcquire ActionKind = iota + 1
 	// ActionAcquireHedge: request a target from the pool that is free now, without queueing.
-	DoHedge
+	ActionAcquireHedge
 	// ActionWithdraw: withdraw the pending request for a target.
-	DoWithdraw
+	ActionWithdraw
 	// ActionRelease: release the unused slot at Target.
-	DoRelease
+	ActionRelease
 	// ActionDispatch: send the request to Target as dispatch number Dispatch.
-	DoDispatch
+	ActionDispatch
 	// ActionStartHedgeTimer: call Call.Hedge after After.
-	DoTimer
+	ActionStartHedgeTimer
 	// ActionCancel: cancel Dispatch and discard its result.
-	DoCancel
+	ActionCancel
 	// ActionRespond: forward the response of Dispatch to the caller.
-	DoAnswer
+	ActionRespond
 	// ActionRefuse: respond to the caller with Call.Final.
-	DoRefuse
+	ActionRefuse
 )
 
-var dos = [...]string{"none", "acquire", "hedge", "withdraw", "release", "dispatch", "timer", "cancel", "answer", "refuse"}
+var actionNames = [...]string{"none", "acquire", "hedge", "withdraw", "release", "dispatch", "timer", "cancel", "answer", "refuse"}
 
 // String returns the name of the kind.
-func (d Do) String() string {
-	if int(d) >= len(dos) {
-		return dos[0]
+func (d ActionKind) String() string {
+	if int(d) >= len(actionNames) {
+		return actionNames[0]
 	}
-	return dos[d]
+	return actionNames[d]
 }
 
 // Action is one action for the driver to perform.
 type Action struct {
-	Do      Do
-	Try     int           // number of the dispatch, from 0; of ActionDispatch, ActionCancel, ActionRespond
-	Attempt int           // value of HeaderAttempt; of ActionDispatch
-	Target  string        // of ActionDispatch, ActionRelease
-	Why     Reason        // cause of a retry or hedge, empty for the first dispatch; of ActionDispatch
-	After   time.Duration // timer delay of ActionStartHedgeTimer, timeout of ActionDispatch
+	Kind     ActionKind
+	Dispatch int           // number of the dispatch, from 0; of ActionDispatch, ActionCancel, ActionRespond
+	Attempt  int           // value of HeaderAttempt; of ActionDispatch
+	Target   string        // of ActionDispatch, ActionRelease
+	Reason   Reason        // cause of a retry or hedge, empty for the first dispatch; of ActionDispatch
+	After    time.Duration // timer delay of ActionStartHedgeTimer, timeout of ActionDispatch
 }
 
 // maxActions bounds the actions that follow one event: a withdrawal or a release, a
 // cancel for each dispatch, and a response, or a dispatch with a hedge timer.
-const maxActions = MaxTries + 2
+const maxActions = MaxDispatches + 2
 
 // Actions is the ordered list of actions that follow one event.
 type Actions struct {
--- a/pkg/call/bucket.go
+++ b/pkg/call/bucket.go
@@ -9,24 +9,24 @@
 }
 
 // balance is the content of a bucket, in parts of tokens.
-type saved struct {
-	old   int64 // added in the previous period
-	fresh int64 // added in the current period
+type balance struct {
+	previous int64 // added in the previous period
+	current  int64 // added in the current period
 }
 
-const freshBits = 32
+const currentBits = 32
 
-func (s saved) sum() int64 { return s.old + s.fresh }
+func (s balance) total() int64 { return s.previous + s.current }
 
-func (s saved) pack() uint64 { return uint64(s.old)<<freshBits | uint64(s.fresh) }
+func (s balance) pack() uint64 { return uint64(s.previous)<<currentBits | uint64(s.current) }
 
-func unpack(state uint64) saved {
-	return saved{old: int64(state >> freshBits), fresh: int64(state & (1<<freshBits - 1))}
+func unpack(state uint64) balance {
+	return balance{previous: int64(state >> currentBits), current: int64(state & (1<<currentBits - 1))}
 }
 
 // update atomically replaces the balance by the result of step. It leaves the balance
 // unchanged and returns false when step does.
-func (b *bucket) change(step func(s saved) (saved, bool)) bool {
+func (b *bucket) update(step func(s balance) (balance, bool)) bool {
 	for {
 		state := b.state.Load()
 		next, ok := step(unpack(state))
@@ -39,42 +39,42 @@
 	}
 }
 
-func (b *bucket) sum() int64 { return unpack(b.state.Load()).sum() }
+func (b *bucket) total() int64 { return unpack(b.state.Load()).total() }
 
 // add adds n parts to the current period, up to capacity in total. At the limit, parts of the
 // previous period are dropped first.
-func (b *bucket) fill(n, capacity int64) {
-	b.change(func(s saved) (saved, bool) {
-		s.fresh = min(s.fresh+n, capacity)
-		s.old = min(s.old, capacity-s.fresh)
+func (b *bucket) add(n, capacity int64) {
+	b.update(func(s balance) (balance, bool) {
+		s.current = min(s.current+n, capacity)
+		s.previous = min(s.previous, capacity-s.current)
 		return s, true
 	})
 }
 
 // limit drops the parts above capacity, those of the previous period first.
-func (b *bucket) trim(capacity int64) {
-	b.change(func(s saved) (saved, bool) {
-		s.old = min(s.old, max(capacity-s.fresh, 0))
-		s.fresh = min(s.fresh, capacity)
+func (b *bucket) limit(capacity int64) {
+	b.update(func(s balance) (balance, bool) {
+		s.previous = min(s.previous, max(capacity-s.current, 0))
+		s.current = min(s.current, capacity)
 		return s, true
 	})
 }
 
 // take removes one token, from the previous period first. It returns false when the bucket
 // holds less than one token.
-func (b *bucket) drain() bool {
-	return b.change(func(s saved) (saved, bool) {
-		if s.sum() < tokenUnit {
+func (b *bucket) take() bool {
+	return b.update(func(s balance) (balance, bool) {
+		if s.total() < tokenParts {
 			return s, false
 		}
-		fromPrevious := min(s.old, tokenUnit)
-		s.old -= fromPrevious
-		s.fresh -= tokenUnit - fromPrevious
+		fromPrevious := min(s.previous, tokenParts)
+		s.previous -= fromPrevious
+		s.current -= tokenParts - fromPrevious
 		return s, true
 	})
 }
 
 // startPeriod starts a period. What is left of the previous one expires.
-func (b *bucket) age() {
-	b.change(func(s saved) (saved, bool) { return saved{old: s.fresh}, true })
+func (b *bucket) startPeriod() {
+	b.update(func(s balance) (balance, bool) { return balance{previous: s.current}, true })
 }
--- a/pkg/call/budget_test.go
+++ b/pkg/call/budget_test.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	levels   = 29
-	mostSent = 5000 // per level, far above the limit; ends a test whose retries multiply
+	treeLevels = 29
+	maxSent    = 5000 // per level, far above the limit; ends a test whose retries multiply
 )
 
-// site is a call tree with one nested call at each level. Its targets fail at random
+// callTree is a call tree with one nested call at each level. Its targets fail at random
 // with the given probabilities.
-type site struct {
-	budgets [levels]*Budget
-	sent    [levels]int
-	first   [levels]int
-	rng     *rand.Rand
-	bad     float64 // probability that a dispatch fails
-	clean   float64 // probability that a failed dispatch did not run
+type callTree struct {
+	budgets     [treeLevels]*Budget
+	sent        [treeLevels]int
+	first       [treeLevels]int
+	rng         *rand.Rand
+	failureRate float64 // probability that a dispatch fails
+	notRunRate  float64 // probability that a failed dispatch did not run
 }
 
 // request runs one request at a level and reports whether a target responded.
-func (s *site) request(depth, attempt int) (answered bool) {
-	if depth == levels {
+func (s *callTree) request(depth, attempt int) (answered bool) {
+	if depth == treeLevels {
 		return true
 	}
-	c := New(Config{Budget: s.budgets[depth], Tries: MaxTries})
+	c := New(Config{Budget: s.budgets[depth], MaxDispatches: MaxDispatches})
 	acts := c.Arrive(start, Arrival{Deadline: start.Add(time.Second), Idempotent: true, Attempt: attempt, Depth: depth})
 	for !c.State().Final() {
 		var next Actions
 		for _, a := range acts.All() {
-			switch a.Do {
-			case DoSeek:
+			switch a.Kind {
+			case ActionAcquire:
 				next = c.Choose(start, Choice{Target: "t"})
-			case DoDispatch:
+			case ActionDispatch:
 				next = s.dispatch(&c, depth, a)
 			}
 		}
@@ -47,33 +47,33 @@
 	return c.State() == Answered
 }
 
-func (s *site) dispatch(c *Call, depth int, a Action) Actions {
+func (s *callTree) dispatch(c *Call, depth int, a Action) Actions {
 	s.sent[depth]++
-	if s.sent[depth] > mostSent {
-		return c.Fail(start, Failed{Try: a.Try})
+	if s.sent[depth] > maxSent {
+		return c.Fail(start, Failed{Dispatch: a.Dispatch})
 	}
-	if a.Try == 0 && a.Attempt == 0 {
+	if a.Dispatch == 0 && a.Attempt == 0 {
 		s.first[depth]++
 	}
-	if s.rng.Float64() < s.bad {
+	if s.rng.Float64() < s.failureRate {
 		ran := MayHaveRun
-		if s.rng.Float64() < s.clean {
+		if s.rng.Float64() < s.notRunRate {
 			ran = DidNotRun
 		} else {
 			s.request(depth+1, a.Attempt)
 		}
-		return c.Fail(start, Failed{Try: a.Try, Stage: StageSent, Ran: ran, Replay: true})
+		return c.Fail(start, Failed{Dispatch: a.Dispatch, Stage: StageSent, Execution: ran, Replayable: true})
 	}
 	if !s.request(depth+1, a.Attempt) {
-		return c.Head(start, Head{Try: a.Try, Status: 503, Replay: true})
+		return c.ReceiveHead(start, ResponseHead{Dispatch: a.Dispatch, Status: 503, Replayable: true})
 	}
-	return c.Head(start, Head{Try: a.Try, Status: 200})
+	return c.ReceiveHead(start, ResponseHead{Dispatch: a.Dispatch, Status: 200})
 }
 
 // Targets fail at every level at once, and every entry wants to retry. At each level,
 // retries must add at most 10 % to the requests. With one retry at each of 29 levels, the
 // deepest level would get hundreds of times as many.
-func TestBudgetHoldsOverTheTree(t *testing.T) {
+func TestBudgetLimitsCallTree(t *testing.T) {
 	tests := []struct {
 		name       string
 		bad, clean float64
@@ -87,7 +87,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			s := site{rng: rand.New(rand.NewPCG(1, 2)), bad: tt.bad, clean: tt.clean}
+			s := callTree{rng: rand.New(rand.NewPCG(1, 2)), failureRate: tt.bad, notRunRate: tt.clean}
 			for i := range s.budgets {
 				s.budgets[i] = NewBudget(BudgetConfig{})
 			}
@@ -95,7 +95,7 @@
 				s.request(0, 0)
 			}
 			c.Assert(s.sent[0] > s.first[0], qt.IsTrue, qt.Commentf("nothing was tried again"))
-			for depth := range levels {
+			for depth := range treeLevels {
 				c.Assert(float64(s.sent[depth]) <= 1.1*float64(s.first[depth]), qt.IsTrue,
 					qt.Commentf("depth %d: %d sent, %d first", depth, s.sent[depth], s.first[depth]))
 			}
@@ -106,7 +106,7 @@
 // A level beyond the limit, and a request that is itself a repetition of one that may
 // have run, get no token to execute the tree below them again, however many tokens are
 // available.
-func TestBudgetLeave(t *testing.T) {
+func TestBudgetDeniesToken(t *testing.T) {
 	tests := []struct {
 		depth, attempt int
 		clean, want    bool
@@ -122,8 +122,8 @@
 	for _, tt := range tests {
 		b := NewBudget(BudgetConfig{Levels: 2})
 		for range 1000 {
-			b.First(0, 0)
-			b.First(1, 0)
+			b.CountFirst(0, 0)
+			b.CountFirst(1, 0)
 		}
 		_, ok := b.Take(tt.depth, tt.attempt, tt.clean)
 		qt.Check(t, ok, qt.Equals, tt.want, qt.Commentf("%+v", tt))
@@ -153,10 +153,10 @@
 					taken++
 				}
 			default:
-				b.First(depth, attempt)
+				b.CountFirst(depth, attempt)
 				first += 1 - attempt
 			}
-			if float64(taken) > defaultShare*float64(first) {
+			if float64(taken) > defaultRetryShare*float64(first) {
 				t.Fatalf("%d taken of %d first dispatches", taken, first)
 			}
 		}
@@ -166,28 +166,28 @@
 func BenchmarkCall(b *testing.B) {
 	budget := NewBudget(BudgetConfig{})
 	suspects := NewSuspects(SuspectsConfig{})
-	suspects.Crashed(start, 1, "a", start)
+	suspects.RecordCrash(start, 1, "a", start)
 	b.ReportAllocs()
 	for b.Loop() {
-		fp := Print("gown-catalogue", "GET", "/gowns", "size=12", 0)
+		fp := Fingerprint("gown-catalogue", "GET", "/gowns", "size=12", 0)
 		c := New(Config{Budget: budget})
 		c.Arrive(start, Arrival{
-			Deadline: start.Add(time.Second), Idempotent: true, Hedge: time.Millisecond,
-			Quarantined: suspects.Quarantined(start, fp),
+			Deadline: start.Add(time.Second), Idempotent: true, HedgeDelay: time.Millisecond,
+			QuarantineRemaining: suspects.QuarantineRemaining(start, fp),
 		})
 		c.Choose(start, Choice{Target: "10.0.0.1:80"})
-		c.Head(start, Head{Status: 200})
-		c.End(start, End{Whole: true})
-		suspects.Answered(start, fp)
+		c.ReceiveHead(start, ResponseHead{Status: 200})
+		c.ReceiveEnd(start, ResponseEnd{Complete: true})
+		suspects.RecordResponse(start, fp)
 	}
 }
 
 // The capacity shrinks while the bucket is full. The tokens beyond it must be dropped:
 // otherwise an entry whose callers moved to another one could still spend them.
-func TestBurstShrinks(t *testing.T) {
-	b := NewBudget(BudgetConfig{Share: 1, Burst: 10})
+func TestSetBurst(t *testing.T) {
+	b := NewBudget(BudgetConfig{RetryShare: 1, Burst: 10})
 	for range 100 {
-		b.First(0, 0)
+		b.CountFirst(0, 0)
 	}
 	b.SetBurst(3)
 	n := 0
@@ -200,7 +200,7 @@
 	qt.Assert(t, n, qt.Equals, 3)
 	b.SetBurst(5)
 	for range 100 {
-		b.First(0, 0)
+		b.CountFirst(0, 0)
 	}
 	for range 5 {
 		_, ok := b.Take(0, 0, true)
@@ -209,7 +209,7 @@
 }
 
 // A changed share applies to all tokens that are added from then on.
-func TestShareChanges(t *testing.T) {
+func TestSetRetryShare(t *testing.T) {
 	const firsts = 1000
 	tests := []struct {
 		name  string
@@ -221,11 +221,11 @@
 		{"raised", 1, 1000},
 	}
 	for _, tt := range tests {
-		b := NewBudget(BudgetConfig{Share: 0.5, Burst: 1})
-		b.SetShare(tt.share)
+		b := NewBudget(BudgetConfig{RetryShare: 0.5, Burst: 1})
+		b.SetRetryShare(tt.share)
 		spent := 0
 		for range firsts {
-			b.First(0, 0)
+			b.CountFirst(0, 0)
 			for range 2 {
 				if _, ok := b.Take(0, 0, true); ok {
 					spent++
@@ -238,7 +238,7 @@
 }
 
 // Tokens can be used in the period they were added in and in the next one, not later.
-func TestSavedDispatchesAge(t *testing.T) {
+func TestTokensExpire(t *testing.T) {
 	tests := []struct {
 		name    string
 		periods int // started since the tokens were added
@@ -252,14 +252,14 @@
 		{"many since", 5, 100, 10},
 	}
 	for _, tt := range tests {
-		b := NewBudget(BudgetConfig{Share: 0.2, Rerun: 0.5, Burst: 5})
+		b := NewBudget(BudgetConfig{RetryShare: 0.2, MayHaveRunShare: 0.5, Burst: 5})
 		for range 1000 {
-			b.First(0, 0)
+			b.CountFirst(0, 0)
 		}
 		for range tt.periods {
-			b.Age()
+			b.StartPeriod()
 			for range tt.more {
-				b.First(0, 0)
+				b.CountFirst(0, 0)
 			}
 		}
 		spent := 0
@@ -277,27 +277,27 @@
 func TestBucketProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b bucket
-		most := int64(mostBurst) * tokenUnit
+		most := int64(maxBurst) * tokenParts
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
-			before := b.sum()
+			before := b.total()
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				n := rapid.Int64Range(0, 3*tokenUnit).Draw(t, "n")
-				b.fill(n, most)
-				if b.sum() != min(before+n, most) && before <= most {
-					t.Fatalf("%d and %d make %d of at most %d", before, n, b.sum(), most)
+				n := rapid.Int64Range(0, 3*tokenParts).Draw(t, "n")
+				b.add(n, most)
+				if b.total() != min(before+n, most) && before <= most {
+					t.Fatalf("%d and %d make %d of at most %d", before, n, b.total(), most)
 				}
 			case 1:
-				if b.drain() != (before >= tokenUnit) {
+				if b.take() != (before >= tokenParts) {
 					t.Fatalf("%d", before)
 				}
 			case 2:
-				most = rapid.Int64Range(1, mostBurst).Draw(t, "most") * tokenUnit
-				b.trim(most)
+				most = rapid.Int64Range(1, maxBurst).Draw(t, "most") * tokenParts
+				b.limit(most)
 			default:
-				b.age()
+				b.startPeriod()
 			}
-			if s := unpack(b.state.Load()); s.old < 0 || s.fresh < 0 || s.sum() > most {
+			if s := unpack(b.state.Load()); s.previous < 0 || s.current < 0 || s.total() > most {
 				t.Fatalf("%+v of at most %d", s, most)
 			}
 		}
--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -3,72 +3,72 @@
 import "time"
 
 // MaxDispatches is the upper limit of Config.MaxDispatches.
-const MaxTries = 4
+const MaxDispatches = 4
 
 const (
-	defaultTries  = 3
-	defaultMargin = 2 * time.Millisecond
-	defaultRetry  = 100 * time.Millisecond
+	defaultMaxDispatches = 3
+	defaultMargin        = 2 * time.Millisecond
+	defaultRetryAfter    = 100 * time.Millisecond
 )
 
 // Config configures a Call. Zero fields take the defaults.
 type Config struct {
-	Tries  int           // limit of dispatches; default 3, at most MaxDispatches
-	Margin time.Duration // no dispatch when less time remains before the deadline; default 2 ms
-	Retry  time.Duration // delay before the caller retries, unless a better one is known; default 100 ms
-	Budget *Budget       // of the service; nil allows no extra dispatch
+	MaxDispatches int           // limit of dispatches; default 3, at most MaxDispatches
+	Margin        time.Duration // no dispatch when less time remains before the deadline; default 2 ms
+	RetryAfter    time.Duration // delay before the caller retries, unless a better one is known; default 100 ms
+	Budget        *Budget       // of the service; nil allows no extra dispatch
 }
 
 // Call is the lifecycle of one request. It isn't safe for concurrent use.
 type Call struct {
-	cfg     Config
-	arrival Arrival
-	state   State
-	seek    seek
-	token   Token
-	tries   [MaxTries]try
-	n       int
-	reason  Reason
-	final   Final
-	spent   bool // the budget denied an extra dispatch
+	cfg          Config
+	arrival      Arrival
+	state        State
+	pending      acquisition
+	token        Token
+	dispatches   [MaxDispatches]dispatchState
+	n            int
+	reason       Reason
+	final        Final
+	budgetDenied bool // the budget denied an extra dispatch
 }
 
 // dispatchState is one dispatch with its status.
-type try struct {
+type dispatchState struct {
 	target string
-	state  tryState
+	status dispatchStatus
 }
 
-type tryState uint8
+type dispatchStatus uint8
 
 const (
-	tryFlying   tryState = iota // sent, no result yet
-	tryNotRun                   // failed without running
-	tryMaybe                    // failed, may have run
-	tryRan                      // failed after running
-	tryAnswered                 // its response is forwarded
+	statusInFlight   dispatchStatus = iota // sent, no result yet
+	statusNotRun                           // failed without running
+	statusMayHaveRun                       // failed, may have run
+	statusRan                              // failed after running
+	statusAnswered                         // its response is forwarded
 )
 
 // acquisition is the kind of target request that is pending at the pool.
-type seek uint8
+type acquisition uint8
 
 const (
-	seekNone seek = iota
-	seekTry
-	seekHedge
+	acquireNone acquisition = iota
+	acquireDispatch
+	acquireHedge
 )
 
 // New returns a Call in state Arrived.
 func New(cfg Config) Call {
-	if cfg.Tries <= 0 {
-		cfg.Tries = defaultTries
+	if cfg.MaxDispatches <= 0 {
+		cfg.MaxDispatches = defaultMaxDispatches
 	}
-	cfg.Tries = min(cfg.Tries, MaxTries)
+	cfg.MaxDispatches = min(cfg.MaxDispatches, MaxDispatches)
 	if cfg.Margin <= 0 {
 		cfg.Margin = defaultMargin
 	}
-	if cfg.Retry <= 0 {
-		cfg.Retry = defaultRetry
+	if cfg.RetryAfter <= 0 {
+		cfg.RetryAfter = defaultRetryAfter
 	}
 	return Call{cfg: cfg}
 }
@@ -84,14 +84,14 @@
 }
 
 // BudgetDenied reports whether a retry or hedge was not sent because the budget had no token.
-func (c *Call) Spent() bool {
-	return c.spent
+func (c *Call) BudgetDenied() bool {
+	return c.budgetDenied
 }
 
 // EachTarget calls f with the target of each dispatch so far.
-func (c *Call) Tried(f func(target string)) {
-	for i := range c.tries[:c.n] {
-		f(c.tries[i].target)
+func (c *Call) EachTarget(f func(target string)) {
+	for i := range c.dispatches[:c.n] {
+		f(c.dispatches[i].target)
 	}
 }
 
@@ -99,11 +99,11 @@
 // dispatches: a dispatch in flight may have run.
 func (c *Call) Outcome() Outcome {
 	outcome := NotRun
-	for i := range c.tries[:c.n] {
-		switch c.tries[i].state {
-		case tryRan, tryAnswered:
+	for i := range c.dispatches[:c.n] {
+		switch c.dispatches[i].status {
+		case statusRan, statusAnswered:
 			return Ran
-		case tryFlying, tryMaybe:
+		case statusInFlight, statusMayHaveRun:
 			outcome = Unknown
 		}
 	}
@@ -111,9 +111,9 @@
 }
 
 // inFlight returns the number of dispatches in flight.
-func (c *Call) flying() (n int) {
-	for i := range c.tries[:c.n] {
-		if c.tries[i].state == tryFlying {
+func (c *Call) inFlight() (n int) {
+	for i := range c.dispatches[:c.n] {
+		if c.dispatches[i].status == statusInFlight {
 			n++
 		}
 	}
@@ -125,7 +125,7 @@
 	return c.arrival.Deadline.Sub(now) - c.cfg.Margin
 }
 
-func (c *Call) move(to State) {
+func (c *Call) transition(to State) {
 	if c.state == to {
 		return
 	}
@@ -137,6 +137,6 @@
 
 // isInFlight reports whether dispatch i is in flight. Events of any other dispatch are
 // late: it was cancelled or has ended.
-func (c *Call) flies(i int) bool {
-	return i >= 0 && i < c.n && c.tries[i].state == tryFlying
+func (c *Call) isInFlight(i int) bool {
+	return i >= 0 && i < c.n && c.dispatches[i].status == statusInFlight
 }
--- a/pkg/call/crash_test.go
+++ b/pkg/call/crash_test.go
@@ -8,46 +8,46 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// outage simulates a caller that repeats a request which crashes its targets. The entries
+// crashLoop simulates a caller that repeats a request which crashes its targets. The entries
 // exchange their suspects between two sends.
-type outage struct {
+type crashLoop struct {
 	entries []*Suspects
 	now     time.Time
-	lost    int // crashed targets; a new one replaces each
-	told    map[Reason]int
+	crashed int // crashed targets; a new one replaces each
+	reasons map[Reason]int
 }
 
 // send sends one request of the caller. The result doesn't depend on an idempotency key.
-func (o *outage) send(s *Suspects, a Arrival) {
+func (o *crashLoop) send(s *Suspects, a Arrival) {
 	const fp = 7
 	a.Deadline = o.now.Add(time.Second)
-	a.Quarantined = s.Quarantined(o.now, fp)
-	c := New(Config{Budget: rich(4)})
+	a.QuarantineRemaining = s.QuarantineRemaining(o.now, fp)
+	c := New(Config{Budget: fullBudget(4)})
 	acts := c.Arrive(o.now, a)
 	for !c.State().Final() {
 		var next Actions
 		for _, x := range acts.All() {
-			switch x.Do {
-			case DoSeek:
-				next = c.Choose(o.now, Choice{Target: strconv.Itoa(o.lost)})
-			case DoDispatch:
+			switch x.Kind {
+			case ActionAcquire:
+				next = c.Choose(o.now, Choice{Target: strconv.Itoa(o.crashed)})
+			case ActionDispatch:
 				next = o.crash(s, &c, x, fp)
 			}
 		}
 		acts = next
 	}
-	o.told[c.Final().Reason]++
+	o.reasons[c.Final().Reason]++
 }
 
-func (o *outage) crash(s *Suspects, c *Call, x Action, fp uint64) Actions {
-	o.lost++
+func (o *crashLoop) crash(s *Suspects, c *Call, x Action, fp uint64) Actions {
+	o.crashed++
 	began := o.now
 	o.now = o.now.Add(time.Millisecond)
-	quarantined := s.Crashed(o.now, fp, x.Target, began)
-	return c.Fail(o.now, Failed{Try: x.Try, Stage: StageSent, Replay: true, Quarantined: quarantined})
+	quarantined := s.RecordCrash(o.now, fp, x.Target, began)
+	return c.Fail(o.now, Failed{Dispatch: x.Dispatch, Stage: StageSent, Replayable: true, Quarantined: quarantined})
 }
 
-func (o *outage) gossip() {
+func (o *crashLoop) gossip() {
 	for i, from := range o.entries {
 		for _, to := range o.entries {
 			if to != from {
@@ -60,7 +60,7 @@
 // A caller sends a request that crashes its target 100 times, one second apart, to one
 // entry or to all in turn. Exactly two targets crash per quarantine period. Without
 // the quarantine, each send would crash one target, or three with retries.
-func TestOneBadRequest(t *testing.T) {
+func TestCrashingRequest(t *testing.T) {
 	tests := []struct {
 		name       string
 		idempotent bool
@@ -74,7 +74,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			o := outage{now: start, told: map[Reason]int{}}
+			o := crashLoop{now: start, reasons: map[Reason]int{}}
 			for range tt.entries {
 				o.entries = append(o.entries, NewSuspects(SuspectsConfig{}))
 			}
@@ -83,8 +83,8 @@
 				o.now = o.now.Add(time.Second)
 				o.gossip()
 			}
-			c.Assert(o.lost, qt.Equals, 2)
-			c.Assert(o.told[ReasonQuarantined] >= 98, qt.IsTrue, qt.Commentf("%v", o.told))
+			c.Assert(o.crashed, qt.Equals, 2)
+			c.Assert(o.reasons[ReasonQuarantined] >= 98, qt.IsTrue, qt.Commentf("%v", o.reasons))
 		})
 	}
 }
--- a/pkg/call/event.go
+++ b/pkg/call/event.go
@@ -4,12 +4,12 @@
 
 // Arrival is the event of a request from a caller.
 type Arrival struct {
-	Deadline    time.Time     // when the caller stops waiting
-	Idempotent  bool          // running the request twice is harmless
-	Attempt     int           // value of HeaderAttempt
-	Depth       int           // value of HeaderDepth
-	Hedge       time.Duration // delay before a hedge; 0 disables it, as for a body that can be read only once
-	Quarantined time.Duration // remaining quarantine of the request's fingerprint
+	Deadline            time.Time     // when the caller stops waiting
+	Idempotent          bool          // running the request twice is harmless
+	Attempt             int           // value of HeaderAttempt
+	Depth               int           // value of HeaderDepth
+	HedgeDelay          time.Duration // delay before a hedge; 0 disables it, as for a body that can be read only once
+	QuarantineRemaining time.Duration // remaining quarantine of the request's fingerprint
 }
 
 // Choice is the event of the pool assigning a target with a slot.
@@ -19,30 +19,30 @@
 
 // Decline is the event of the pool finding no target.
 type Decline struct {
-	Reason Reason
-	Retry  time.Duration // delay before the caller retries
+	Reason     Reason
+	RetryAfter time.Duration // delay before the caller retries
 }
 
 // Failed is the event of a dispatch ending without a complete response.
 type Failed struct {
-	Try         int
+	Dispatch    int
 	Stage       Stage
-	Ran         Execution
-	Replay      bool // the request body can be sent again
+	Execution   Execution
+	Replayable  bool // the request body can be sent again
 	Quarantined bool // the request is now in quarantine for crashing targets
 }
 
 // ResponseHead is the event of a target's response head.
-type Head struct {
-	Try    int
-	Status int
-	Shed   bool // the target reported that it did not start the request
-	Unwell bool // the target failed, regardless of the status
-	Replay bool // the request body can be sent again
+type ResponseHead struct {
+	Dispatch     int
+	Status       int
+	Shed         bool // the target reported that it did not start the request
+	TargetFailed bool // the target failed, regardless of the status
+	Replayable   bool // the request body can be sent again
 }
 
 // ResponseEnd is the event of the forwarded response ending.
-type End struct {
-	Try   int
-	Whole bool
+type ResponseEnd struct {
+	Dispatch int
+	Complete bool
 }
--- a/pkg/call/outcome.go
+++ b/pkg/call/outcome.go
@@ -72,17 +72,17 @@
 	StageTimeout
 )
 
-var stages = [...]string{
+var stageNames = [...]string{
 	StageConnect: "connect", StageRefused: "refused", StageUnsent: "unsent", StageSent: "reset",
 	StageCut: "cut", StageInvalid: "invalid", StageCaller: "caller", StageCancelled: "cancelled", StageTimeout: "timeout",
 }
 
 // String returns the one-word name of a stage.
 func (s Stage) String() string {
-	if int(s) >= len(stages) || s == 0 {
+	if int(s) >= len(stageNames) || s == 0 {
 		return "none"
 	}
-	return stages[s]
+	return stageNames[s]
 }
 
 // Reason is the machine-readable cause of a response that plumpitch generates itself.
@@ -126,15 +126,15 @@
 
 // Final is a response that plumpitch generates itself.
 type Final struct {
-	Outcome Outcome
-	Reason  Reason
-	Detail  string        // for people: the field, the value found and the values expected
-	Retry   time.Duration // delay before the caller retries; 0 omits it
-	Status  int           // HTTP status; 0 derives it from Reason
+	Outcome    Outcome
+	Reason     Reason
+	Detail     string        // for people: the field, the value found and the values expected
+	RetryAfter time.Duration // delay before the caller retries; 0 omits it
+	Status     int           // HTTP status; 0 derives it from Reason
 }
 
 // StatusCode returns the HTTP status of the response.
-func (f Final) Code() int {
+func (f Final) StatusCode() int {
 	if f.Status != 0 {
 		return f.Status
 	}
--- a/pkg/call/parse.go
+++ b/pkg/call/parse.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	maxTimeout = time.Hour
-	maxCount   = 1000 // limit of attempts and of levels
-	maxFound   = 64   // bytes of an invalid value quoted in an error
+	maxTimeout     = time.Hour
+	maxCount       = 1000 // limit of attempts and of levels
+	maxQuotedValue = 64   // bytes of an invalid value quoted in an error
 )
 
 // Header holds the timeout of a request and its position in a call tree.
 type Header struct {
-	Timeout time.Duration // time remaining for the request
-	Limited bool          // the request has a timeout; a Timeout of 0 is then expired
-	Attempt int
-	Depth   int
+	Timeout    time.Duration // time remaining for the request
+	HasTimeout bool          // the request has a timeout; a Timeout of 0 is then expired
+	Attempt    int
+	Depth      int
 }
 
 // HeaderError is an invalid header.
@@ -30,15 +30,15 @@
 // Error returns the header name, the value found and the values expected.
 func (e *HeaderError) Error() string {
 	found := e.Found
-	if len(found) > maxFound {
-		found = found[:maxFound] + "..."
+	if len(found) > maxQuotedValue {
+		found = found[:maxQuotedValue] + "..."
 	}
 	return "header " + e.Name + ": found " + strconv.Quote(found) + ", expected " + e.Expected
 }
 
 // ParseHeader parses the headers of a request. A missing header yields zero.
 func ParseHeader(h http.Header) (p Header, err error) {
-	if p.Timeout, p.Limited, err = parseTimeout(h); err != nil {
+	if p.Timeout, p.HasTimeout, err = parseTimeout(h); err != nil {
 		return Header{}, err
 	}
 	if p.Attempt, err = parseCount(h, HeaderAttempt); err != nil {
@@ -51,7 +51,7 @@
 }
 
 func parseTimeout(h http.Header) (d time.Duration, found bool, err error) {
-	s, found, err := single(h, HeaderTimeout)
+	s, found, err := singleValue(h, HeaderTimeout)
 	if err != nil || !found {
 		return 0, false, err
 	}
@@ -63,7 +63,7 @@
 }
 
 func parseCount(h http.Header, name string) (n int, err error) {
-	s, found, err := single(h, name)
+	s, found, err := singleValue(h, name)
 	if err != nil || !found {
 		return 0, err
 	}
@@ -76,7 +76,7 @@
 
 // singleValue returns the only value of a header. Several values are an error, because
 // readers would differ on which one applies.
-func single(h http.Header, name string) (s string, found bool, err error) {
+func singleValue(h http.Header, name string) (s string, found bool, err error) {
 	values := h[name]
 	switch len(values) {
 	case 0:
--- a/pkg/call/parse_test.go
+++ b/pkg/call/parse_test.go
@@ -18,7 +18,7 @@
 	}{
 		{"none", http.Header{}, Header{}, ""},
 		{"all", http.Header{HeaderTimeout: {"250ms"}, HeaderAttempt: {"1"}, HeaderDepth: {"28"}}, Header{250 * time.Millisecond, true, 1, 28}, ""},
-		{"expired", http.Header{HeaderTimeout: {"0s"}}, Header{Limited: true}, ""},
+		{"expired", http.Header{HeaderTimeout: {"0s"}}, Header{HasTimeout: true}, ""},
 		{"no unit", http.Header{HeaderTimeout: {"250"}}, Header{}, `header Plumpitch-Timeout: found "250", expected a duration with unit .*`},
 		{"negative", http.Header{HeaderTimeout: {"-1ms"}}, Header{}, `header Plumpitch-Timeout: found "-1ms", .*`},
 		{"timeout too long", http.Header{HeaderTimeout: {"61m"}}, Header{}, `header Plumpitch-Timeout: found "61m", .*`},
@@ -63,16 +63,16 @@
 }
 
 // Different requests whose concatenated parts are equal must have different fingerprints.
-func TestPrint(t *testing.T) {
+func TestFingerprint(t *testing.T) {
 	c := qt.New(t)
 	seen := map[uint64]int{}
 	for i, fp := range []uint64{
-		Print("a", "GET", "/b", "c", 0), Print("aG", "ET", "/b", "c", 0), Print("a", "GET", "/bc", "", 0),
-		Print("a", "GET", "/b", "c", 1), Print("a", "POST", "/b", "c", 0), Print("a", "GET", "/b", "", 0),
+		Fingerprint("a", "GET", "/b", "c", 0), Fingerprint("aG", "ET", "/b", "c", 0), Fingerprint("a", "GET", "/bc", "", 0),
+		Fingerprint("a", "GET", "/b", "c", 1), Fingerprint("a", "POST", "/b", "c", 0), Fingerprint("a", "GET", "/b", "", 0),
 	} {
 		_, duplicate := seen[fp]
 		c.Assert(duplicate, qt.IsFalse, qt.Commentf("%d and %d", i, seen[fp]))
 		seen[fp] = i
 	}
-	c.Assert(Print("a", "GET", "/b", "c", 0), qt.Equals, Print("a", "GET", "/b", "c", 0))
+	c.Assert(Fingerprint("a", "GET", "/b", "c", 0), qt.Equals, Fingerprint("a", "GET", "/b", "c", 0))
 }
--- a/pkg/call/patience.go
+++ b/pkg/call/patience.go
@@ -16,50 +16,50 @@
 // be refused as too late. So WaitEstimator learns which remaining times recur, to the
 // millisecond. The remaining time of a retry is reduced by the network and the wait,
 // and rarely repeats. It is safe for concurrent use.
-type Patience struct {
-	mu     sync.Mutex
-	seen   int // attempts counted, halved at maxAttempts
-	common [commonTimes]commonTime
+type WaitEstimator struct {
+	mu       sync.Mutex
+	attempts int // attempts counted, halved at maxAttempts
+	counters [counterCount]timeCounter
 }
 
 // timeCounter counts the attempts with one remaining time.
-type commonTime struct {
-	left  time.Duration
-	count int
+type timeCounter struct {
+	remaining time.Duration
+	count     int
 }
 
 const (
 	// counterCount is the number of remaining times counted at once. A time shared by
 	// more than one in nine attempts always has a counter.
-	commonTimes = 8
+	counterCount = 8
 	// minAttempts is the number of attempts before any time counts as a starting
 	// timeout. A starting timeout then has at least four attempts; two could share a
 	// time by chance.
-	fewestSeen = 32
+	minAttempts = 32
 	// commonDivisor sets the share of attempts above which a time counts as a starting
 	// timeout: one in eight. Of times spread over 100 ms, each has one in a hundred.
 	// Where callers share a timeout and every request is refused and retried once, half
 	// of the attempts still have that timeout.
-	commonShare = 8
+	commonDivisor = 8
 	// maxAttempts is the number of attempts at which all counts are halved, so that new
 	// timeouts are learned within a few hundred attempts.
-	seenMost = 256
+	maxAttempts = 256
 )
 
 // Elapsed counts an attempt of a caller with the given remaining time, and returns how
 // long the caller has been waiting already, or 0 if that is unknown. The estimate is the
 // smallest one that a starting timeout allows.
-func (p *Patience) Elapsed(remaining time.Duration) time.Duration {
+func (p *WaitEstimator) Elapsed(remaining time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.count(remaining.Truncate(time.Millisecond))
-	if p.seen < fewestSeen {
+	if p.attempts < minAttempts {
 		return 0
 	}
 	timeout := time.Duration(math.MaxInt64)
-	for _, c := range p.common {
-		if c.left >= remaining && c.count*commonShare >= p.seen {
-			timeout = min(timeout, c.left)
+	for _, c := range p.counters {
+		if c.remaining >= remaining && c.count*commonDivisor >= p.attempts {
+			timeout = min(timeout, c.remaining)
 		}
 	}
 	if timeout == math.MaxInt64 {
@@ -70,18 +70,18 @@
 
 // count counts the most frequent remaining times in bounded memory, by the Misra-Gries
 // algorithm.
-func (p *Patience) count(remaining time.Duration) {
-	p.seen++
-	if p.seen > seenMost {
-		p.seen /= 2
-		for i := range p.common {
-			p.common[i].count /= 2
+func (p *WaitEstimator) count(remaining time.Duration) {
+	p.attempts++
+	if p.attempts > maxAttempts {
+		p.attempts /= 2
+		for i := range p.counters {
+			p.counters[i].count /= 2
 		}
 	}
 	free := -1
-	for i := range p.common {
-		switch c := &p.common[i]; {
-		case c.count > 0 && c.left == remaining:
+	for i := range p.counters {
+		switch c := &p.counters[i]; {
+		case c.count > 0 && c.remaining == remaining:
 			c.count++
 			return
 		case c.count == 0:
@@ -89,10 +89,10 @@
 		}
 	}
 	if free >= 0 {
-		p.common[free] = commonTime{remaining, 1}
+		p.counters[free] = timeCounter{remaining, 1}
 		return
 	}
-	for i := range p.common {
-		p.common[i].count--
+	for i := range p.counters {
+		p.counters[i].count--
 	}
 }
--- a/pkg/call/patience_test.go
+++ b/pkg/call/patience_test.go
@@ -14,7 +14,7 @@
 // from its first attempt: if it were served before others, it would still be late and make
 // them late too. A caller that starts with a short timeout must not be taken for such a
 // retry: it would be refused by an idle service.
-func TestPatience(t *testing.T) {
+func TestWaitEstimator(t *testing.T) {
 	fixed := func(*rand.Rand) time.Duration { return 800 * ms }
 	spread := func(r *rand.Rand) time.Duration { return time.Duration(2125+r.IntN(750)) * ms }
 	tests := []struct {
@@ -42,7 +42,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var p Patience
+			var p WaitEstimator
 			rnd := rand.New(rand.NewPCG(1, 2))
 			wrong, retries, known := 0, 0, 0
 			var left, waited time.Duration
@@ -54,7 +54,7 @@
 				}
 				got := p.Elapsed(left - waited)
 				switch {
-				case n < 2*fewestSeen:
+				case n < 2*minAttempts:
 				case waited == 0 && got != 0:
 					wrong++
 				case waited > 0:
@@ -72,8 +72,8 @@
 
 // Callers change to a shorter timeout. Their first attempts must be recognized as such
 // after fewer than 100 attempts.
-func TestPatienceOfOtherCallers(t *testing.T) {
-	var p Patience
+func TestWaitEstimatorNewTimeouts(t *testing.T) {
+	var p WaitEstimator
 	for range 1000 {
 		p.Elapsed(800 * ms)
 	}
--- a/pkg/call/print.go
+++ b/pkg/call/print.go
@@ -9,19 +9,19 @@
 // Fingerprint returns a hash that identifies a request: requests with equal
 // fingerprints are treated as the same request. body is the hash of the part of the
 // body that is known before the first dispatch.
-func Print(service, method, path, query string, body uint64) uint64 {
+func Fingerprint(service, method, path, query string, body uint64) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, s := range [...]string{service, method, path, query} {
-		number(&d, uint64(len(s)))
+		writeUint64(&d, uint64(len(s)))
 		d.WriteString(s)
 	}
-	number(&d, body)
+	writeUint64(&d, body)
 	return d.Sum64()
 }
 
 // writeUint64 adds n to the hash.
-func number(d *xxhash.Digest, n uint64) {
+func writeUint64(d *xxhash.Digest, n uint64) {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], n)
 	d.Write(b[:])
--- a/pkg/call/spread.go
+++ b/pkg/call/spread.go
@@ -14,21 +14,21 @@
 func (s *Suspects) Export(now time.Time, n int) []Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.export(nil, now, n, s.held)
-	return s.export(out, now, n, s.loose)
+	out := s.export(nil, now, n, s.quarantined)
+	return s.export(out, now, n, s.watched)
 }
 
 func (s *Suspects) export(out []Suspect, now time.Time, n int, l *list.List) []Suspect {
 	for e := l.Front(); e != nil && len(out) < n; e = e.Next() {
 		x := e.Value.(*suspect)
-		if s.expired(now, x) || !x.held && !x.cleared && len(x.targets) == 0 {
+		if s.expired(now, x) || !x.quarantined && !x.cleared && len(x.targets) == 0 {
 			continue
 		}
 		crashes := len(x.targets)
-		if x.held {
-			crashes = s.cfg.Crashes
+		if x.quarantined {
+			crashes = s.cfg.CrashLimit
 		}
-		out = append(out, Suspect{Print: x.print, Crashes: crashes, Age: now.Sub(x.last)})
+		out = append(out, Suspect{Fingerprint: x.fingerprint, Crashes: crashes, Age: now.Sub(x.lastEvent)})
 	}
 	return out
 }
@@ -44,32 +44,32 @@
 }
 
 func (s *Suspects) merge(now time.Time, peer uint64, in Suspect) {
-	if in.Age < 0 || in.Age >= s.cfg.Hold || in.Crashes < 0 {
+	if in.Age < 0 || in.Age >= s.cfg.Quarantine || in.Crashes < 0 {
 		return
 	}
-	if in.Crashes < s.cfg.Crashes && in.Age >= s.cfg.Window {
+	if in.Crashes < s.cfg.CrashLimit && in.Age >= s.cfg.CrashWindow {
 		return
 	}
-	if in.Crashes == 0 && s.known[in.Print] == nil {
+	if in.Crashes == 0 && s.byFingerprint[in.Fingerprint] == nil {
 		return
 	}
 	at := now.Add(-in.Age)
-	x := s.take(now, in.Print)
+	x := s.detach(now, in.Fingerprint)
 	switch {
-	case in.Crashes == 0 && !x.last.After(at):
+	case in.Crashes == 0 && !x.lastEvent.After(at):
 		s.clear(x, at)
 		return
-	case in.Crashes > 0 && !(x.cleared && !at.After(x.last)):
-		x.heard(peer, min(in.Crashes, s.cfg.Crashes))
+	case in.Crashes > 0 && !(x.cleared && !at.After(x.lastEvent)):
+		x.setPeerCount(peer, min(in.Crashes, s.cfg.CrashLimit))
 		x.cleared = false
-		x.last = latest(x.last, at)
+		x.lastEvent = latest(x.lastEvent, at)
 	}
-	s.put(x)
+	s.insert(x)
 }
 
 // setPeerCount keeps the highest count of each of the first maxPeers peers. A
 // fingerprint with crashes from that many peers is in quarantine already.
-func (x *suspect) heard(peer uint64, crashes int) {
+func (x *suspect) setPeerCount(peer uint64, crashes int) {
 	for i := range x.peers {
 		p := &x.peers[i]
 		if p.crashes == 0 || p.peer == peer {
--- a/pkg/call/state.go
+++ b/pkg/call/state.go
@@ -19,14 +19,14 @@
 	GivenUp
 )
 
-var states = [...]string{"arrived", "queued", "dispatched", "answered", "refused", "given-up"}
+var stateNames = [...]string{"arrived", "queued", "dispatched", "answered", "refused", "given-up"}
 
 // String returns the name of the state.
 func (s State) String() string {
-	if int(s) >= len(states) {
+	if int(s) >= len(stateNames) {
 		return "none"
 	}
-	return states[s]
+	return stateNames[s]
 }
 
 // Final reports whether s allows no further transition.
@@ -36,7 +36,7 @@
 
 // allowedTransitions lists the successors of each state. A request returns from
 // Dispatched to Queued when its only dispatch in flight failed and a retry is allowed.
-var next = [...][]State{
+var allowedTransitions = [...][]State{
 	Arrived:    {Queued, Refused},
 	Queued:     {Dispatched, Refused, GivenUp},
 	Dispatched: {Queued, Answered, Refused, GivenUp},
@@ -47,7 +47,7 @@
 
 // Allows reports whether a request may go from s to t.
 func (s State) Allows(t State) bool {
-	for _, n := range next[s] {
+	for _, n := range allowedTransitions[s] {
 		if n == t {
 			return true
 		}
--- a/pkg/call/step.go
+++ b/pkg/call/step.go
@@ -12,14 +12,14 @@
 	}
 	c.arrival = a
 	switch {
-	case a.Quarantined > 0:
-		c.finish(&acts, ReasonQuarantined, a.Quarantined)
+	case a.QuarantineRemaining > 0:
+		c.finish(&acts, ReasonQuarantined, a.QuarantineRemaining)
 	case c.remaining(now) <= 0:
 		c.finish(&acts, ReasonDeadline, 0)
 	default:
-		c.move(Queued)
-		c.seek = seekTry
-		acts.add(Action{Do: DoSeek})
+		c.transition(Queued)
+		c.pending = acquireDispatch
+		acts.add(Action{Kind: ActionAcquire})
 	}
 	return acts
 }
@@ -27,14 +27,14 @@
 // Choose dispatches to the target that the pool assigned. If no target is pending any
 // more, it releases the slot.
 func (c *Call) Choose(now time.Time, e Choice) (acts Actions) {
-	if c.state.Final() || c.seek == seekNone {
-		acts.add(Action{Do: DoRelease, Target: e.Target})
+	if c.state.Final() || c.pending == acquireNone {
+		acts.add(Action{Kind: ActionRelease, Target: e.Target})
 		return acts
 	}
 	if c.remaining(now) <= 0 {
-		acts.add(Action{Do: DoRelease, Target: e.Target})
-		c.unseek()
-		c.idle(&acts, ReasonDeadline, 0)
+		acts.add(Action{Kind: ActionRelease, Target: e.Target})
+		c.endAcquisition()
+		c.finishIfIdle(&acts, ReasonDeadline, 0)
 		return acts
 	}
 	c.dispatch(now, e.Target, &acts)
@@ -45,31 +45,31 @@
 // and starts the hedge timer.
 func (c *Call) dispatch(now time.Time, target string, acts *Actions) {
 	first := c.n == 0
-	attempt := c.arrival.Attempt + c.mayHaveRun()
-	acts.add(Action{Do: DoDispatch, Try: c.n, Attempt: attempt, Target: target, Why: c.why(), After: c.remaining(now)})
-	c.tries[c.n] = try{target: target}
+	attempt := c.arrival.Attempt + c.countMayHaveRun()
+	acts.add(Action{Kind: ActionDispatch, Dispatch: c.n, Attempt: attempt, Target: target, Reason: c.dispatchReason(), After: c.remaining(now)})
+	c.dispatches[c.n] = dispatchState{target: target}
 	c.n++
-	c.seek = seekNone
+	c.pending = acquireNone
 	c.token = Token{}
-	c.move(Dispatched)
+	c.transition(Dispatched)
 	if !first {
 		return
 	}
 	if c.cfg.Budget != nil {
-		c.cfg.Budget.First(c.arrival.Depth, c.arrival.Attempt)
+		c.cfg.Budget.CountFirst(c.arrival.Depth, c.arrival.Attempt)
 	}
-	if c.arrival.Idempotent && c.arrival.Hedge > 0 {
-		acts.add(Action{Do: DoTimer, After: c.arrival.Hedge})
+	if c.arrival.Idempotent && c.arrival.HedgeDelay > 0 {
+		acts.add(Action{Kind: ActionStartHedgeTimer, After: c.arrival.HedgeDelay})
 	}
 }
 
 // dispatchReason returns the cause of the next dispatch if it is a retry or hedge, and
 // an empty reason for the first dispatch.
-func (c *Call) why() Reason {
+func (c *Call) dispatchReason() Reason {
 	switch {
 	case c.n == 0:
 		return ""
-	case c.seek == seekHedge:
+	case c.pending == acquireHedge:
 		return ReasonSlow
 	}
 	return c.reason
@@ -77,9 +77,9 @@
 
 // countMayHaveRun returns the number of dispatches that may have run. The next dispatch
 // may execute the call tree below it as many times again.
-func (c *Call) mayHaveRun() (n int) {
-	for i := range c.tries[:c.n] {
-		if c.tries[i].state != tryNotRun {
+func (c *Call) countMayHaveRun() (n int) {
+	for i := range c.dispatches[:c.n] {
+		if c.dispatches[i].status != statusNotRun {
 			n++
 		}
 	}
@@ -88,17 +88,17 @@
 
 // Decline handles the pool finding no target.
 func (c *Call) Decline(_ time.Time, e Decline) (acts Actions) {
-	if c.state.Final() || c.seek == seekNone {
+	if c.state.Final() || c.pending == acquireNone {
 		return acts
 	}
-	c.unseek()
-	c.idle(&acts, e.Reason, e.Retry)
+	c.endAcquisition()
+	c.finishIfIdle(&acts, e.Reason, e.RetryAfter)
 	return acts
 }
 
 // endAcquisition ends the pending target request and returns its token.
-func (c *Call) unseek() {
-	c.seek = seekNone
+func (c *Call) endAcquisition() {
+	c.pending = acquireNone
 	if c.cfg.Budget != nil {
 		c.cfg.Budget.Return(c.token)
 	}
@@ -107,21 +107,21 @@
 
 // stillPending reports whether a dispatch is in flight or a target is pending. If only a
 // target is pending, the request returns to Queued.
-func (c *Call) waits() bool {
-	if c.flying() > 0 {
+func (c *Call) stillPending() bool {
+	if c.inFlight() > 0 {
 		return true
 	}
-	if c.seek == seekNone {
+	if c.pending == acquireNone {
 		return false
 	}
-	c.move(Queued)
+	c.transition(Queued)
 	return true
 }
 
 // finishIfIdle finishes the request when no dispatch is in flight and no target is
 // pending. The reason of a failed dispatch takes precedence over r.
-func (c *Call) idle(acts *Actions, r Reason, retry time.Duration) {
-	if c.waits() {
+func (c *Call) finishIfIdle(acts *Actions, r Reason, retry time.Duration) {
+	if c.stillPending() {
 		return
 	}
 	if c.reason != "" {
@@ -132,10 +132,10 @@
 
 // Fail handles a failed dispatch and retries it where allowed.
 func (c *Call) Fail(now time.Time, e Failed) (acts Actions) {
-	if !c.flies(e.Try) {
+	if !c.isInFlight(e.Dispatch) {
 		return acts
 	}
-	c.tries[e.Try].state = tryAfter(e.Ran)
+	c.dispatches[e.Dispatch].status = statusAfter(e.Execution)
 	if c.state.Final() {
 		return acts
 	}
@@ -143,19 +143,19 @@
 	if e.Quarantined {
 		c.reason = ReasonQuarantined
 	}
-	retry := e.Replay && !e.Quarantined && e.Stage.retryable()
-	c.again(now, &acts, retry)
+	retry := e.Replayable && !e.Quarantined && e.Stage.retryable()
+	c.retryOrFinish(now, &acts, retry)
 	return acts
 }
 
-func tryAfter(e Execution) tryState {
+func statusAfter(e Execution) dispatchStatus {
 	switch e {
 	case DidNotRun:
-		return tryNotRun
+		return statusNotRun
 	case DidRun:
-		return tryRan
+		return statusRan
 	default:
-		return tryMaybe
+		return statusMayHaveRun
 	}
 }
 
@@ -167,99 +167,99 @@
 
 // retryOrFinish acquires another target if wanted and allowed, otherwise it finishes the
 // request. It does nothing while a dispatch or a target is pending.
-func (c *Call) again(now time.Time, acts *Actions, wanted bool) {
-	if c.waits() {
+func (c *Call) retryOrFinish(now time.Time, acts *Actions, wanted bool) {
+	if c.stillPending() {
 		return
 	}
-	if !wanted || !c.mayRetry(now) {
-		c.idle(acts, c.reason, 0)
+	if !wanted || !c.takeRetryToken(now) {
+		c.finishIfIdle(acts, c.reason, 0)
 		return
 	}
-	c.move(Queued)
-	c.seek = seekTry
-	acts.add(Action{Do: DoSeek})
+	c.transition(Queued)
+	c.pending = acquireDispatch
+	acts.add(Action{Kind: ActionAcquire})
 }
 
 // takeRetryToken takes a token for a retry and reports whether it got one. A request that
 // isn't idempotent gets one only if no earlier dispatch can have run: otherwise a payment
 // could be taken twice. Only a failure that proves that the request did not run sets a
 // dispatch to statusNotRun.
-func (c *Call) mayRetry(now time.Time) bool {
-	if c.n >= c.cfg.Tries || c.remaining(now) <= 0 {
+func (c *Call) takeRetryToken(now time.Time) bool {
+	if c.n >= c.cfg.MaxDispatches || c.remaining(now) <= 0 {
 		return false
 	}
 	notRun := c.Outcome() == NotRun
 	if !notRun && !c.arrival.Idempotent {
 		return false
 	}
-	return c.spend(notRun)
+	return c.takeToken(notRun)
 }
 
 // takeToken takes a token from the budget and records a denial.
-func (c *Call) spend(notRun bool) (ok bool) {
+func (c *Call) takeToken(notRun bool) (ok bool) {
 	if c.cfg.Budget == nil {
 		return false
 	}
 	c.token, ok = c.cfg.Budget.Take(c.arrival.Depth, c.arrival.Attempt, notRun)
-	c.spent = c.spent || !ok
+	c.budgetDenied = c.budgetDenied || !ok
 	return ok
 }
 
 // ReceiveHead handles a response head. The first acceptable response is forwarded, and
 // all other dispatches are cancelled.
-func (c *Call) Head(now time.Time, e Head) (acts Actions) {
-	if e.Try < 0 || e.Try >= c.n {
+func (c *Call) ReceiveHead(now time.Time, e ResponseHead) (acts Actions) {
+	if e.Dispatch < 0 || e.Dispatch >= c.n {
 		return acts
 	}
-	if !c.flies(e.Try) || c.state.Final() {
-		acts.add(Action{Do: DoCancel, Try: e.Try})
+	if !c.isInFlight(e.Dispatch) || c.state.Final() {
+		acts.add(Action{Kind: ActionCancel, Dispatch: e.Dispatch})
 		return acts
 	}
 	if e.Shed {
-		c.tries[e.Try].state = tryNotRun
+		c.dispatches[e.Dispatch].status = statusNotRun
 		c.reason = ReasonShed
-		acts.add(Action{Do: DoCancel, Try: e.Try})
-		c.again(now, &acts, e.Replay)
+		acts.add(Action{Kind: ActionCancel, Dispatch: e.Dispatch})
+		c.retryOrFinish(now, &acts, e.Replayable)
 		return acts
 	}
 	if c.retryHead(now, e, &acts) {
 		return acts
 	}
-	c.tries[e.Try].state = tryAnswered
-	c.abandon(&acts)
-	c.move(Answered)
-	acts.add(Action{Do: DoAnswer, Try: e.Try})
+	c.dispatches[e.Dispatch].status = statusAnswered
+	c.cancelAll(&acts)
+	c.transition(Answered)
+	acts.add(Action{Kind: ActionRespond, Dispatch: e.Dispatch})
 	return acts
 }
 
 // retryHead discards a response that shows that the target can't serve the request, when
 // another dispatch or a target is pending, or a retry is allowed. It reports whether it
 // discarded the response.
-func (c *Call) retryHead(now time.Time, e Head, acts *Actions) bool {
-	if !c.arrival.Idempotent || !unavailable(e.Status) && !e.Unwell {
+func (c *Call) retryHead(now time.Time, e ResponseHead, acts *Actions) bool {
+	if !c.arrival.Idempotent || !isUnavailable(e.Status) && !e.TargetFailed {
 		return false
 	}
-	if c.flying() == 1 && c.seek == seekNone {
-		c.tries[e.Try].state = tryMaybe
-		if !e.Replay || !c.mayRetry(now) {
-			c.tries[e.Try].state = tryFlying
+	if c.inFlight() == 1 && c.pending == acquireNone {
+		c.dispatches[e.Dispatch].status = statusMayHaveRun
+		if !e.Replayable || !c.takeRetryToken(now) {
+			c.dispatches[e.Dispatch].status = statusInFlight
 			return false
 		}
 		c.reason = ReasonUnavailable
-		c.move(Queued)
-		c.seek = seekTry
-		acts.add(Action{Do: DoCancel, Try: e.Try})
-		acts.add(Action{Do: DoSeek})
+		c.transition(Queued)
+		c.pending = acquireDispatch
+		acts.add(Action{Kind: ActionCancel, Dispatch: e.Dispatch})
+		acts.add(Action{Kind: ActionAcquire})
 		return true
 	}
-	c.tries[e.Try].state = tryMaybe
+	c.dispatches[e.Dispatch].status = statusMayHaveRun
 	c.reason = ReasonUnavailable
-	acts.add(Action{Do: DoCancel, Try: e.Try})
-	c.waits()
+	acts.add(Action{Kind: ActionCancel, Dispatch: e.Dispatch})
+	c.stillPending()
 	return true
 }
 
-func unavailable(status int) bool {
+func isUnavailable(status int) bool {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return true
@@ -268,28 +268,28 @@
 }
 
 // ReceiveEnd handles the end of the forwarded response.
-func (c *Call) End(_ time.Time, e End) {
-	if c.state == Answered && e.Try >= 0 && e.Try < c.n && !e.Whole {
+func (c *Call) ReceiveEnd(_ time.Time, e ResponseEnd) {
+	if c.state == Answered && e.Dispatch >= 0 && e.Dispatch < c.n && !e.Complete {
 		c.reason = ReasonCut
 	}
 }
 
 // ResponseCut reports whether the forwarded response ended early.
-func (c *Call) Cut() bool {
+func (c *Call) ResponseCut() bool {
 	return c.state == Answered && c.reason == ReasonCut
 }
 
 // Hedge handles the hedge timer: it acquires a second target while the only dispatch in
 // flight is slow.
 func (c *Call) Hedge(now time.Time) (acts Actions) {
-	if c.state != Dispatched || c.seek != seekNone || !c.arrival.Idempotent || c.flying() != 1 {
+	if c.state != Dispatched || c.pending != acquireNone || !c.arrival.Idempotent || c.inFlight() != 1 {
 		return acts
 	}
-	if c.n >= c.cfg.Tries || c.remaining(now) <= 0 || !c.spend(false) {
+	if c.n >= c.cfg.MaxDispatches || c.remaining(now) <= 0 || !c.takeToken(false) {
 		return acts
 	}
-	c.seek = seekHedge
-	acts.add(Action{Do: DoHedge})
+	c.pending = acquireHedge
+	acts.add(Action{Kind: ActionAcquireHedge})
 	return acts
 }
 
@@ -299,34 +299,34 @@
 		return acts
 	}
 	r := ReasonDeadline
-	if c.flying() > 0 {
+	if c.inFlight() > 0 {
 		r = ReasonTimeout
 	}
-	c.abandon(&acts)
+	c.cancelAll(&acts)
 	c.finish(&acts, r, 0)
 	return acts
 }
 
 // CallerLeft finishes a request whose caller has disconnected.
-func (c *Call) Leave(_ time.Time) (acts Actions) {
+func (c *Call) CallerLeft(_ time.Time) (acts Actions) {
 	if c.state.Final() {
 		return acts
 	}
-	c.abandon(&acts)
+	c.cancelAll(&acts)
 	c.finish(&acts, ReasonCancelled, 0)
 	return acts
 }
 
 // cancelAll cancels all dispatches in flight and withdraws a pending target request. A
 // cancelled dispatch still counts as in flight for the outcome, because it may have run.
-func (c *Call) abandon(acts *Actions) {
-	if c.seek != seekNone {
-		c.unseek()
-		acts.add(Action{Do: DoWithdraw})
-	}
-	for i := range c.tries[:c.n] {
-		if c.tries[i].state == tryFlying {
-			acts.add(Action{Do: DoCancel, Try: i})
+func (c *Call) cancelAll(acts *Actions) {
+	if c.pending != acquireNone {
+		c.endAcquisition()
+		acts.add(Action{Kind: ActionWithdraw})
+	}
+	for i := range c.dispatches[:c.n] {
+		if c.dispatches[i].status == statusInFlight {
+			acts.add(Action{Kind: ActionCancel, Dispatch: i})
 		}
 	}
 }
@@ -335,13 +335,13 @@
 func (c *Call) finish(acts *Actions, r Reason, retry time.Duration) {
 	outcome := c.Outcome()
 	if retry <= 0 && outcome == NotRun && r != ReasonDeadline {
-		retry = c.cfg.Retry
+		retry = c.cfg.RetryAfter
 	}
-	c.final = Final{Outcome: outcome, Reason: r, Retry: retry}
+	c.final = Final{Outcome: outcome, Reason: r, RetryAfter: retry}
 	if outcome == NotRun {
-		c.move(Refused)
+		c.transition(Refused)
 	} else {
-		c.move(GivenUp)
+		c.transition(GivenUp)
 	}
-	acts.add(Action{Do: DoRefuse})
+	acts.add(Action{Kind: ActionRefuse})
 }
--- a/pkg/call/suspect.go
+++ b/pkg/call/suspect.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	defaultCrashes = 2
-	defaultWindow  = time.Minute
-	defaultHold    = 5 * time.Minute
-	defaultKept    = 1024
-	maxPeers       = 4 // peers whose crash counts are kept per fingerprint
+	defaultCrashLimit      = 2
+	defaultCrashWindow     = time.Minute
+	defaultQuarantine      = 5 * time.Minute
+	defaultMaxFingerprints = 1024
+	maxPeers               = 4 // peers whose crash counts are kept per fingerprint
 )
 
 // SuspectsConfig configures Suspects. Zero fields take the defaults.
 type SuspectsConfig struct {
-	Crashes int           // crashed targets that start a quarantine; default 2
-	Window  time.Duration // time after which crashes expire; default 1 min
-	Hold    time.Duration // duration of a quarantine after the last crash; default 5 min
-	Kept    int           // limit of fingerprints in quarantine, and of the others; default 1024
+	CrashLimit      int           // crashed targets that start a quarantine; default 2
+	CrashWindow     time.Duration // time after which crashes expire; default 1 min
+	Quarantine      time.Duration // duration of a quarantine after the last crash; default 5 min
+	MaxFingerprints int           // limit of fingerprints in quarantine, and of the others; default 1024
 }
 
 // Suspect is the record of a fingerprint that entries exchange. Zero crashes mean
 // that a target responded to the request, which clears it.
 type Suspect struct {
-	Print   uint64
-	Crashes int
-	Age     time.Duration // time since the last crash, or since it was cleared
+	Fingerprint uint64
+	Crashes     int
+	Age         time.Duration // time since the last crash, or since it was cleared
 }
 
 // Suspects counts, by request fingerprint, the targets that broke their connection
@@ -43,21 +43,21 @@
 // all its targets doesn't quarantine a popular request. A complete response clears
 // the fingerprint.
 type Suspects struct {
-	cfg   SuspectsConfig
-	size  atomic.Int64
-	mu    sync.Mutex
-	known map[uint64]*list.Element
-	loose *list.List // of *suspect, not in quarantine, most recently changed first
-	held  *list.List // of *suspect, in quarantine, most recently changed first
+	cfg           SuspectsConfig
+	size          atomic.Int64
+	mu            sync.Mutex
+	byFingerprint map[uint64]*list.Element
+	watched       *list.List // of *suspect, not in quarantine, most recently changed first
+	quarantined   *list.List // of *suspect, in quarantine, most recently changed first
 }
 
 type suspect struct {
-	print   uint64
-	targets []uint64  // hashes of the targets whose crash this entry observed
-	last    time.Time // of the last crash or clearing
-	held    bool
-	cleared bool
-	peers   [maxPeers]peerCount
+	fingerprint uint64
+	targets     []uint64  // hashes of the targets whose crash this entry observed
+	lastEvent   time.Time // of the last crash or clearing
+	quarantined bool
+	cleared     bool
+	peers       [maxPeers]peerCount
 }
 
 type peerCount struct {
@@ -67,43 +67,43 @@
 
 // NewSuspects returns an empty table.
 func NewSuspects(cfg SuspectsConfig) *Suspects {
-	if cfg.Crashes <= 0 {
-		cfg.Crashes = defaultCrashes
+	if cfg.CrashLimit <= 0 {
+		cfg.CrashLimit = defaultCrashLimit
 	}
-	if cfg.Window <= 0 {
-		cfg.Window = defaultWindow
+	if cfg.CrashWindow <= 0 {
+		cfg.CrashWindow = defaultCrashWindow
 	}
-	if cfg.Hold <= 0 {
-		cfg.Hold = defaultHold
+	if cfg.Quarantine <= 0 {
+		cfg.Quarantine = defaultQuarantine
 	}
-	if cfg.Kept <= 0 {
-		cfg.Kept = defaultKept
+	if cfg.MaxFingerprints <= 0 {
+		cfg.MaxFingerprints = defaultMaxFingerprints
 	}
-	return &Suspects{cfg: cfg, known: make(map[uint64]*list.Element), loose: list.New(), held: list.New()}
+	return &Suspects{cfg: cfg, byFingerprint: make(map[uint64]*list.Element), watched: list.New(), quarantined: list.New()}
 }
 
 // MayBeCrash reports whether a failure at this stage may be caused by the request.
-func (s Stage) Crash() bool {
+func (s Stage) MayBeCrash() bool {
 	return s == StageSent || s == StageCut
 }
 
 // RecordCrash records that target broke the connection of a request that was dispatched
 // at began, and reports whether the request is in quarantine.
-func (s *Suspects) Crashed(now time.Time, fp uint64, target string, began time.Time) bool {
+func (s *Suspects) RecordCrash(now time.Time, fp uint64, target string, began time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x := s.take(now, fp)
-	if x.count() == 0 || !began.Before(x.last) {
-		x.crash(xxhash.Sum64String(target), s.cfg.Crashes)
+	x := s.detach(now, fp)
+	if x.crashCount() == 0 || !began.Before(x.lastEvent) {
+		x.addTarget(xxhash.Sum64String(target), s.cfg.CrashLimit)
 		x.cleared = false
-		x.last = now
+		x.lastEvent = now
 	}
-	s.put(x)
-	return x.held
+	s.insert(x)
+	return x.quarantined
 }
 
 // addTarget adds a crashed target, up to limit different targets.
-func (x *suspect) crash(target uint64, limit int) {
+func (x *suspect) addTarget(target uint64, limit int) {
 	for _, t := range x.targets {
 		if t == target {
 			return
@@ -115,57 +115,57 @@
 }
 
 // CrashCount returns the number of target crashes known for a request.
-func (s *Suspects) Crashes(fp uint64) int {
+func (s *Suspects) CrashCount(fp uint64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.known[fp]; e != nil {
-		return e.Value.(*suspect).count()
+	if e := s.byFingerprint[fp]; e != nil {
+		return e.Value.(*suspect).crashCount()
 	}
 	return 0
 }
 
 // QuarantineRemaining returns the remaining quarantine of a request, or 0 if it isn't in
 // quarantine.
-func (s *Suspects) Quarantined(now time.Time, fp uint64) time.Duration {
+func (s *Suspects) QuarantineRemaining(now time.Time, fp uint64) time.Duration {
 	if s.size.Load() == 0 {
 		return 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.known[fp]
+	e := s.byFingerprint[fp]
 	if e == nil {
 		return 0
 	}
 	x := e.Value.(*suspect)
-	if !x.held {
+	if !x.quarantined {
 		return 0
 	}
-	return max(s.cfg.Hold-now.Sub(x.last), 0)
+	return max(s.cfg.Quarantine-now.Sub(x.lastEvent), 0)
 }
 
 // RecordResponse clears a fingerprint because a target ran the request and is still alive.
 // It reports whether the fingerprint had crashes.
-func (s *Suspects) Answered(now time.Time, fp uint64) bool {
+func (s *Suspects) RecordResponse(now time.Time, fp uint64) bool {
 	if s.size.Load() == 0 {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.known[fp]
+	e := s.byFingerprint[fp]
 	if e == nil || e.Value.(*suspect).cleared {
 		return false
 	}
-	s.clear(s.take(now, fp), now)
+	s.clear(s.detach(now, fp), now)
 	return true
 }
 
 func (s *Suspects) clear(x *suspect, at time.Time) {
-	*x = suspect{print: x.print, cleared: true, last: at}
-	s.put(x)
+	*x = suspect{fingerprint: x.fingerprint, cleared: true, lastEvent: at}
+	s.insert(x)
 }
 
 // crashCount returns the crashes that this entry observed plus those that peers reported.
-func (x *suspect) count() int {
+func (x *suspect) crashCount() int {
 	n := len(x.targets)
 	for _, p := range x.peers {
 		n += p.crashes
@@ -175,52 +175,52 @@
 
 // detach removes a fingerprint from the table and returns it. It returns a new one when
 // the fingerprint is unknown or expired.
-func (s *Suspects) take(now time.Time, fp uint64) *suspect {
-	e := s.known[fp]
+func (s *Suspects) detach(now time.Time, fp uint64) *suspect {
+	e := s.byFingerprint[fp]
 	if e == nil {
-		return &suspect{print: fp}
+		return &suspect{fingerprint: fp}
 	}
 	x := e.Value.(*suspect)
 	s.remove(e)
 	if s.expired(now, x) {
-		return &suspect{print: fp}
+		return &suspect{fingerprint: fp}
 	}
 	return x
 }
 
 func (s *Suspects) expired(now time.Time, x *suspect) bool {
-	if x.held {
-		return now.Sub(x.last) >= s.cfg.Hold
+	if x.quarantined {
+		return now.Sub(x.lastEvent) >= s.cfg.Quarantine
 	}
-	return now.Sub(x.last) >= s.cfg.Window
+	return now.Sub(x.lastEvent) >= s.cfg.CrashWindow
 }
 
 func (s *Suspects) remove(e *list.Element) {
 	x := e.Value.(*suspect)
-	if x.held {
-		s.held.Remove(e)
+	if x.quarantined {
+		s.quarantined.Remove(e)
 	} else {
-		s.loose.Remove(e)
+		s.watched.Remove(e)
 	}
-	delete(s.known, x.print)
-	s.size.Store(int64(len(s.known)))
+	delete(s.byFingerprint, x.fingerprint)
+	s.size.Store(int64(len(s.byFingerprint)))
 }
 
 // insert adds a fingerprint to the list that matches its crash count, and removes the
 // oldest one beyond MaxFingerprints. Each list has its own limit, so that many single
 // crashes can't evict a request from quarantine.
-func (s *Suspects) put(x *suspect) {
-	x.held = x.count() >= s.cfg.Crashes
-	l := s.loose
-	if x.held {
-		l = s.held
+func (s *Suspects) insert(x *suspect) {
+	x.quarantined = x.crashCount() >= s.cfg.CrashLimit
+	l := s.watched
+	if x.quarantined {
+		l = s.quarantined
 	}
-	if old := s.known[x.print]; old != nil {
+	if old := s.byFingerprint[x.fingerprint]; old != nil {
 		s.remove(old)
 	}
-	s.known[x.print] = l.PushFront(x)
-	if l.Len() > s.cfg.Kept {
+	s.byFingerprint[x.fingerprint] = l.PushFront(x)
+	if l.Len() > s.cfg.MaxFingerprints {
 		s.remove(l.Back())
 	}
-	s.size.Store(int64(len(s.known)))
+	s.size.Store(int64(len(s.byFingerprint)))
 }
--- a/pkg/call/suspect_test.go
+++ b/pkg/call/suspect_test.go
@@ -48,15 +48,15 @@
 			s := NewSuspects(SuspectsConfig{})
 			for i, x := range tt.crashes {
 				if tt.cleared > 0 && i > 0 && tt.cleared < x.at {
-					s.Answered(at(tt.cleared), 7)
+					s.RecordResponse(at(tt.cleared), 7)
 				}
-				s.Crashed(at(x.at), 7, x.target, at(x.began))
+				s.RecordCrash(at(x.at), 7, x.target, at(x.began))
 			}
 			if tt.cleared > 0 {
-				s.Answered(at(tt.cleared), 7)
+				s.RecordResponse(at(tt.cleared), 7)
 			}
-			c.Assert(s.Quarantined(at(tt.ask), 7) > 0, qt.Equals, tt.held)
-			c.Assert(s.Quarantined(at(tt.ask), 8), qt.Equals, time.Duration(0))
+			c.Assert(s.QuarantineRemaining(at(tt.ask), 7) > 0, qt.Equals, tt.held)
+			c.Assert(s.QuarantineRemaining(at(tt.ask), 8), qt.Equals, time.Duration(0))
 		})
 	}
 }
@@ -67,49 +67,49 @@
 func TestQuarantineBetweenEntries(t *testing.T) {
 	c := qt.New(t)
 	a, b, d := NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{}), NewSuspects(SuspectsConfig{})
-	a.Crashed(at(1), 7, "x", at(0))
+	a.RecordCrash(at(1), 7, "x", at(0))
 	for range 3 {
 		b.Merge(at(2), "a", a.Export(at(2), 10))
 		a.Merge(at(2), "b", b.Export(at(2), 10))
 	}
-	c.Assert(a.Quarantined(at(2), 7)+b.Quarantined(at(2), 7), qt.Equals, time.Duration(0))
-	e, f := NewSuspects(SuspectsConfig{Crashes: 3}), NewSuspects(SuspectsConfig{Crashes: 3})
-	e.Crashed(at(1), 7, "x", at(0))
-	f.Crashed(at(1), 7, "y", at(0))
+	c.Assert(a.QuarantineRemaining(at(2), 7)+b.QuarantineRemaining(at(2), 7), qt.Equals, time.Duration(0))
+	e, f := NewSuspects(SuspectsConfig{CrashLimit: 3}), NewSuspects(SuspectsConfig{CrashLimit: 3})
+	e.RecordCrash(at(1), 7, "x", at(0))
+	f.RecordCrash(at(1), 7, "y", at(0))
 	for range 3 {
 		e.Merge(at(2), "f", f.Export(at(2), 10))
 		f.Merge(at(2), "e", e.Export(at(2), 10))
 	}
-	c.Assert(e.Quarantined(at(2), 7)+f.Quarantined(at(2), 7), qt.Equals, time.Duration(0))
-	c.Assert(b.Crashed(at(4), 7, "y", at(3)), qt.IsTrue)
+	c.Assert(e.QuarantineRemaining(at(2), 7)+f.QuarantineRemaining(at(2), 7), qt.Equals, time.Duration(0))
+	c.Assert(b.RecordCrash(at(4), 7, "y", at(3)), qt.IsTrue)
 	d.Merge(at(5), "b", b.Export(at(5), 10))
-	c.Assert(d.Quarantined(at(5), 7), qt.Equals, 299*time.Second)
+	c.Assert(d.QuarantineRemaining(at(5), 7), qt.Equals, 299*time.Second)
 	d.Merge(at(9), "a", d.Export(at(9), 10))
-	c.Assert(d.Quarantined(at(303), 7), qt.Equals, time.Second)
-	b.Answered(at(10), 7)
+	c.Assert(d.QuarantineRemaining(at(303), 7), qt.Equals, time.Second)
+	b.RecordResponse(at(10), 7)
 	d.Merge(at(11), "b", b.Export(at(11), 10))
-	c.Assert(d.Quarantined(at(11), 7), qt.Equals, time.Duration(0))
+	c.Assert(d.QuarantineRemaining(at(11), 7), qt.Equals, time.Duration(0))
 }
 
 // Many single crashes fill the table. They must not evict a request from quarantine.
 func TestSuspectsAreBounded(t *testing.T) {
 	c := qt.New(t)
-	s := NewSuspects(SuspectsConfig{Kept: 8})
-	s.Crashed(at(1), 7, "a", at(0))
-	s.Crashed(at(3), 7, "b", at(2))
+	s := NewSuspects(SuspectsConfig{MaxFingerprints: 8})
+	s.RecordCrash(at(1), 7, "a", at(0))
+	s.RecordCrash(at(3), 7, "b", at(2))
 	for i := range 1000 {
-		s.Crashed(at(4), uint64(100+i), "c", at(0))
-		s.Merge(at(4), strconv.Itoa(i), []Suspect{{Print: uint64(5000 + i), Crashes: 1}})
+		s.RecordCrash(at(4), uint64(100+i), "c", at(0))
+		s.Merge(at(4), strconv.Itoa(i), []Suspect{{Fingerprint: uint64(5000 + i), Crashes: 1}})
 	}
-	c.Assert(len(s.known), qt.Equals, 9)
-	c.Assert(s.Quarantined(at(4), 7) > 0, qt.IsTrue)
+	c.Assert(len(s.byFingerprint), qt.Equals, 9)
+	c.Assert(s.QuarantineRemaining(at(4), 7) > 0, qt.IsTrue)
 }
 
 // In any sequence of operations, the lists and the index stay consistent and within their
 // limits.
 func TestSuspectsProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewSuspects(SuspectsConfig{Kept: 3})
+		s := NewSuspects(SuspectsConfig{MaxFingerprints: 3})
 		now := start
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "s")) * time.Second)
@@ -117,18 +117,18 @@
 			target := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "target")
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				s.Answered(now, fp)
-				if s.Quarantined(now, fp) != 0 {
+				s.RecordResponse(now, fp)
+				if s.QuarantineRemaining(now, fp) != 0 {
 					t.Fatal("in quarantine after a response")
 				}
 			case 1:
 				age := time.Duration(rapid.IntRange(-5, 400).Draw(t, "age")) * time.Second
-				s.Merge(now, target, []Suspect{{Print: fp, Crashes: rapid.IntRange(-1, 3).Draw(t, "crashes"), Age: age}})
+				s.Merge(now, target, []Suspect{{Fingerprint: fp, Crashes: rapid.IntRange(-1, 3).Draw(t, "crashes"), Age: age}})
 			default:
-				s.Crashed(now, fp, target, now.Add(-time.Second))
+				s.RecordCrash(now, fp, target, now.Add(-time.Second))
 			}
-			if s.held.Len() > 3 || s.loose.Len() > 3 || len(s.known) != s.held.Len()+s.loose.Len() {
-				t.Fatalf("%d quarantined, %d watched, %d in the index", s.held.Len(), s.loose.Len(), len(s.known))
+			if s.quarantined.Len() > 3 || s.watched.Len() > 3 || len(s.byFingerprint) != s.quarantined.Len()+s.watched.Len() {
+				t.Fatalf("%d quarantined, %d watched, %d in the index", s.quarantined.Len(), s.watched.Len(), len(s.byFingerprint))
 			}
 			for _, x := range s.Export(now, 10) {
 				if x.Age < 0 || x.Crashes < 0 || x.Crashes > 2 {
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -17,28 +17,28 @@
 }
 
 // Response is the recorded response of a run.
-type Answer struct {
-	Outcome call.Outcome // Ran or Unknown
-	Status  int
-	Header  []Field
-	Body    []byte
-	Whole   bool // false if the response was too long to record
+type Response struct {
+	Outcome  call.Outcome // Ran or Unknown
+	Status   int
+	Header   []Field
+	Body     []byte
+	Complete bool // false if the response was too long to record
 }
 
 // Record is the stored record of a key.
 type Record struct {
-	Print  uint64    // fingerprint of the request
-	ID     string    // of the attempt that may run the request
-	At     time.Time // time of the claim, by the clock of the entry that created it
-	Until  time.Time // time after which the request is not sent to a target
-	Answer *Answer   // nil while the request may run
+	Fingerprint      uint64    // fingerprint of the request
+	ID               string    // of the attempt that may run the request
+	ClaimedAt        time.Time // time of the claim, by the clock of the entry that created it
+	DispatchDeadline time.Time // time after which the request is not sent to a target
+	Response         *Response // nil while the request may run
 }
 
 // RunResult is the result of a run.
-type Ended struct {
+type RunResult struct {
 	Outcome    call.Outcome
-	Answer     Answer // with Ran
-	Reason     Reason // with NotRun and Unknown
+	Response   Response // with Ran
+	Reason     Reason   // with NotRun and Unknown
 	RetryAfter time.Duration
 }
 
@@ -63,17 +63,17 @@
 	ReasonInProgress  Reason = "in-progress"       // another attempt may be running it
 	ReasonUnreachable Reason = "claim-unreachable" // the store did not report whether the key has a record
 	ReasonKeyReused   Reason = "key-reused"        // the key was used for a different request
-	ReasonNotKept     Reason = "answer-not-kept"   // the request ran; its response was too long to record
-	ReasonRanUnknown  Reason = "run-unknown"       // the request was dispatched; its outcome is unknown
+	ReasonNotRecorded Reason = "answer-not-kept"   // the request ran; its response was too long to record
+	ReasonRunUnknown  Reason = "run-unknown"       // the request was dispatched; its outcome is unknown
 )
 
 // RetryDelay is the retry delay for a caller whose key is in progress or can't be looked up.
-const RetrySoon = time.Second
+const RetryDelay = time.Second
 
 // Result is the result that the caller of the request receives.
 type Result struct {
 	Kind       Kind
-	Answer     Answer // with Fresh and Replay
+	Response   Response // with Fresh and Replay
 	Reason     Reason
 	RetryAfter time.Duration
 }
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -11,24 +11,24 @@
 
 // A key with a record never lets its request run again, regardless of the record's
 // content and age.
-func TestMeet(t *testing.T) {
+func TestResolveExisting(t *testing.T) {
 	now := time.Unix(1000, 0)
-	ran := &Answer{Outcome: call.Ran, Status: 201, Whole: true}
+	ran := &Response{Outcome: call.Ran, Status: 201, Complete: true}
 	tests := []struct {
 		name  string
 		found Record
 		want  Result
 	}{
-		{"another request", Record{Print: 2, Answer: ran}, Result{Kind: Conflict, Reason: ReasonKeyReused}},
-		{"ran", Record{Print: 1, Answer: ran}, Result{Kind: Replay, Answer: *ran}},
-		{"ran, response not recorded", Record{Print: 1, Answer: &Answer{Outcome: call.Ran}}, Result{Kind: Replay, Reason: ReasonNotKept, Answer: Answer{Outcome: call.Ran}}},
-		{"outcome unknown", Record{Print: 1, Answer: &Answer{Outcome: call.Unknown}}, Result{Reason: ReasonRanUnknown}},
-		{"running", Record{Print: 1, Until: now}, Result{Reason: ReasonInProgress, RetryAfter: RetrySoon}},
-		{"dispatch deadline passed", Record{Print: 1, Until: now.Add(-time.Second)}, Result{Reason: ReasonRanUnknown}},
+		{"another request", Record{Fingerprint: 2, Response: ran}, Result{Kind: Conflict, Reason: ReasonKeyReused}},
+		{"ran", Record{Fingerprint: 1, Response: ran}, Result{Kind: Replay, Response: *ran}},
+		{"ran, response not recorded", Record{Fingerprint: 1, Response: &Response{Outcome: call.Ran}}, Result{Kind: Replay, Reason: ReasonNotRecorded, Response: Response{Outcome: call.Ran}}},
+		{"outcome unknown", Record{Fingerprint: 1, Response: &Response{Outcome: call.Unknown}}, Result{Reason: ReasonRunUnknown}},
+		{"running", Record{Fingerprint: 1, DispatchDeadline: now}, Result{Reason: ReasonInProgress, RetryAfter: RetryDelay}},
+		{"dispatch deadline passed", Record{Fingerprint: 1, DispatchDeadline: now.Add(-time.Second)}, Result{Reason: ReasonRunUnknown}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			qt.Assert(t, Meet(now, tt.found, 1), qt.DeepEquals, tt.want)
+			qt.Assert(t, ResolveExisting(now, tt.found, 1), qt.DeepEquals, tt.want)
 		})
 	}
 }
@@ -36,13 +36,13 @@
 func TestFinish(t *testing.T) {
 	tests := []struct {
 		name     string
-		ended    Ended
+		ended    RunResult
 		want     Kind
 		recorded bool
 	}{
-		{"ran", Ended{Outcome: call.Ran}, Fresh, true},
-		{"unknown", Ended{Outcome: call.Unknown}, Uncertain, true},
-		{"not run", Ended{Outcome: call.NotRun}, NotRun, false},
+		{"ran", RunResult{Outcome: call.Ran}, Fresh, true},
+		{"unknown", RunResult{Outcome: call.Unknown}, Uncertain, true},
+		{"not run", RunResult{Outcome: call.NotRun}, NotRun, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/pkg/claim/decide.go
+++ b/pkg/claim/decide.go
@@ -9,23 +9,23 @@
 // ResolveExisting returns the result for a request with the given fingerprint whose key
 // has a record of another attempt. The request never runs again: that attempt may have
 // run it or may still run it, regardless of the record's age and creator.
-func Meet(now time.Time, found Record, fingerprint uint64) Result {
+func ResolveExisting(now time.Time, found Record, fingerprint uint64) Result {
 	switch {
-	case found.Print != fingerprint:
+	case found.Fingerprint != fingerprint:
 		return Result{Kind: Conflict, Reason: ReasonKeyReused}
-	case found.Answer != nil && found.Answer.Outcome == call.Ran:
-		return replay(*found.Answer)
-	case found.Answer != nil || now.After(found.Until):
-		return Result{Kind: Uncertain, Reason: ReasonRanUnknown}
+	case found.Response != nil && found.Response.Outcome == call.Ran:
+		return replay(*found.Response)
+	case found.Response != nil || now.After(found.DispatchDeadline):
+		return Result{Kind: Uncertain, Reason: ReasonRunUnknown}
 	}
-	return Result{Kind: Uncertain, Reason: ReasonInProgress, RetryAfter: RetrySoon}
+	return Result{Kind: Uncertain, Reason: ReasonInProgress, RetryAfter: RetryDelay}
 }
 
 // replay returns the recorded response.
-func replay(a Answer) Result {
-	r := Result{Kind: Replay, Answer: a}
-	if !a.Whole {
-		r.Reason = ReasonNotKept
+func replay(a Response) Result {
+	r := Result{Kind: Replay, Response: a}
+	if !a.Complete {
+		r.Reason = ReasonNotRecorded
 	}
 	return r
 }
@@ -33,23 +33,23 @@
 // StoreUnreachable returns the result while the store doesn't report whether the key
 // has a record. The result is uncertain, because an earlier attempt may have run the
 // request.
-func Doubt() Result {
-	return Result{Kind: Uncertain, Reason: ReasonUnreachable, RetryAfter: RetrySoon}
+func StoreUnreachable() Result {
+	return Result{Kind: Uncertain, Reason: ReasonUnreachable, RetryAfter: RetryDelay}
 }
 
 // Finish returns the result for the caller after the run, and the response to record.
 // It records nothing if the request did not run, so that the key is free for the next
 // attempt.
-func Finish(e Ended) (r Result, recorded *Answer) {
+func Finish(e RunResult) (r Result, recorded *Response) {
 	switch e.Outcome {
 	case call.NotRun:
 		return Result{Kind: NotRun, Reason: e.Reason, RetryAfter: e.RetryAfter}, nil
 	case call.Unknown:
-		return Result{Kind: Uncertain, Reason: e.Reason, RetryAfter: e.RetryAfter}, &Answer{Outcome: call.Unknown}
+		return Result{Kind: Uncertain, Reason: e.Reason, RetryAfter: e.RetryAfter}, &Response{Outcome: call.Unknown}
 	}
-	a := e.Answer
+	a := e.Response
 	a.Outcome = call.Ran
-	return Result{Kind: Fresh, Answer: a}, &a
+	return Result{Kind: Fresh, Response: a}, &a
 }
 
 // Retention is the time for which a record is kept. Callers retry within minutes; an
@@ -58,5 +58,5 @@
 
 // Expired reports whether the record may be removed.
 func (r Record) Expired(now time.Time) bool {
-	return now.Sub(r.At) > Retention
+	return now.Sub(r.ClaimedAt) > Retention
 }
--- a/pkg/pool/action.go
+++ b/pkg/pool/action.go
@@ -15,7 +15,7 @@
 	Probe
 	// NoteLeaving reports that Target announced that it is leaving. The driver forwards it
 	// to peers.
-	Left
+	NoteLeaving
 )
 
 // Reason is the reason for a refusal.
@@ -23,11 +23,11 @@
 
 // Reasons of a refusal.
 const (
-	NoReason   Reason = iota
-	NoTarget          // no target accepts new requests
-	QueueFull         // the expected wait or the queue length exceeds its limit
-	TooLate           // the deadline would pass before the response
-	DeadlineUp        // while queued, the request ran out of time for a response
+	NoRefusal    Reason = iota
+	NoTarget            // no target accepts new requests
+	QueueFull           // the expected wait or the queue length exceeds its limit
+	TooLate             // the deadline would pass before the response
+	DeadlineNear        // while queued, the request ran out of time for a response
 )
 
 // String returns the name of the reason.
--- a/pkg/pool/admit.go
+++ b/pkg/pool/admit.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-const gapWeight = 1.0 / 64
+const queueIntervalWeight = 1.0 / 64
 
 // queueInterval is the mean time between completions while requests are queued: the
 // rate at which the queue advances, including the effect of other entries that use the
@@ -10,54 +10,54 @@
 // single slot. Otherwise a pause of all targets would make the pool refuse every
 // request, and the mean would never recover, because it is measured only while requests
 // are queued.
-type gap struct {
-	mean float64 // nanoseconds; zero until measured
-	last time.Duration
-	busy bool // requests were queued at the last completion
+type queueInterval struct {
+	mean      float64 // nanoseconds; zero until measured
+	lastDone  time.Duration
+	wasQueued bool // requests were queued at the last completion
 }
 
 // observe records a completion. limit is the largest sample that counts.
-func (q *gap) done(now time.Duration, queued bool, limit time.Duration) {
-	if q.busy && queued {
-		interval := float64(min(now-q.last, limit))
+func (q *queueInterval) observe(now time.Duration, queued bool, limit time.Duration) {
+	if q.wasQueued && queued {
+		interval := float64(min(now-q.lastDone, limit))
 		if q.mean == 0 {
 			q.mean = interval
 		}
-		q.mean += gapWeight * (interval - q.mean)
+		q.mean += queueIntervalWeight * (interval - q.mean)
 	}
-	q.last, q.busy = now, queued
+	q.lastDone, q.wasQueued = now, queued
 }
 
 // expectedWait returns the expected wait of a request that is queued now.
-func (p *Pool[P]) wait(idempotent bool) time.Duration {
-	interval := p.gap.mean
+func (p *Pool[P]) expectedWait(idempotent bool) time.Duration {
+	interval := p.queueInterval.mean
 	if interval == 0 {
 		slots := 0
 		for _, m := range p.members {
-			if !m.left && !m.out {
+			if !m.excluded && !m.ejected {
 				slots += m.Slots
 			}
 		}
-		interval = float64(p.curve.Mean(p.cfg.Service)) / float64(max(slots, 1))
+		interval = float64(p.latencies.Mean(p.cfg.InitialServiceTime)) / float64(max(slots, 1))
 	}
-	return time.Duration(interval * float64(p.queue.ahead(idempotent)+1))
+	return time.Duration(interval * float64(p.queue.countAhead(idempotent)+1))
 }
 
 // admit decides whether a request may be queued. A request that would miss its deadline
 // is refused immediately: it has not run, and its caller still has time to go elsewhere.
-func (p *Pool[P]) admit(w waiting) (reason Reason, wait time.Duration) {
-	wait = p.wait(w.Idempotent)
+func (p *Pool[P]) admit(w queuedRequest) (reason Reason, wait time.Duration) {
+	wait = p.expectedWait(w.Idempotent)
 	switch {
 	case p.queue.len() >= p.cfg.MaxQueue || wait > p.cfg.MaxWait:
 		return QueueFull, wait
-	case p.now+wait+p.need() > w.due:
+	case p.now+wait+p.expectedServiceTime() > w.due:
 		return TooLate, wait
 	}
-	return NoReason, 0
+	return NoRefusal, 0
 }
 
 // expectedServiceTime returns the median response time. With less time left, a request
 // can't expect a response.
-func (p *Pool[P]) need() time.Duration {
-	return p.curve.Median(p.cfg.Service)
+func (p *Pool[P]) expectedServiceTime() time.Duration {
+	return p.latencies.Median(p.cfg.InitialServiceTime)
 }
--- a/pkg/pool/answer.go
+++ b/pkg/pool/answer.go
@@ -3,75 +3,75 @@
 import "time"
 
 const (
-	shedPause    = 5 * time.Millisecond
-	shedPauseMax = 100 * time.Millisecond
+	shedCooldown    = 5 * time.Millisecond
+	maxShedCooldown = 100 * time.Millisecond
 )
 
 // applyOutcome updates the health of m from the end of dispatch r.
-func (p *Pool[P]) take(m *Member, r run, outcome Kind) {
-	m.answered = p.now
-	if p.cfg.Blind {
+func (p *Pool[P]) applyOutcome(m *Member, r dispatch, outcome Outcome) {
+	m.lastResponse = p.now
+	if p.cfg.IgnoreOutcomes {
 		return
 	}
 	took := p.now - r.start
 	good := false
-	m.unclear = outcome == RefusedConn || outcome == Broken || outcome == TimedOut
+	m.maybeGone = outcome == ConnectFailed || outcome == ConnectionLost || outcome == TimedOut
 	switch outcome {
 	case Served:
-		good = p.takeServed(m, took)
+		good = p.applyServed(m, took)
 	case Failed:
 		p.addFail(m, true)
 	case Shed:
-		p.takeShed(m)
-	case RefusedConn, Broken:
-		p.lost(m)
+		p.applyShed(m)
+	case ConnectFailed, ConnectionLost:
+		p.addConnectionLoss(m)
 	case TimedOut:
-		m.addSlow(p.now, &p.curve, took, false)
+		m.addLatency(p.now, &p.latencies, took, false)
 		p.addFail(m, true)
 	case Cancelled:
-		good = m.addSlow(p.now, &p.curve, took, false) <= trialBad
+		good = m.addLatency(p.now, &p.latencies, took, false) <= badTrialChange
 	}
-	p.judge(m, good)
+	p.updateEjection(m, good)
 }
 
 // applyServed updates m after a served request, and reports whether the response time
 // counts in favor of m.
-func (p *Pool[P]) takeServed(m *Member, took time.Duration) (good bool) {
-	m.sheds = 0
+func (p *Pool[P]) applyServed(m *Member, took time.Duration) (good bool) {
+	m.consecutiveSheds = 0
 	m.served++
-	m.room = min(m.room+1/m.room, float64(m.Slots))
-	if !m.out && m.warm(&p.cfg) {
-		p.curve.add(took)
+	m.learnedLimit = min(m.learnedLimit+1/m.learnedLimit, float64(m.Slots))
+	if !m.ejected && m.warmedUp(&p.cfg) {
+		p.latencies.add(took)
 	}
 	change := 0.0
-	if m.warm(&p.cfg) {
-		change = m.addSlow(p.now, &p.curve, took, true)
+	if m.warmedUp(&p.cfg) {
+		change = m.addLatency(p.now, &p.latencies, took, true)
 	}
 	p.addFail(m, false)
-	return change <= trialBad
+	return change <= badTrialChange
 }
 
 // applyShed pauses new requests to a target for a time that doubles with each
 // consecutive shed, up to maxShedCooldown.
-func (p *Pool[P]) takeShed(m *Member) {
-	m.sheds++
-	m.room = max(float64(len(m.runs)), 1)
-	m.blocked = p.now + min(shedPause<<min(m.sheds-1, 8), shedPauseMax)
-	if m.sheds >= shedsOut {
+func (p *Pool[P]) applyShed(m *Member) {
+	m.consecutiveSheds++
+	m.learnedLimit = max(float64(len(m.dispatches)), 1)
+	m.cooldownUntil = p.now + min(shedCooldown<<min(m.consecutiveSheds-1, 8), maxShedCooldown)
+	if m.consecutiveSheds >= shedsAsFailure {
 		p.addFail(m, true)
 	}
 }
 
 // applyLoad processes a target's report of its load. The reported number of requests
 // gives the estimate of those from other entries: own is the number of this entry.
-func (p *Pool[P]) report(m *Member, l Load, own int, out []Action) []Action {
-	if l.Leaving && !m.left {
-		p.leave(m)
-		out = append(out, Action{Kind: Left, Target: m.ID, Boot: m.Boot, Addr: m.Addr})
+func (p *Pool[P]) applyLoad(m *Member, l Load, own int, out []Action) []Action {
+	if l.Leaving && !m.excluded {
+		p.setLeaving(m)
+		out = append(out, Action{Kind: NoteLeaving, Target: m.ID, Boot: m.Boot, Addr: m.Addr})
 	}
-	if l.Known {
-		m.foreign = min(max(float64(l.InFlight-own), 0), float64(m.Slots))
-		m.foreignAt = p.now
+	if l.HasInFlight {
+		m.reportedOther = min(max(float64(l.InFlight-own), 0), float64(m.Slots))
+		m.reportedAt = p.now
 	}
 	return out
 }
--- a/pkg/pool/bench_test.go
+++ b/pkg/pool/bench_test.go
@@ -19,14 +19,14 @@
 
 // fleet holds the pools of one entry with 2,000 targets in 110 services.
 type fleet struct {
-	pools    []pool.Chooser
+	pools    []pool.Balancer
 	inFlight [][]uint64
 	now      time.Time
 	id       uint64
 	out      []pool.Action
 }
 
-func fleetOf() *fleet {
+func newFleet() *fleet {
 	f := &fleet{now: start, inFlight: make([][]uint64, services), out: make([]pool.Action, 0, 16)}
 	for i := range services {
 		n := each
@@ -34,7 +34,7 @@
 			n++
 		}
 		p := pool.New(pool.Config{}, pool.FreeSlot{}, rand.New(rand.NewPCG(1, uint64(i))))
-		p.Targets(start, targets(n), nil)
+		p.SetTargets(start, targets(n), nil)
 		f.pools = append(f.pools, p)
 	}
 	return f
@@ -45,11 +45,11 @@
 	s := int(f.id % services)
 	f.now = f.now.Add(10 * time.Microsecond)
 	a := pool.Arrival{ID: f.id, Deadline: f.now.Add(time.Second)}
-	f.out = f.pools[s].Arrive(f.now, a, f.out[:0])
+	f.out = f.pools[s].Submit(f.now, a, f.out[:0])
 	f.inFlight[s] = append(f.inFlight[s], f.id)
 	f.id++
 	if len(f.inFlight[s]) > busy {
-		f.out = f.pools[s].Done(f.now, pool.Answer{ID: f.inFlight[s][0]}, f.out[:0])
+		f.out = f.pools[s].Done(f.now, pool.Completion{ID: f.inFlight[s][0]}, f.out[:0])
 		f.inFlight[s] = f.inFlight[s][:copy(f.inFlight[s], f.inFlight[s][1:])]
 	}
 }
@@ -57,7 +57,7 @@
 // Allocations on the hot path would trigger the garbage collector and delay callers. The
 // driver passes its own slice; maps and slices grow only at the start.
 func TestAllocations(t *testing.T) {
-	f := fleetOf()
+	f := newFleet()
 	for range 100 * services {
 		f.decide()
 	}
@@ -66,7 +66,7 @@
 }
 
 func BenchmarkDecision(b *testing.B) {
-	f := fleetOf()
+	f := newFleet()
 	b.ReportAllocs()
 	for b.Loop() {
 		f.decide()
--- a/pkg/pool/chooser.go
+++ b/pkg/pool/chooser.go
@@ -8,29 +8,29 @@
 )
 
 // Balancer is a Pool with any policy.
-type Chooser interface {
+type Balancer interface {
 	// SetTargets replaces the list of targets. A target not in the list is removed.
-	Targets(now time.Time, list []Target, out []Action) []Action
+	SetTargets(now time.Time, list []Target, out []Action) []Action
 	// MarkLeaving records that an incarnation of a target is leaving.
-	Leave(now time.Time, target string, boot uint64, out []Action) []Action
+	MarkLeaving(now time.Time, target string, boot uint64, out []Action) []Action
 	// LeavingNotices returns the leaving notices that have not expired.
-	Held(now time.Time) []Held
+	LeavingNotices(now time.Time) []LeavingNotice
 	// Submit dispatches, queues or refuses a request.
-	Arrive(now time.Time, a Arrival, out []Action) []Action
+	Submit(now time.Time, a Arrival, out []Action) []Action
 	// Done processes the completion of a dispatched request.
-	Done(now time.Time, a Answer, out []Action) []Action
+	Done(now time.Time, a Completion, out []Action) []Action
 	// Cancel cancels a queued or dispatched request.
 	Cancel(now time.Time, id uint64, out []Action) []Action
 	// ProbeDone processes the result of a probe.
-	Probed(now time.Time, r Probed, out []Action) []Action
+	ProbeDone(now time.Time, r ProbeResult, out []Action) []Action
 	// Tick performs the work that is due by now.
 	Tick(now time.Time, out []Action) []Action
 	// NextTick returns when Tick is needed next. The zero time means never.
-	Next() time.Time
+	NextTick() time.Time
 	// Explain returns for each target whether it would be chosen, and why.
-	Explain(now time.Time) []Row
+	Explain(now time.Time) []TargetStatus
 	// RequestCounts returns the number of queued requests and of requests in flight.
-	Len() (queued, inFlight int)
+	RequestCounts() (queued, inFlight int)
 }
 
 // Policy names.
@@ -43,17 +43,17 @@
 )
 
 // PolicyNames returns the names of the policies, the default first.
-func Names() []string {
+func PolicyNames() []string {
 	return []string{NameFreeSlot, NameRoundRobin, NameRandom, NameTwoChoices, NameLeastInFlight}
 }
 
 // NewBalancer returns a pool with the named policy; the empty name is the default.
 // The other policies are baselines for comparison: they dispatch immediately, never eject
 // a target and send no probes.
-func ByName(name string, cfg Config, rnd *rand.Rand) (c Chooser, err error) {
+func NewBalancer(name string, cfg Config, rnd *rand.Rand) (c Balancer, err error) {
 	defer func() { err = errors.WithMessage(err, "pool") }()
 	plain := cfg
-	plain.Unlimited, plain.Blind, plain.Budget = true, true, nil
+	plain.Unlimited, plain.IgnoreOutcomes, plain.ProbeBudget = true, true, nil
 	switch name {
 	case "", NameFreeSlot:
 		return New(cfg, FreeSlot{}, rnd), nil
@@ -66,5 +66,5 @@
 	case NameLeastInFlight:
 		return New(plain, LeastInFlight{}, rnd), nil
 	}
-	return nil, errors.Errorf("policy: found %q, expected one of %v", name, Names())
+	return nil, errors.Errorf("policy: found %q, expected one of %v", name, PolicyNames())
 }
--- a/pkg/pool/event.go
+++ b/pkg/pool/event.go
@@ -34,35 +34,35 @@
 }
 
 // Outcome is how a dispatched request ended.
-type Kind uint8
+type Outcome uint8
 
 // Outcomes of a dispatched request.
 const (
-	Served      Kind = iota // response without a server error
-	Failed                  // response with a server error
-	Shed                    // refused by the target; did not run
-	RefusedConn             // no connection; did not run
-	Broken                  // connection lost before the complete response
-	TimedOut                // no response by the deadline
-	Cancelled               // cancelled by the entry or the caller
+	Served         Outcome = iota // response without a server error
+	Failed                        // response with a server error
+	Shed                          // refused by the target; did not run
+	ConnectFailed                 // no connection; did not run
+	ConnectionLost                // connection lost before the complete response
+	TimedOut                      // no response by the deadline
+	Cancelled                     // cancelled by the entry or the caller
 )
 
 // Load is the load report of a target on a response.
 type Load struct {
-	InFlight int  // requests at the target from all entries, including the completed one
-	Known    bool // InFlight was reported
-	Leaving  bool // the target is leaving
+	InFlight    int  // requests at the target from all entries, including the completed one
+	HasInFlight bool // InFlight was reported
+	Leaving     bool // the target is leaving
 }
 
 // Completion is the end of a dispatched request.
-type Answer struct {
-	ID   uint64
-	Kind Kind
-	Load Load
+type Completion struct {
+	ID      uint64
+	Outcome Outcome
+	Load    Load
 }
 
-// Probed is the result of a probe.
-type Probed struct {
+// ProbeResult is the result of a probe.
+type ProbeResult struct {
 	Target string
 	OK     bool
 	Took   time.Duration
--- a/pkg/pool/freeslot.go
+++ b/pkg/pool/freeslot.go
@@ -10,11 +10,11 @@
 
 // horizonFactor is the time within which a slot should become free, in multiples of the
 // mean response time.
-const extraHorizon = 1
+const horizonFactor = 1
 
 // Pick prefers a free slot on a target that is not suspected, and there the target with
 // the fewest requests.
-func (FreeSlot) Pick(c *Choice) int {
+func (FreeSlot) Pick(c *PickInput) int {
 	best, ties, bestRank := -1, 0, 0.0
 	for i, m := range c.Members {
 		rank, ok := freeRank(c, m)
@@ -34,21 +34,21 @@
 	if best >= 0 {
 		return best
 	}
-	return soonest(c)
+	return soonestFree(c)
 }
 
 // suspectPenalty ranks suspected targets behind all others.
-const suspectRank = 1000
+const suspectPenalty = 1000
 
 // freeRank returns the rank of m by its number of requests; the lowest is the best. ok is
 // false when m has no free slot.
-func freeRank(c *Choice, m *Member) (rank float64, ok bool) {
-	rank = float64(m.InFlight()) + m.Foreign(c.Now, c.Keep)
+func freeRank(c *PickInput, m *Member) (rank float64, ok bool) {
+	rank = float64(m.InFlight()) + m.OtherInFlight(c.Now, c.ReportHalfLife)
 	if rank > float64(m.limit(c.Config))-0.5 {
 		return 0, false
 	}
-	if c.Suspect(m) {
-		rank += suspectRank
+	if c.IsSuspect(m) {
+		rank += suspectPenalty
 	}
 	return rank, true
 }
@@ -56,21 +56,21 @@
 // soonestFree picks, among the full targets with the fewest requests beyond their slots,
 // the one least likely to keep all slots busy over the horizon, given the ages of its
 // requests.
-func soonest(c *Choice) int {
+func soonestFree(c *PickInput) int {
 	best, bestStay, bestOver := -1, 0.0, 0
-	span := extraHorizon * c.Curve.Mean(c.Keep)
+	span := horizonFactor * c.Latencies.Mean(c.ReportHalfLife)
 	for i, m := range c.Members {
 		over := m.InFlight() - m.limit(c.Config)
-		if over >= c.Config.Allowance || !m.warm(c.Config) {
+		if over >= c.Config.Allowance || !m.warmedUp(c.Config) {
 			continue
 		}
-		if c.Suspect(m) {
-			over += suspectRank
+		if c.IsSuspect(m) {
+			over += suspectPenalty
 		}
 		stay := 0.0
-		for _, r := range m.runs {
-			if r.on {
-				stay += stayHazard(c, r, span)
+		for _, r := range m.dispatches {
+			if r.inSlot {
+				stay += hazardOver(c, r, span)
 			}
 		}
 		if best < 0 || over < bestOver || over == bestOver && stay > bestStay {
@@ -81,7 +81,7 @@
 }
 
 // hazardOver returns the hazard that r finishes within span.
-func stayHazard(c *Choice, r run, span time.Duration) float64 {
+func hazardOver(c *PickInput, r dispatch, span time.Duration) float64 {
 	age := c.Now - r.start
-	return c.Curve.Hazard(age+span) - c.Curve.Hazard(age)
+	return c.Latencies.Hazard(age+span) - c.Latencies.Hazard(age)
 }
--- a/pkg/pool/health_test.go
+++ b/pkg/pool/health_test.go
@@ -12,46 +12,46 @@
 const ms = time.Millisecond
 
 // behavior returns the response time and outcome of request n that a target gets at a time.
-type how func(at time.Duration, n int) (took time.Duration, outcome pool.Kind)
+type behavior func(at time.Duration, n int) (took time.Duration, outcome pool.Outcome)
 
 // normal spreads response times over 2 to 10 ms.
-func usual(_ time.Duration, n int) (time.Duration, pool.Kind) {
+func normal(_ time.Duration, n int) (time.Duration, pool.Outcome) {
 	return 2*ms + time.Duration(uint32(n)*2654435761>>8%9)*ms, pool.Served
 }
 
-func slowBy(factor int) how {
-	return func(at time.Duration, n int) (time.Duration, pool.Kind) {
-		took, outcome := usual(at, n)
+func slowBy(factor int) behavior {
+	return func(at time.Duration, n int) (time.Duration, pool.Outcome) {
+		took, outcome := normal(at, n)
 		return time.Duration(factor) * took, outcome
 	}
 }
 
 // always returns a behavior with a fixed response time and outcome.
-func ends(took time.Duration, outcome pool.Kind) how {
-	return func(time.Duration, int) (time.Duration, pool.Kind) { return took, outcome }
+func always(took time.Duration, outcome pool.Outcome) behavior {
+	return func(time.Duration, int) (time.Duration, pool.Outcome) { return took, outcome }
 }
 
 // during returns a behavior that is bad from one time to another, and normal otherwise.
-func during(from, to time.Duration, bad how) how {
-	return func(at time.Duration, n int) (time.Duration, pool.Kind) {
+func during(from, to time.Duration, bad behavior) behavior {
+	return func(at time.Duration, n int) (time.Duration, pool.Outcome) {
 		if at >= from && at < to {
 			return bad(at, n)
 		}
-		return usual(at, n)
+		return normal(at, n)
 	}
 }
 
-// flight is a request at a target.
-type flight struct {
+// dispatched is a request at a target.
+type dispatched struct {
 	id      uint64
 	target  string
 	end     time.Time
-	outcome pool.Kind
+	outcome pool.Outcome
 }
 
 // load keeps n requests queued or in flight for a while, and returns the number of
 // requests that each target got.
-func (b *bed) load(n int, duration time.Duration, targets map[string]how) map[string]int {
+func (b *harness) load(n int, duration time.Duration, targets map[string]behavior) map[string]int {
 	got := map[string]int{}
 	until := b.now.Add(duration)
 	process := func(out []pool.Action) {
@@ -65,26 +65,26 @@
 			got[a.Target]++
 			do := targets[a.Target]
 			if do == nil {
-				do = usual
+				do = normal
 			}
 			took, outcome := do(b.now.Sub(start), int(a.ID))
-			b.flights = append(b.flights, flight{a.ID, a.Target, b.now.Add(took), outcome})
+			b.dispatches = append(b.dispatches, dispatched{a.ID, a.Target, b.now.Add(took), outcome})
 		}
 	}
 	for ; b.now.Before(until); b.now = b.now.Add(ms / 4) {
-		for i := 0; i < len(b.flights); i++ {
-			f := b.flights[i]
+		for i := 0; i < len(b.dispatches); i++ {
+			f := b.dispatches[i]
 			if f.end.After(b.now) {
 				continue
 			}
-			b.flights = append(b.flights[:i], b.flights[i+1:]...)
+			b.dispatches = append(b.dispatches[:i], b.dispatches[i+1:]...)
 			i--
-			process(b.pool.Done(b.now, pool.Answer{ID: f.id, Kind: f.outcome}, nil))
+			process(b.pool.Done(b.now, pool.Completion{ID: f.id, Outcome: f.outcome}, nil))
 		}
 		process(b.pool.Tick(b.now, nil))
-		for queued, inFlight := b.pool.Len(); queued+inFlight < n; queued, inFlight = b.pool.Len() {
+		for queued, inFlight := b.pool.RequestCounts(); queued+inFlight < n; queued, inFlight = b.pool.RequestCounts() {
 			b.id++
-			out := b.pool.Arrive(b.now, pool.Arrival{ID: b.id, Deadline: b.now.Add(time.Minute), Idempotent: true}, nil)
+			out := b.pool.Submit(b.now, pool.Arrival{ID: b.id, Deadline: b.now.Add(time.Minute), Idempotent: true}, nil)
 			process(out)
 			if len(out) > 0 && out[0].Kind == pool.Refuse {
 				b.refused++
@@ -96,13 +96,13 @@
 }
 
 // probe returns a probe result at once. Only a target that refuses connections fails it.
-func (b *bed) probe(target string, do how) {
+func (b *harness) probe(target string, do behavior) {
 	ok := true
 	if do != nil {
 		_, outcome := do(b.now.Sub(start), 0)
-		ok = outcome != pool.RefusedConn
+		ok = outcome != pool.ConnectFailed
 	}
-	b.pool.Probed(b.now, pool.Probed{Target: target, OK: ok}, nil)
+	b.pool.ProbeDone(b.now, pool.ProbeResult{Target: target, OK: ok}, nil)
 }
 
 // A target becomes bad at 1 s, without notice, so that callers would see its delays and
@@ -111,25 +111,25 @@
 func TestEjection(t *testing.T) {
 	tests := []struct {
 		name  string
-		bad   how
+		bad   behavior
 		n     int // requests queued or in flight at any time
 		limit int // limit of its requests in 2 s, of about 4000
 	}{
 		{"ten times slower", slowBy(10), 10, 40},
 		{"five times slower", slowBy(5), 10, 80},
-		{"stuck", func(at time.Duration, _ int) (time.Duration, pool.Kind) { return 3*time.Second - at, pool.Served }, 10, 4},
-		{"stuck under full load", func(at time.Duration, _ int) (time.Duration, pool.Kind) { return 3*time.Second - at, pool.Served }, 40, 5},
-		{"fails fast", ends(ms, pool.Failed), 10, 20},
-		{"refuses connections", ends(ms/2, pool.RefusedConn), 10, 16},
-		{"breaks connections", ends(ms, pool.Broken), 10, 16},
-		{"sheds all", ends(ms/2, pool.Shed), 10, 24},
-		{"times out", ends(200*ms, pool.TimedOut), 10, 16},
+		{"stuck", func(at time.Duration, _ int) (time.Duration, pool.Outcome) { return 3*time.Second - at, pool.Served }, 10, 4},
+		{"stuck under full load", func(at time.Duration, _ int) (time.Duration, pool.Outcome) { return 3*time.Second - at, pool.Served }, 40, 5},
+		{"fails fast", always(ms, pool.Failed), 10, 20},
+		{"refuses connections", always(ms/2, pool.ConnectFailed), 10, 16},
+		{"breaks connections", always(ms, pool.ConnectionLost), 10, 16},
+		{"sheds all", always(ms/2, pool.Shed), 10, 24},
+		{"times out", always(200*ms, pool.TimedOut), 10, 16},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			b := bedOf(c, "", pool.Config{}, targets(8))
-			bad := map[string]how{"t3": during(time.Second, 3*time.Second, test.bad)}
+			b := newHarness(c, "", pool.Config{}, targets(8))
+			bad := map[string]behavior{"t3": during(time.Second, 3*time.Second, test.bad)}
 			before := b.load(test.n, time.Second, bad)
 			c.Check(before["t3"] > 100, qt.IsTrue, qt.Commentf("before: %v", before))
 			during := b.load(test.n, 2*time.Second, bad)
@@ -144,41 +144,41 @@
 // A fault that many targets share looks like a fault of each. If all of them were ejected,
 // callers would be refused by a service that can still respond. So at least two thirds
 // of the targets must stay in use, and a pool of two must never eject one.
-func TestFloor(t *testing.T) {
+func TestMaxEjected(t *testing.T) {
 	tests := []struct {
 		name    string
 		targets int
 		bad     int
-		do      how
+		do      behavior
 		out     int // limit of ejected targets at the end
 	}{
-		{"all fail", 6, 6, ends(ms, pool.Failed), 0},
+		{"all fail", 6, 6, always(ms, pool.Failed), 0},
 		{"all are slow", 6, 6, slowBy(10), 0},
-		{"half refuse connections", 6, 3, ends(ms, pool.RefusedConn), 2},
-		{"all refuse connections", 6, 6, ends(ms, pool.RefusedConn), 0},
-		{"one of two fails", 2, 1, ends(ms, pool.Failed), 0},
-		{"a single target fails", 1, 1, ends(ms, pool.Failed), 0},
+		{"half refuse connections", 6, 3, always(ms, pool.ConnectFailed), 2},
+		{"all refuse connections", 6, 6, always(ms, pool.ConnectFailed), 0},
+		{"one of two fails", 2, 1, always(ms, pool.Failed), 0},
+		{"a single target fails", 1, 1, always(ms, pool.Failed), 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			list := targets(test.targets)
-			b := bedOf(c, "", pool.Config{}, list)
-			bad := map[string]how{}
+			b := newHarness(c, "", pool.Config{}, list)
+			bad := map[string]behavior{}
 			for i := range test.bad {
 				bad[list[i].ID] = during(time.Second, time.Hour, test.do)
 			}
 			most := int(0.34 * float64(test.targets))
 			for i := range 32 {
 				b.load(2*test.targets, 500*ms, bad)
-				c.Check(b.outs() <= most, qt.IsTrue, qt.Commentf("after %d", i))
+				c.Check(b.ejectedCount() <= most, qt.IsTrue, qt.Commentf("after %d", i))
 			}
-			c.Check(b.outs() <= test.out, qt.IsTrue, qt.Commentf("%+v", b.pool.Explain(b.now)))
+			c.Check(b.ejectedCount() <= test.out, qt.IsTrue, qt.Commentf("%+v", b.pool.Explain(b.now)))
 		})
 	}
 }
 
-func (b *bed) outs() (n int) {
+func (b *harness) ejectedCount() (n int) {
 	for _, r := range b.pool.Explain(b.now) {
 		if len(r.Why) > 7 && r.Why[:7] == "ejected" {
 			n++
@@ -191,16 +191,16 @@
 // not advance meanwhile. If the mean interval between completions included the stall, every
 // request that finds the slots full would be refused, permanently, because the interval is
 // measured only while requests are queued.
-func TestPaceRecovers(t *testing.T) {
+func TestQueueIntervalRecovers(t *testing.T) {
 	c := qt.New(t)
-	b := bedOf(c, "", pool.Config{}, targets(3))
-	stalled := func(at time.Duration, n int) (time.Duration, pool.Kind) {
+	b := newHarness(c, "", pool.Config{}, targets(3))
+	stalled := func(at time.Duration, n int) (time.Duration, pool.Outcome) {
 		if at > time.Second && at < 11*time.Second {
 			return 11*time.Second - at, pool.Served
 		}
-		return usual(at, n)
+		return normal(at, n)
 	}
-	bad := map[string]how{"t0": stalled, "t1": stalled, "t2": stalled}
+	bad := map[string]behavior{"t0": stalled, "t1": stalled, "t2": stalled}
 	b.load(20, 12*time.Second, bad)
 	b.refused = 0
 	b.load(20, time.Second, nil)
@@ -209,11 +209,11 @@
 
 // A new target is slow at first, and many requests sent to it at the same time would be
 // delayed. It must get one request at a time until it is warmed up.
-func TestCold(t *testing.T) {
+func TestColdTarget(t *testing.T) {
 	c := qt.New(t)
-	b := bedOf(c, "", pool.Config{}, targets(4))
+	b := newHarness(c, "", pool.Config{}, targets(4))
 	b.load(8, 500*ms, nil)
-	b.act(b.pool.Targets(b.now, targets(5), nil))
+	b.record(b.pool.SetTargets(b.now, targets(5), nil))
 	for range 8 {
 		b.load(10, ms/4, nil)
 		c.Check(b.pool.Explain(b.now)[4].InFlight <= 1, qt.IsTrue)
@@ -226,20 +226,20 @@
 // their deadlines lie before the pool's time, targets with requests in flight would look
 // stuck, a leaving target would be used again, and an ejected one would get its trial an
 // hour late.
-func TestClockSteps(t *testing.T) {
+func TestClockStepsBack(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -ms} {
 		c := qt.New(t)
-		b := bedOf(c, "", pool.Config{}, targets(6))
-		bad := map[string]how{"t1": during(500*ms, time.Second, ends(ms, pool.Failed))}
+		b := newHarness(c, "", pool.Config{}, targets(6))
+		bad := map[string]behavior{"t1": during(500*ms, time.Second, always(ms, pool.Failed))}
 		b.load(8, time.Second, bad)
-		c.Check(b.outs(), qt.Equals, 1)
-		b.pool.Leave(b.now, "t0", 1, nil)
-		for i := range b.flights {
-			b.flights[i].end = b.flights[i].end.Add(step)
+		c.Check(b.ejectedCount(), qt.Equals, 1)
+		b.pool.MarkLeaving(b.now, "t0", 1, nil)
+		for i := range b.dispatches {
+			b.dispatches[i].end = b.dispatches[i].end.Add(step)
 		}
 		b.now = b.now.Add(step)
 		got := b.load(30, 2*time.Second, nil)
-		c.Check(b.outs(), qt.Equals, 0)
+		c.Check(b.ejectedCount(), qt.Equals, 0)
 		c.Check(got["t0"], qt.Equals, 0)
 		c.Check(got["t1"] > 100, qt.IsTrue)
 		c.Check(b.refused, qt.Equals, 0)
--- a/pkg/pool/heap/heap.go
+++ b/pkg/pool/heap/heap.go
@@ -12,7 +12,7 @@
 func (h *Heap[T]) Len() int { return len(h.items) }
 
 // Min returns the least value. The heap must not be empty.
-func (h *Heap[T]) Head() T { return h.items[0] }
+func (h *Heap[T]) Min() T { return h.items[0] }
 
 // Push adds a value.
 func (h *Heap[T]) Push(v T) {
--- a/pkg/pool/policy.go
+++ b/pkg/pool/policy.go
@@ -9,29 +9,29 @@
 type Policy interface {
 	// Pick returns the index of one of c.Members, or -1 to leave the request
 	// queued. Members is never empty.
-	Pick(c *Choice) int
+	Pick(c *PickInput) int
 }
 
 // PickInput is the input of a policy.
-type Choice struct {
-	Now     time.Duration // on the pool's clock
-	Members []*Member     // targets that may get the request
-	Keep    time.Duration // time in which the weight of a load report halves
-	Curve   *Curve
-	Config  *Config
-	Rand    *rand.Rand
+type PickInput struct {
+	Now            time.Duration // on the pool's clock
+	Members        []*Member     // targets that may get the request
+	ReportHalfLife time.Duration // time in which the weight of a load report halves
+	Latencies      *LatencyDistribution
+	Config         *Config
+	Rand           *rand.Rand
 }
 
 // IsSuspect reports whether the target appears slower or more faulty than the others.
-func (c *Choice) Suspect(m *Member) bool {
-	return m.fail > failSuspect || m.suspicion(c.Now, c.Curve) > slowSuspect
+func (c *PickInput) IsSuspect(m *Member) bool {
+	return m.failEvidence > suspectFail || m.currentSlowEvidence(c.Now, c.Latencies) > suspectSlow
 }
 
 // RoundRobin picks the targets in turn.
 type RoundRobin struct{ next int }
 
 // Pick returns the next index.
-func (r *RoundRobin) Pick(c *Choice) int {
+func (r *RoundRobin) Pick(c *PickInput) int {
 	r.next++
 	return r.next % len(c.Members)
 }
@@ -40,13 +40,13 @@
 type Random struct{}
 
 // Pick returns a random index.
-func (Random) Pick(c *Choice) int { return c.Rand.IntN(len(c.Members)) }
+func (Random) Pick(c *PickInput) int { return c.Rand.IntN(len(c.Members)) }
 
 // TwoChoices picks the target with fewer requests in flight out of two random ones.
 type TwoChoices struct{}
 
 // Pick compares two random members.
-func (TwoChoices) Pick(c *Choice) int {
+func (TwoChoices) Pick(c *PickInput) int {
 	n := len(c.Members)
 	a := c.Rand.IntN(n)
 	if n == 1 {
@@ -66,7 +66,7 @@
 type LeastInFlight struct{}
 
 // Pick returns a random one of the members with the fewest requests in flight.
-func (LeastInFlight) Pick(c *Choice) int {
+func (LeastInFlight) Pick(c *PickInput) int {
 	best, ties := 0, 0
 	for i, m := range c.Members {
 		switch n := m.InFlight(); {
--- a/pkg/pool/pool_test.go
+++ b/pkg/pool/pool_test.go
@@ -14,15 +14,15 @@
 var start = time.Unix(1000, 0)
 
 // harness drives a pool with simulated targets.
-type bed struct {
-	pool pool.Chooser
-	now  time.Time
-	id   uint64
-	sent map[uint64]string
-	out  []pool.Action
+type harness struct {
+	pool    pool.Balancer
+	now     time.Time
+	id      uint64
+	sent    map[uint64]string
+	actions []pool.Action
 
-	flights []flight
-	refused int
+	dispatches []dispatched
+	refused    int
 }
 
 func targets(n int) (list []pool.Target) {
@@ -32,45 +32,45 @@
 	return list
 }
 
-func bedOf(c *qt.C, name string, cfg pool.Config, list []pool.Target) *bed {
-	p, err := pool.ByName(name, cfg, rand.New(rand.NewPCG(1, 2)))
+func newHarness(c *qt.C, name string, cfg pool.Config, list []pool.Target) *harness {
+	p, err := pool.NewBalancer(name, cfg, rand.New(rand.NewPCG(1, 2)))
 	c.Assert(err, qt.IsNil)
-	b := &bed{pool: p, now: start, sent: map[uint64]string{}}
-	b.act(p.Targets(start, list, nil))
+	b := &harness{pool: p, now: start, sent: map[uint64]string{}}
+	b.record(p.SetTargets(start, list, nil))
 	return b
 }
 
-func (b *bed) act(out []pool.Action) []pool.Action {
+func (b *harness) record(out []pool.Action) []pool.Action {
 	for _, a := range out {
 		if a.Kind == pool.Dispatch {
 			b.sent[a.ID] = a.Target
 		}
 	}
-	b.out = append(b.out, out...)
+	b.actions = append(b.actions, out...)
 	return out
 }
 
-func (b *bed) arrive(in time.Duration) (id uint64, out []pool.Action) {
+func (b *harness) arrive(in time.Duration) (id uint64, out []pool.Action) {
 	b.id++
 	a := pool.Arrival{ID: b.id, Deadline: b.now.Add(in), Idempotent: true}
-	return b.id, b.act(b.pool.Arrive(b.now, a, nil))
+	return b.id, b.record(b.pool.Submit(b.now, a, nil))
 }
 
-func (b *bed) done(id uint64, outcome pool.Kind) []pool.Action {
+func (b *harness) done(id uint64, outcome pool.Outcome) []pool.Action {
 	delete(b.sent, id)
-	return b.act(b.pool.Done(b.now, pool.Answer{ID: id, Kind: outcome}, nil))
+	return b.record(b.pool.Done(b.now, pool.Completion{ID: id, Outcome: outcome}, nil))
 }
 
 // serve runs n requests in sequence, each with the response time and outcome of its
 // target, and returns the number of requests that each target got.
-func (b *bed) serve(n int, took func(string) (time.Duration, pool.Kind)) map[string]int {
+func (b *harness) serve(n int, took func(string) (time.Duration, pool.Outcome)) map[string]int {
 	got := map[string]int{}
 	for range n {
 		id, _ := b.arrive(time.Minute)
 		target, ok := b.sent[id]
 		if !ok {
 			b.now = b.now.Add(time.Millisecond)
-			b.act(b.pool.Cancel(b.now, id, nil))
+			b.record(b.pool.Cancel(b.now, id, nil))
 			continue
 		}
 		got[target]++
@@ -81,16 +81,16 @@
 	return got
 }
 
-func steady(string) (time.Duration, pool.Kind) { return 5 * time.Millisecond, pool.Served }
+func steady(string) (time.Duration, pool.Outcome) { return 5 * time.Millisecond, pool.Served }
 
-func TestByName(t *testing.T) {
+func TestNewBalancer(t *testing.T) {
 	c := qt.New(t)
-	for _, name := range pool.Names() {
-		b := bedOf(c, name, pool.Config{}, targets(4))
+	for _, name := range pool.PolicyNames() {
+		b := newHarness(c, name, pool.Config{}, targets(4))
 		got := b.serve(400, steady)
 		c.Check(got, qt.HasLen, 4, qt.Commentf(name))
 	}
-	_, err := pool.ByName("best", pool.Config{}, nil)
+	_, err := pool.NewBalancer("best", pool.Config{}, nil)
 	c.Assert(err, qt.ErrorMatches, `pool: policy: found "best", expected one of .*`)
 }
 
@@ -110,7 +110,7 @@
 		{"by deadline", pool.Config{}, []time.Duration{900 * ms, 500 * ms}, 0, []uint64{4, 3}, nil},
 		{"by arrival at equal deadlines", pool.Config{}, []time.Duration{900 * ms, 900 * ms}, 0, []uint64{3, 4}, nil},
 		{"too late on arrival", pool.Config{}, []time.Duration{ms}, 0, nil, map[uint64]pool.Reason{3: pool.TooLate}},
-		{"too late in the queue", pool.Config{}, []time.Duration{30 * ms, 900 * ms}, 40 * ms, []uint64{4}, map[uint64]pool.Reason{3: pool.DeadlineUp}},
+		{"too late in the queue", pool.Config{}, []time.Duration{30 * ms, 900 * ms}, 40 * ms, []uint64{4}, map[uint64]pool.Reason{3: pool.DeadlineNear}},
 		{"queue full", pool.Config{MaxQueue: 1}, []time.Duration{900 * ms, 900 * ms}, 0, []uint64{3}, map[uint64]pool.Reason{4: pool.QueueFull}},
 		{"wait too long", pool.Config{MaxWait: 4 * ms}, []time.Duration{900 * ms, 900 * ms}, 0, []uint64{3}, map[uint64]pool.Reason{4: pool.QueueFull}},
 	}
@@ -118,20 +118,20 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			test.cfg.Allowance = -1
-			b := bedOf(c, "", test.cfg, targets(1))
+			b := newHarness(c, "", test.cfg, targets(1))
 			b.arrive(time.Minute)
 			b.arrive(time.Minute)
 			for _, d := range test.deadlines {
 				b.arrive(d)
 			}
 			b.now = b.now.Add(test.wait)
-			b.act(b.pool.Tick(b.now, nil))
+			b.record(b.pool.Tick(b.now, nil))
 			for id := range uint64(4) {
 				b.done(id+1, pool.Served)
 			}
 			var order []uint64
 			refused := map[uint64]pool.Reason{}
-			for _, a := range b.out {
+			for _, a := range b.actions {
 				switch {
 				case a.Kind == pool.Dispatch && a.ID > 2:
 					order = append(order, a.ID)
@@ -161,30 +161,30 @@
 	}
 	tests := []struct {
 		name   string
-		notify func(b *bed)
+		notify func(b *harness)
 		after  []pool.Target
 		wait   time.Duration
 		back   bool
 	}{
-		{"own announcement", ownWord, list, 0, false},
-		{"peer or store", func(b *bed) { b.pool.Leave(b.now, "t0", 1, nil) }, list, 0, false},
-		{"list shows it as leaving", func(b *bed) { b.pool.Targets(b.now, with(pool.Leaving, 1), nil) }, list, 0, false},
-		{"list shows it as gone", func(b *bed) { b.pool.Targets(b.now, with(pool.Gone, 1), nil) }, list, 0, false},
-		{"not in the list", func(b *bed) { b.pool.Targets(b.now, list[1:], nil) }, list[1:], 0, false},
-		{"old list after 30 s", ownWord, list, 30 * time.Second, false},
-		{"notice expires", ownWord, list, 61 * time.Second, true},
-		{"new incarnation", ownWord, with(pool.Live, 2), 0, true},
-		{"notice of another incarnation", func(b *bed) { b.pool.Leave(b.now, "t0", 7, nil) }, list, 0, true},
+		{"own announcement", announceLeaving, list, 0, false},
+		{"peer or store", func(b *harness) { b.pool.MarkLeaving(b.now, "t0", 1, nil) }, list, 0, false},
+		{"list shows it as leaving", func(b *harness) { b.pool.SetTargets(b.now, with(pool.Leaving, 1), nil) }, list, 0, false},
+		{"list shows it as gone", func(b *harness) { b.pool.SetTargets(b.now, with(pool.Gone, 1), nil) }, list, 0, false},
+		{"not in the list", func(b *harness) { b.pool.SetTargets(b.now, list[1:], nil) }, list[1:], 0, false},
+		{"old list after 30 s", announceLeaving, list, 30 * time.Second, false},
+		{"notice expires", announceLeaving, list, 61 * time.Second, true},
+		{"new incarnation", announceLeaving, with(pool.Live, 2), 0, true},
+		{"notice of another incarnation", func(b *harness) { b.pool.MarkLeaving(b.now, "t0", 7, nil) }, list, 0, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			b := bedOf(c, "", pool.Config{}, list)
+			b := newHarness(c, "", pool.Config{}, list)
 			b.serve(50, steady)
 			test.notify(b)
 			b.now = b.now.Add(test.wait)
-			b.act(b.pool.Targets(b.now, test.after, nil))
-			b.act(b.pool.Tick(b.now, nil))
+			b.record(b.pool.SetTargets(b.now, test.after, nil))
+			b.record(b.pool.Tick(b.now, nil))
 			got := b.serve(200, steady)
 			c.Check(got["t0"] > 0, qt.Equals, test.back)
 			for _, r := range b.pool.Explain(b.now) {
@@ -197,15 +197,15 @@
 }
 
 // announceLeaving completes a request of t0 with a load report that it is leaving.
-func ownWord(b *bed) {
+func announceLeaving(b *harness) {
 	for {
 		id, _ := b.arrive(time.Minute)
 		if b.sent[id] != "t0" {
 			b.done(id, pool.Served)
 			continue
 		}
-		out := b.pool.Done(b.now, pool.Answer{ID: id, Kind: pool.Served, Load: pool.Load{Leaving: true}}, nil)
-		if len(out) != 1 || out[0].Kind != pool.Left || out[0].Boot != 1 {
+		out := b.pool.Done(b.now, pool.Completion{ID: id, Outcome: pool.Served, Load: pool.Load{Leaving: true}}, nil)
+		if len(out) != 1 || out[0].Kind != pool.NoteLeaving || out[0].Boot != 1 {
 			panic("no action NoteLeaving")
 		}
 		return
@@ -214,23 +214,23 @@
 
 // A driver replaces a pool. The new one must not use a target that announced only to the
 // old one that it is leaving.
-func TestHeld(t *testing.T) {
+func TestLeavingNotices(t *testing.T) {
 	c := qt.New(t)
-	b := bedOf(c, "", pool.Config{}, targets(3))
-	c.Assert(b.pool.Held(b.now), qt.HasLen, 0)
-	ownWord(b)
-	c.Assert(b.pool.Held(b.now), qt.DeepEquals, []pool.Held{{Target: "t0", Boot: 1}})
-	next := bedOf(c, "", pool.Config{}, targets(3))
-	for _, h := range b.pool.Held(b.now) {
-		next.pool.Leave(next.now, h.Target, h.Boot, nil)
+	b := newHarness(c, "", pool.Config{}, targets(3))
+	c.Assert(b.pool.LeavingNotices(b.now), qt.HasLen, 0)
+	announceLeaving(b)
+	c.Assert(b.pool.LeavingNotices(b.now), qt.DeepEquals, []pool.LeavingNotice{{Target: "t0", Boot: 1}})
+	next := newHarness(c, "", pool.Config{}, targets(3))
+	for _, h := range b.pool.LeavingNotices(b.now) {
+		next.pool.MarkLeaving(next.now, h.Target, h.Boot, nil)
 	}
 	c.Assert(next.serve(100, steady)["t0"], qt.Equals, 0)
-	c.Assert(b.pool.Held(b.now.Add(time.Hour)), qt.HasLen, 0)
+	c.Assert(b.pool.LeavingNotices(b.now.Add(time.Hour)), qt.HasLen, 0)
 }
 
 // A load report includes requests of other entries, for which this entry must leave room.
 // A report that contains only requests of this entry must not reduce the room.
-func TestReport(t *testing.T) {
+func TestLoadReport(t *testing.T) {
 	tests := []struct {
 		name   string
 		report int // requests reported when one of two own requests completes
@@ -242,10 +242,10 @@
 	}
 	for _, test := range tests {
 		c := qt.New(t)
-		b := bedOf(c, "", pool.Config{Allowance: -1}, targets(1))
+		b := newHarness(c, "", pool.Config{Allowance: -1}, targets(1))
 		first, _ := b.arrive(time.Minute)
 		b.arrive(time.Minute)
-		b.pool.Done(b.now, pool.Answer{ID: first, Load: pool.Load{InFlight: test.report, Known: true}}, nil)
+		b.pool.Done(b.now, pool.Completion{ID: first, Load: pool.Load{InFlight: test.report, HasInFlight: true}}, nil)
 		_, out := b.arrive(0)
 		c.Check(len(out), qt.Equals, 1)
 		c.Check(out[0].Kind == pool.Dispatch, qt.Equals, test.more == 1, qt.Commentf(test.name))
@@ -257,14 +257,14 @@
 // because of queued requests that they precede.
 func TestPriority(t *testing.T) {
 	c := qt.New(t)
-	b := bedOf(c, "", pool.Config{Allowance: -1, MaxWait: 4 * time.Millisecond}, targets(1))
+	b := newHarness(c, "", pool.Config{Allowance: -1, MaxWait: 4 * time.Millisecond}, targets(1))
 	running, _ := b.arrive(time.Minute)
 	b.arrive(time.Minute)
 	read, _ := b.arrive(50 * time.Millisecond)
 	_, out := b.arrive(time.Minute)
 	c.Assert(out[0].Reason, qt.Equals, pool.QueueFull)
 	write := pool.Arrival{ID: 9, Deadline: b.now.Add(time.Minute)}
-	c.Assert(b.pool.Arrive(b.now, write, nil), qt.HasLen, 0)
+	c.Assert(b.pool.Submit(b.now, write, nil), qt.HasLen, 0)
 	out = b.done(running, pool.Served)
 	c.Assert(out[0].ID, qt.Equals, uint64(9))
 	out = b.done(9, pool.Served)
@@ -274,11 +274,11 @@
 // A request without a deadline is queued like any other.
 func TestNoDeadline(t *testing.T) {
 	c := qt.New(t)
-	b := bedOf(c, "", pool.Config{Allowance: -1}, targets(1))
+	b := newHarness(c, "", pool.Config{Allowance: -1}, targets(1))
 	b.arrive(time.Minute)
 	first := b.id
 	b.arrive(time.Minute)
-	c.Assert(b.pool.Arrive(b.now, pool.Arrival{ID: 9}, nil), qt.HasLen, 0)
+	c.Assert(b.pool.Submit(b.now, pool.Arrival{ID: 9}, nil), qt.HasLen, 0)
 	out := b.done(first, pool.Served)
 	c.Assert(out, qt.HasLen, 1)
 	c.Assert(out[0].ID, qt.Equals, uint64(9))
--- a/pkg/pool/queue.go
+++ b/pkg/pool/queue.go
@@ -7,13 +7,13 @@
 )
 
 // queuedRequest is a request in the queue.
-type waiting struct {
+type queuedRequest struct {
 	Arrival
 	due time.Duration // deadline on the pool's clock
 }
 
 // Before orders by deadline, then by ID, the order of arrival.
-func (w waiting) Before(o waiting) bool {
+func (w queuedRequest) Before(o queuedRequest) bool {
 	if w.due != o.due {
 		return w.due < o.due
 	}
@@ -24,68 +24,68 @@
 // is ordered by deadline. A removed request stays in its heap and is skipped when it
 // reaches the top.
 type queue struct {
-	first  heap.Heap[waiting]
-	rest   heap.Heap[waiting]
-	live   map[uint64]bool // by ID, whether the request is idempotent
-	firsts int
+	nonIdempotent      heap.Heap[queuedRequest]
+	idempotent         heap.Heap[queuedRequest]
+	queued             map[uint64]bool // by ID, whether the request is idempotent
+	nonIdempotentCount int
 }
 
-func (q *queue) len() int { return len(q.live) }
+func (q *queue) len() int { return len(q.queued) }
 
 // countAhead returns the number of requests that precede a new one with the same deadline.
-func (q *queue) ahead(idempotent bool) int {
+func (q *queue) countAhead(idempotent bool) int {
 	if idempotent {
-		return len(q.live)
+		return len(q.queued)
 	}
-	return q.firsts
+	return q.nonIdempotentCount
 }
 
-func (q *queue) push(w waiting) {
-	q.live[w.ID] = w.Idempotent
+func (q *queue) push(w queuedRequest) {
+	q.queued[w.ID] = w.Idempotent
 	if w.Idempotent {
-		q.rest.Push(w)
+		q.idempotent.Push(w)
 		return
 	}
-	q.firsts++
-	q.first.Push(w)
+	q.nonIdempotentCount++
+	q.nonIdempotent.Push(w)
 }
 
 func (q *queue) remove(id uint64) (found bool) {
-	idempotent, found := q.live[id]
+	idempotent, found := q.queued[id]
 	if found && !idempotent {
-		q.firsts--
+		q.nonIdempotentCount--
 	}
-	delete(q.live, id)
+	delete(q.queued, id)
 	return found
 }
 
 // head returns the next request without removing it.
-func (q *queue) head() (w waiting, ok bool) {
-	if w, ok = q.top(&q.first); ok {
+func (q *queue) head() (w queuedRequest, ok bool) {
+	if w, ok = q.peek(&q.nonIdempotent); ok {
 		return w, true
 	}
-	return q.top(&q.rest)
+	return q.peek(&q.idempotent)
 }
 
 // peek returns the first request of h that was not removed.
-func (q *queue) top(h *heap.Heap[waiting]) (w waiting, ok bool) {
+func (q *queue) peek(h *heap.Heap[queuedRequest]) (w queuedRequest, ok bool) {
 	for h.Len() > 0 {
-		w = h.Head()
-		if _, ok = q.live[w.ID]; ok {
+		w = h.Min()
+		if _, ok = q.queued[w.ID]; ok {
 			return w, true
 		}
 		h.Pop()
 	}
-	return waiting{}, false
+	return queuedRequest{}, false
 }
 
 // popLate removes and returns a request that is due before limit.
-func (q *queue) late(limit time.Duration) (w waiting, ok bool) {
-	for _, h := range []*heap.Heap[waiting]{&q.first, &q.rest} {
-		if w, ok = q.top(h); ok && w.due < limit {
+func (q *queue) popLate(limit time.Duration) (w queuedRequest, ok bool) {
+	for _, h := range []*heap.Heap[queuedRequest]{&q.nonIdempotent, &q.idempotent} {
+		if w, ok = q.peek(h); ok && w.due < limit {
 			q.remove(w.ID)
 			return w, true
 		}
 	}
-	return waiting{}, false
+	return queuedRequest{}, false
 }
--- a/pkg/route/table.go
+++ b/pkg/route/table.go
@@ -20,7 +20,7 @@
 type Entry struct {
 	Route    // its host in lower case and without port
 	Split    *Split
-	Patience *call.Patience
+	Patience *call.WaitEstimator
 }
 
 // New builds the table of a configuration. A route that is in old keeps what was
@@ -32,7 +32,7 @@
 	active := old.routes()
 	for _, r := range cfg.Routes {
 		r.Host = canonical(r.Host)
-		e := &Entry{Route: r, Split: NewSplit(r.Parts), Patience: new(call.Patience)}
+		e := &Entry{Route: r, Split: NewSplit(r.Parts), Patience: new(call.WaitEstimator)}
 		if previous := active[r.Name]; previous != nil {
 			e.Patience = previous.Patience
 			if previous.Split.same(r.Parts) {
