--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -118,7 +118,7 @@
 // preferred entries divide by rank. Any other entry receives requests for the
 // service only through stale locate responses and doesn't probe.
 func (c *control) share(want tree.Service) probe.Share {
-	preferred := member.Homes(c.named(), want.Name, want.Policy.Entries)
+	preferred := member.PreferredEntries(c.named(), want.Name, want.Policy.Entries)
 	for rank, m := range preferred {
 		if m.ID.Name == c.entry.cfg.File.Name {
 			return probe.Share{Rank: rank, Count: len(preferred)}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -161,8 +161,8 @@
 func (e *Entry) self() member.Entry {
 	f := e.cfg.File
 	return member.Entry{
-		ID:     member.ID{Name: f.Name, Boot: e.cfg.Boot},
-		Caller: e.callers.Addr().String(), Peer: e.peers.Addr().String(), Place: f.Place, Region: f.Region,
+		ID:            member.ID{Name: f.Name, Boot: e.cfg.Boot},
+		CallerAddress: e.callers.Addr().String(), PeerAddress: e.peers.Addr().String(), Place: f.Place, Region: f.Region,
 	}
 }
 
--- a/internal/entry/plane.go
+++ b/internal/entry/plane.go
@@ -30,7 +30,7 @@
 			Rand:  rand.New(rand.NewPCG(e.cfg.Boot, 0)),
 		},
 		Client:     e.client,
-		Behind:     func(from member.Ref, _ member.Marks) { e.relay.behind(from.Address) },
+		Behind:     func(from member.Ref, _ member.Revisions) { e.relay.behind(from.Address) },
 		Learned:    func(r member.Rumours) { go e.learned(r) },
 		Superseded: func(member.ID) { e.superseded() },
 	})
@@ -89,12 +89,12 @@
 func (e *Entry) learned(r member.Rumours) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	for _, s := range r.Stopping {
+	for _, s := range r.StopNotices {
 		e.control.tell(ctx, targetLeaves{s.Target, s.Boot})
 	}
 	now := time.Now()
-	for _, c := range r.Crashers {
-		e.suspects.Merge(now, "rumour", []call.Suspect{{Fingerprint: c.Print, Crashes: int(c.Crashes), Age: now.Sub(c.At)}})
+	for _, c := range r.CrashReports {
+		e.suspects.Merge(now, "rumour", []call.Suspect{{Fingerprint: c.Fingerprint, Crashes: int(c.Crashes), Age: now.Sub(c.Time)}})
 	}
 }
 
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	e.control.tell(ctx, targetLeaves{target, boot})
-	_ = e.members.Tell(ctx, member.Rumours{Stopping: []member.Stopping{{Target: target, Boot: boot, At: time.Now()}}})
+	_ = e.members.Tell(ctx, member.Rumours{StopNotices: []member.StopNotice{{Target: target, Boot: boot, Time: time.Now()}}})
 }
 
 // announceSuspect spreads the crash count of a request that crashed a target.
@@ -114,8 +114,8 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		_ = e.members.Tell(ctx, member.Rumours{Crashers: []member.Crasher{{
-			Print: fingerprint, Crashes: uint32(s.Crashes), At: now.Add(-s.Age),
+		_ = e.members.Tell(ctx, member.Rumours{CrashReports: []member.CrashReport{{
+			Fingerprint: fingerprint, Crashes: uint32(s.Crashes), Time: now.Add(-s.Age),
 		}}})
 		cancel()
 	}
@@ -145,7 +145,7 @@
 	var addresses []string
 	for _, m := range e.members.Serving() {
 		if m.ID.Name != e.cfg.File.Name {
-			addresses = append(addresses, m.Peer)
+			addresses = append(addresses, m.PeerAddress)
 		}
 	}
 	if len(addresses) == 0 {
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -17,7 +17,7 @@
 type relay struct {
 	entry *Entry
 	fetch chan string // address of a peer with newer settings
-	marks member.Marks
+	marks member.Revisions
 	ready bool
 }
 
@@ -74,7 +74,7 @@
 // which gossips them.
 func (r *relay) revised(ctx context.Context) {
 	e := r.entry
-	revisions := member.Marks{Settings: e.settings.Document().Revision}
+	revisions := member.Revisions{Settings: e.settings.Document().Revision}
 	if revisions != r.marks && e.members.Revised(ctx, revisions) == nil {
 		r.marks = revisions
 	}
--- a/internal/entry/site.go
+++ b/internal/entry/site.go
@@ -23,8 +23,8 @@
 		return nil, 0, false
 	}
 	p := sv.policy.Load()
-	for _, m := range member.Homes(s.live, name, p.Entries) {
-		addrs = append(addrs, m.Caller)
+	for _, m := range member.PreferredEntries(s.live, name, p.Entries) {
+		addrs = append(addrs, m.CallerAddress)
 	}
 	return addrs, p.LocateTTL, true
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -55,8 +55,8 @@
 	list := []statusEntry{}
 	for _, m := range e.members.View().Entries {
 		list = append(list, statusEntry{
-			Name: m.ID.Name, Boot: m.ID.Boot, Place: m.Place, Callers: m.Caller,
-			Settings: m.Marks.Settings, Live: m.Serves(), Ready: m.Ready, State: m.State.String(),
+			Name: m.ID.Name, Boot: m.ID.Boot, Place: m.Place, Callers: m.CallerAddress,
+			Settings: m.Revisions.Settings, Live: m.Serves(), Ready: m.Ready, State: m.State.String(),
 		})
 	}
 	return list
--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/answer_test.go
@@ -177,10 +177,10 @@
 func TestLongHeader(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	e := w.entry("a").settled()
-	r, err := http.NewRequest("GET", "http://"+e.self.Front+"/a/x", nil)
+	r, err := http.NewRequest("GET", "http://"+e.self.CallerAddress+"/a/x", nil)
 	w.c.Assert(err, qt.IsNil)
 	r.Host = "veil.example"
-	r.Header.Set("X-Long", strings.Repeat("x", e.view.Load().table.Config.Limits.HeaderBytes))
+	r.Header.Set("X-Long", strings.Repeat("x", e.view.Load().table.Config.Limits.MaxHeaderBytes))
 	res, err := http.DefaultClient.Do(r)
 	w.c.Assert(err, qt.IsNil)
 	res.Body.Close()
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -40,7 +40,7 @@
 	var came, went []string
 	for _, e := range live {
 		name := e.Name
-		if e.Strained {
+		if e.Overloaded {
 			name += "(strained)"
 		}
 		current[name] = true
@@ -105,7 +105,7 @@
 		return
 	}
 	c.gateway.log.WithFields(log.Fields{
-		"revision": c.targets.Moved().String(), "targets": len(items), "age": c.age(now, dutyTargets).Milliseconds(),
+		"revision": c.targets.LastChange().String(), "targets": len(items), "age": c.age(now, dutyTargets).Milliseconds(),
 		"came": strings.Join(came, " "), "went": strings.Join(went, " "), "leaving": strings.Join(leaving, " "),
 	}).Info("targets changed")
 }
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -98,7 +98,7 @@
 	var own, all float64
 	for host, r := range c.hosts.rates {
 		own += r.mean
-		if n, ok := c.numbers.Of(owner.HostID(host)); ok {
+		if n, ok := c.numbers.Get(owner.HostID(host)); ok {
 			all += max(n.Rate, r.mean)
 		} else {
 			all += r.mean * float64(len(c.live()))
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -36,12 +36,12 @@
 	table   *route.Table
 	raw     []byte // the encoded configuration, as in the store
 	targets *roster.Roster[slot.Target]
-	lapses  *roster.Lapses[slot.Target]
+	lapses  *roster.Vanished[slot.Target]
 	// evacuations names the failure domains that get no requests.
 	evacuations *roster.Roster[slot.Evacuation]
 	evacuatedAt map[string]time.Time // when this entry first received each evacuation
 	// vanishedEvacuations are those that were missing after the store was restored from a copy.
-	marksAwaited *roster.Lapses[slot.Evacuation]
+	marksAwaited *roster.Vanished[slot.Evacuation]
 	restored     time.Time // when this entry last detected a restore of the store
 	epoch        uint64    // store epoch, which grows with each restore
 	// confirmed is the time up to which the store has confirmed each resource.
@@ -68,13 +68,13 @@
 	order [duties][]owner.Entry // the first entries in the order of readers
 	rank  [duties]int           // of this entry in the order of readers
 
-	numbers owner.Numbers         // owner count of each host, as gossiped
+	numbers owner.Counts          // owner count of each host, as gossiped
 	loads   map[string]loadsHeard // request rates that other entries report, by entry
 	recount bool                  // another entry has changed the number of a host's owners
-	deal    *owner.Deal           // of hosts to owners; nil when the live entries have changed
+	deal    *owner.Assignment     // of hosts to owners; nil when the live entries have changed
 	dealt   *route.Table          // the table whose hosts are assigned
 	owners  map[string][]owner.Entry
-	ownedBy *owner.Deal // the assignment that owners was computed from
+	ownedBy *owner.Assignment // the assignment that owners was computed from
 	counted map[string]int
 	// sendersChanged is set until services know which entries send to them.
 	// sendersIsolated is whether services were last told that this entry is cut off.
@@ -99,9 +99,9 @@
 func newControl(g *Gateway) *control {
 	return &control{
 		gateway: g, inbox: make(chan message, maxInbox), started: g.started,
-		targets: roster.New(slot.Equivalent), lapses: roster.NewLapses[slot.Target](), evacuations: roster.New(slot.EquivalentEvacuations), marksAwaited: roster.NewLapses[slot.Evacuation](),
+		targets: roster.New(slot.Equivalent), lapses: roster.NewVanished[slot.Target](), evacuations: roster.New(slot.EquivalentEvacuations), marksAwaited: roster.NewVanished[slot.Evacuation](),
 		dropped: make(map[string]droppedService), waiting: make(map[string]bool), suspects: make(map[uint64]int),
-		numbers: owner.NewNumbers(), loads: make(map[string]loadsHeard),
+		numbers: owner.NewCounts(), loads: make(map[string]loadsHeard),
 	}
 }
 
--- a/internal/gateway/enroller.go
+++ b/internal/gateway/enroller.go
@@ -178,11 +178,11 @@
 	seeds := c.gateway.otherSeeds()
 	for _, it := range m.items {
 		if it.Name != c.gateway.self.Name {
-			seeds = append(seeds, it.Value.Peer)
+			seeds = append(seeds, it.Value.PeerAddress)
 		}
 	}
 	if m.took > 0 {
 		c.enrolled, c.enrolling, c.ahead = now, m.took, ahead(c.gateway.self, m.items)
 	}
-	c.drive(now, member.Seeds{Addresses: seeds})
+	c.drive(now, member.SetSeeds{Addresses: seeds})
 }
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -38,7 +38,7 @@
 }
 
 func (m evacuationsChanged) apply(now time.Time, c *control) {
-	c.evacuationsRead(now, m.asked, func() bool { return c.evacuations.Told(m.changes, m.at) })
+	c.evacuationsRead(now, m.asked, func() bool { return c.evacuations.Merge(m.changes, m.at) })
 }
 
 // applyEvacuationsRead applies a list or changes from the store, and advertises a change to
@@ -48,37 +48,37 @@
 	changed := c.evacuate(now, apply, "store")
 	c.vouch(now, dutyEvacuations)
 	if changed {
-		c.drive(now, member.News{})
+		c.drive(now, member.PushNow{})
 	}
 }
 
 // applyPulledEvacuations applies the evacuations in a pull's answer.
 func (c *control) evacuated(e relay.Evacuations) (changed bool) {
 	changed = c.evacuations.Replace(e.List, e.At)
-	c.evacuations.Reached(e.Moved)
+	c.evacuations.AdvanceLastChange(e.Moved)
 	return changed
 }
 
 // changeEvacuations applies a change of the evacuations, and logs it.
 func (c *control) evacuate(now time.Time, apply func() (changed bool), source string) (changed bool) {
-	before, revision := c.evacuations.Items(), c.evacuations.At()
+	before, revision := c.evacuations.Items(), c.evacuations.Revision()
 	if !apply() {
 		return false
 	}
 	c.dirty = true
-	c.evacuations.Forget()
-	if c.evacuations.At().Epoch() != revision.Epoch() && revision > 0 {
-		c.restore(now, revision, c.evacuations.At(), differences(before, c.evacuations.Items()))
+	c.evacuations.PruneDeletions()
+	if c.evacuations.Revision().Epoch() != revision.Epoch() && revision > 0 {
+		c.restore(now, revision, c.evacuations.Revision(), differences(before, c.evacuations.Items()))
 		for place, it := range before {
 			if _, ok := c.evacuations.Get(place); !ok {
-				c.marksAwaited.Lost(now, it)
+				c.marksAwaited.MissingFromCopy(now, it)
 			}
 		}
 	}
 	after := c.marks(now)
 	c.evacuatedAt = since(now, c.evacuatedAt, after)
 	c.gateway.log.WithFields(log.Fields{
-		"revision": c.evacuations.Moved().String(), "age": c.age(now, dutyEvacuations).Milliseconds(), "source": source,
+		"revision": c.evacuations.LastChange().String(), "age": c.age(now, dutyEvacuations).Milliseconds(), "source": source,
 		"before": places(before), "now": places(after), "targets": c.within(after), "unknown": c.unknown(after),
 	}).Warn("evacuations changed")
 	return true
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -63,7 +63,7 @@
 		rate.add()
 	}
 	limits := v.table.Config.Limits
-	if headerBytes(r) > limits.HeaderBytes {
+	if headerBytes(r) > limits.MaxHeaderBytes {
 		q.final(http.StatusRequestHeaderFieldsTooLarge, "longheader")
 		return
 	}
@@ -132,11 +132,11 @@
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
-	if r.ContentLength > l.BodyBytes {
+	if r.ContentLength > l.MaxBodyBytes {
 		return nil, errLong
 	}
-	body, err = io.ReadAll(io.LimitReader(r.Body, l.BodyBytes+1))
-	if err == nil && int64(len(body)) > l.BodyBytes {
+	body, err = io.ReadAll(io.LimitReader(r.Body, l.MaxBodyBytes+1))
+	if err == nil && int64(len(body)) > l.MaxBodyBytes {
 		return nil, errLong
 	}
 	return body, err
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	g.self = owner.Entry{
-		Name: s.Name, Boot: cfg.Boot, Front: g.front.Addr().String(), Peer: g.relay.Address(),
+		Name: s.Name, Boot: cfg.Boot, CallerAddress: g.front.Addr().String(), PeerAddress: g.relay.Address(),
 		Place: s.Place, Region: s.Region, Capacity: capacity(s),
 	}
 	g.control.members = member.New(g.memberConfig())
@@ -197,7 +197,7 @@
 	go func() { failed <- operator.Serve(g.scrapes) }()
 	defer g.instruments.Close()
 	g.log.WithFields(log.Fields{
-		"front": g.self.Front, "peer": g.self.Peer, "metrics": g.scrapes.Addr().String(), "capacity": g.self.Capacity,
+		"front": g.self.CallerAddress, "peer": g.self.PeerAddress, "metrics": g.scrapes.Addr().String(), "capacity": g.self.Capacity,
 	}).Info(logs.MessageStarted)
 	select {
 	case <-ctx.Done():
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -124,7 +124,7 @@
 	s.Bounds.Evacuate = w.evacuate
 	s.Bounds.RetryShare = cmp.Or(w.retryShare, s.Bounds.RetryShare)
 	for _, e := range seeds {
-		s.Seeds = append(s.Seeds, e.self.Peer)
+		s.Seeds = append(s.Seeds, e.self.PeerAddress)
 	}
 	g, err := New(Config{Settings: s, Boot: boot, Log: &log.Logger{Handler: discard.New()}})
 	w.c.Assert(err, qt.IsNil)
@@ -203,7 +203,7 @@
 func (e *entry) callWith(ctx context.Context, id, method, path, body string) (out reply) {
 	began := time.Now()
 	defer func() { out.took = time.Since(began) }()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+e.self.Front+path, strings.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+e.self.CallerAddress+path, strings.NewReader(body))
 	e.w.c.Assert(err, qt.IsNil)
 	r.Host = "veil.example"
 	r.Header.Set("Plumpitch-Request-Id", id)
--- a/internal/gateway/homes_test.go
+++ b/internal/gateway/homes_test.go
@@ -14,13 +14,13 @@
 // elsewhere: the request body must not be read in any other region.
 func TestCallersAreSentHome(t *testing.T) {
 	at := func(name, region string) owner.Candidate {
-		return owner.Candidate{Entry: owner.Entry{Name: name, Front: name, Region: region}}
+		return owner.Candidate{Entry: owner.Entry{Name: name, CallerAddress: name, Region: region}}
 	}
 	live := []owner.Candidate{at("a", "metro"), at("b", "river"), at("c", "river"), at("d", "coast")}
 	table := func(homes ...[]string) *route.Table {
 		cfg := route.Config{}
 		for _, h := range homes {
-			cfg.Routes = append(cfg.Routes, route.Route{Host: "veil.example", Prefix: "/", Homes: h})
+			cfg.Routes = append(cfg.Routes, route.Route{Host: "veil.example", Prefix: "/", Regions: h})
 		}
 		return route.New(cfg, nil)
 	}
@@ -45,7 +45,7 @@
 			for _, o := range tt.owners {
 				v.owners["veil.example"] = append(v.owners["veil.example"], o.Entry)
 			}
-			qt.Assert(t, v.addresses("veil.example", tt.region, owner.Entry{Front: "self"}), qt.DeepEquals, tt.want)
+			qt.Assert(t, v.addresses("veil.example", tt.region, owner.Entry{CallerAddress: "self"}), qt.DeepEquals, tt.want)
 		})
 	}
 }
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -15,7 +15,7 @@
 type hosts struct {
 	table *route.Table
 	rates map[string]*rate // at this entry; the map is not modified once it is published
-	sizes map[string]*owner.Size
+	sizes map[string]*owner.Sizer
 }
 
 // configure sets the hosts of a configuration. Hosts that were in the previous one keep
@@ -25,11 +25,11 @@
 		return
 	}
 	old := *h
-	*h = hosts{table: t, rates: make(map[string]*rate), sizes: make(map[string]*owner.Size)}
+	*h = hosts{table: t, rates: make(map[string]*rate), sizes: make(map[string]*owner.Sizer)}
 	for _, host := range t.Hosts() {
 		h.rates[host], h.sizes[host] = old.rates[host], old.sizes[host]
 		if h.rates[host] == nil {
-			h.rates[host], h.sizes[host] = &rate{}, &owner.Size{}
+			h.rates[host], h.sizes[host] = &rate{}, &owner.Sizer{}
 		}
 	}
 }
@@ -73,7 +73,7 @@
 		}
 		for _, e := range c.deal.FirstOwners(host) {
 			if e.Name != c.gateway.self.Name {
-				reports[e.Peer] = append(reports[e.Peer], relay.Load{Host: owner.HostID(host), Rate: r.mean})
+				reports[e.PeerAddress] = append(reports[e.PeerAddress], relay.Load{Host: owner.HostID(host), Rate: r.mean})
 			}
 		}
 	}
@@ -88,7 +88,7 @@
 // currentAssignment returns the assignment of hosts to the live entries. It is computed
 // again only if either has changed: that takes 0.1 ms with 472 entries, and each tick
 // needs the assignment.
-func (c *control) dealing(live []owner.Candidate) *owner.Deal {
+func (c *control) dealing(live []owner.Candidate) *owner.Assignment {
 	if c.deal == nil || c.dealt != c.hosts.table {
 		c.deal, c.dealt = owner.New(live, slices.Collect(maps.Keys(c.hosts.sizes))), c.hosts.table
 	}
@@ -97,24 +97,24 @@
 
 // ownerCounts returns the owner count of each host. This entry decides it for hosts of
 // which it is the first owner; for others it uses the count that the first owner announced.
-func (c *control) counts(now time.Time, assignment *owner.Deal) map[string]int {
+func (c *control) counts(now time.Time, assignment *owner.Assignment) map[string]int {
 	counts := make(map[string]int, len(c.hosts.sizes))
 	for host, size := range c.hosts.sizes {
-		counts[host] = owner.Least
+		counts[host] = owner.MinOwners
 		firstOwners := assignment.FirstOwners(host)
 		if len(firstOwners) == 0 {
 			continue
 		}
 		id := owner.HostID(host)
 		if firstOwners[0].Name != c.gateway.self.Name {
-			n, _ := c.numbers.Of(id)
-			counts[host] = size.Hear(n.Owners)
+			n, _ := c.numbers.Get(id)
+			counts[host] = size.Adopt(n.Owners)
 			continue
 		}
 		rate := c.load(host)
-		counts[host] = size.Decide(now, rate, assignment.Fit(host))
-		if c.numbers.Say(id, counts[host], rate) {
-			c.drive(now, member.News{})
+		counts[host] = size.Decide(now, rate, assignment.CapacityShares(host))
+		if c.numbers.Update(id, counts[host], rate) {
+			c.drive(now, member.PushNow{})
 		}
 	}
 	return counts
--- a/internal/gateway/hosts_test.go
+++ b/internal/gateway/hosts_test.go
@@ -42,7 +42,7 @@
 
 type heardAsked struct{ answer chan time.Time }
 
-func (m heardAsked) apply(_ time.Time, c *control) { m.answer <- c.members.Heard() }
+func (m heardAsked) apply(_ time.Time, c *control) { m.answer <- c.members.LastReceived() }
 
 // New configuration versions add routes with hardly any traffic, some of them to another
 // service. The owners must not change: a new owner has no load data of the targets, and
--- a/internal/gateway/idle.go
+++ b/internal/gateway/idle.go
@@ -54,5 +54,5 @@
 	if table == nil {
 		return 0
 	}
-	return table.Config.Limits.IdleTime
+	return table.Config.Limits.IdleTimeout
 }
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -79,7 +79,7 @@
 }
 
 func (m targetsChanged) apply(now time.Time, c *control) {
-	c.targetsRead(now, m.asked, func() bool { return c.targets.Told(m.changes, m.at) })
+	c.targetsRead(now, m.asked, func() bool { return c.targets.Merge(m.changes, m.at) })
 }
 
 // applyTargetsRead applies a list or changes from the store, and announces a change of
--- a/internal/gateway/knowledge_test.go
+++ b/internal/gateway/knowledge_test.go
@@ -99,7 +99,7 @@
 	began := time.Now()
 	w.until("the new start known", func() bool {
 		for _, e := range a.view.Load().live {
-			if e.Name == "b" && e.Front == again.self.Front {
+			if e.Name == "b" && e.CallerAddress == again.self.CallerAddress {
 				return true
 			}
 		}
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -52,11 +52,11 @@
 func (g *Gateway) memberConfig() member.Config {
 	return member.Config{
 		Self: member.Entry{
-			ID: member.ID{Name: g.self.Name, Boot: g.self.Boot}, Since: g.started, Caller: g.self.Front, Peer: g.self.Peer,
+			ID: member.ID{Name: g.self.Name, Boot: g.self.Boot}, Since: g.started, CallerAddress: g.self.CallerAddress, PeerAddress: g.self.PeerAddress,
 			Place: g.self.Place, Region: g.self.Region, Capacity: g.self.Capacity,
 		},
-		Seeds: g.otherSeeds(), Period: roundPeriod, Timeout: askTime, Relay: reachTime, Suspicion: suspicionTime,
-		ForgetDead: forgetAfter, ForgetLeft: leftAfter, FanOut: fanOut, Room: messageRoom, Bulk: bulkBuckets, Sole: true,
+		Seeds: g.otherSeeds(), Period: roundPeriod, ExchangeTimeout: askTime, RelayTimeout: reachTime, SuspicionTimeout: suspicionTime,
+		DeadRetention: forgetAfter, LeftRetention: leftAfter, FanOut: fanOut, MaxEntryBytes: messageRoom, BulkThreshold: bulkBuckets, ExclusiveName: true,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
@@ -64,7 +64,7 @@
 // otherSeeds returns the seeds of the settings without this entry.
 func (g *Gateway) otherSeeds() (list []string) {
 	for _, address := range g.cfg.Settings.Seeds {
-		if address != g.self.Peer {
+		if address != g.self.PeerAddress {
 			list = append(list, address)
 		}
 	}
@@ -103,20 +103,20 @@
 func (c *control) act(now time.Time, a member.Action) {
 	switch a := a.(type) {
 	case member.Send:
-		c.awaits = append(c.awaits, awaited{a.Exchange, now.Add(a.Timeout)})
-		c.send(a.To.Address, c.packet(now, relay.Ask, a.Exchange, a.Message))
-	case member.Reach:
-		c.awaits = append(c.awaits, awaited{a.Exchange, now.Add(a.Timeout)})
-		c.send(a.Via.Address, relay.Packet{Kind: relay.Reach, Exchange: a.Exchange, Target: a.Target.Address})
-	case member.Changed:
+		c.awaits = append(c.awaits, awaited{a.ExchangeID, now.Add(a.Timeout)})
+		c.send(a.To.Address, c.packet(now, relay.Ask, a.ExchangeID, a.Message))
+	case member.IndirectPing:
+		c.awaits = append(c.awaits, awaited{a.ExchangeID, now.Add(a.Timeout)})
+		c.send(a.Via.Address, relay.Packet{Kind: relay.Reach, Exchange: a.ExchangeID, Target: a.Peer.Address})
+	case member.ViewChanged:
 		c.roll = nil
 		c.named()
 		c.hearShut(now)
 	case member.Fetch:
 		c.fetch(now, a.From.Address)
-	case member.Learned:
+	case member.RumoursReceived:
 		c.learned(now, a.Rumours)
-	case member.Reply, member.Marked, member.Behind, member.Superseded:
+	case member.Reply, member.RevisionsChanged, member.PeerAhead, member.Superseded:
 		// None needs an action: a reply occurs only in handleRequest, revisions are
 		// compared when a packet is received, and names are exclusive, so that no
 		// other incarnation supersedes this one.
@@ -125,14 +125,14 @@
 
 func (c *control) packet(now time.Time, kind relay.Kind, exchange uint64, m member.Message) relay.Packet {
 	return relay.Packet{
-		Kind: kind, Exchange: exchange, Message: m, Knowledge: c.knowledge(now), Numbers: c.numbers.Next(maxNumbers, len(m.Sums) > 0 || m.Join),
+		Kind: kind, Exchange: exchange, Message: m, Knowledge: c.knowledge(now), Numbers: c.numbers.TakeUnsent(maxNumbers, len(m.BucketDigests) > 0 || m.Join),
 	}
 }
 
 // knowledge returns the versions that this entry has in force and their ages, to advertise.
 func (c *control) knowledge(now time.Time) relay.Knowledge {
 	return relay.Knowledge{
-		Config: c.config.Version, Targets: c.targets.Moved(), Evacuations: c.evacuations.Moved(),
+		Config: c.config.Version, Targets: c.targets.LastChange(), Evacuations: c.evacuations.LastChange(),
 		ConfigAge: now.Sub(c.confirmed[dutyConfig]), TargetsAge: now.Sub(c.confirmed[dutyTargets]),
 		EvacuationsAge: now.Sub(c.confirmed[dutyEvacuations]),
 	}
@@ -158,7 +158,7 @@
 	}
 	c.awaits = kept
 	for _, exchange := range expired {
-		c.drive(now, member.NoAnswer{Exchange: exchange})
+		c.drive(now, member.ExchangeFailed{ExchangeID: exchange})
 	}
 	if !now.Before(c.members.Next()) {
 		c.drive(now, member.Tick{})
@@ -212,10 +212,10 @@
 		c.reply(now, p, m.from)
 	case relay.Answer:
 		c.answered(p.Exchange)
-		c.drive(now, member.Answer{Exchange: p.Exchange, Message: p.Message})
+		c.drive(now, member.Response{ExchangeID: p.Exchange, Message: p.Message})
 	case relay.Reached:
 		c.answered(p.Exchange)
-		c.drive(now, member.Reached{Exchange: p.Exchange, ID: p.ID})
+		c.drive(now, member.IndirectAck{ExchangeID: p.Exchange, ID: p.ID})
 		return
 	case relay.Loads:
 		c.loads[p.ID.Name] = loadsHeard{now, p.Loads}
@@ -225,7 +225,7 @@
 		return
 	}
 	for _, n := range p.Numbers {
-		if c.numbers.Hear(n) {
+		if c.numbers.Merge(n) {
 			c.recount = true
 		}
 	}
@@ -234,7 +234,7 @@
 
 // reportCondition advertises whether this entry is overloaded or the store is unavailable.
 func (c *control) feel(now time.Time) {
-	c.drive(now, member.Feel{Condition: member.Condition{Strained: c.strain.strained(now), Shut: c.shut}})
+	c.drive(now, member.SetCondition{Condition: member.Condition{Overloaded: c.strain.strained(now), StoreUnavailable: c.shut}})
 }
 
 // leaveStarted is sent when this entry begins to stop.
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -55,7 +55,7 @@
 		return
 	}
 	for e := range c.members.Entries() {
-		if e.Shut && e.State == member.Alive && e.ID.Name != c.gateway.self.Name {
+		if e.StoreUnavailable && e.State == member.Alive && e.ID.Name != c.gateway.self.Name {
 			c.fails(now)
 			return
 		}
@@ -71,23 +71,23 @@
 // changeTargets applies a change of the targets, and keeps vanished ones after an outage or a
 // restore of the store.
 func (c *control) change(now time.Time, apply func() (changed bool)) (changed bool) {
-	before, revision := c.targets.Items(), c.targets.At()
+	before, revision := c.targets.Items(), c.targets.Revision()
 	if !apply() {
 		return false
 	}
-	restored := c.targets.At().Epoch() != revision.Epoch() && revision > 0
+	restored := c.targets.Revision().Epoch() != revision.Epoch() && revision > 0
 	if restored {
-		c.restore(now, revision, c.targets.At(), differences(before, c.targets.Items()))
+		c.restore(now, revision, c.targets.Revision(), differences(before, c.targets.Items()))
 	}
 	c.dirty, c.believed.newer = true, true
-	c.targets.Forget()
+	c.targets.PruneDeletions()
 	var kept []string
 	for name, it := range before {
 		if _, ok := c.targets.Get(name); ok || it.Value.Leaving {
 			continue
 		}
 		if restored {
-			c.lapses.Lost(now, it)
+			c.lapses.MissingFromCopy(now, it)
 		}
 		if restored || c.lapses.Removed(now, it) {
 			kept = append(kept, name)
@@ -106,7 +106,7 @@
 		return
 	}
 	gap := at.Sub(c.confirmed[dutyTargets])
-	if c.lapses.Heard(now, gap) {
+	if c.lapses.StoreAnswered(now, gap) {
 		c.gateway.log.WithField("gap", gap.Milliseconds()).Warn("store was away, records that vanish are awaited")
 	}
 }
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -48,7 +48,7 @@
 		}, pulled, true},
 		{"others report that the store doesn't serve them", func(c *control, from time.Time) {
 			unserved := other("unserved")
-			unserved.Shut = true
+			unserved.StoreUnavailable = true
 			c.drive(from.Add(time.Second), member.Fetched{Entries: []member.Entry{unserved}})
 			c.live()
 		}, read, true},
@@ -93,7 +93,7 @@
 			c.tick(from.Add(aloneAfter + tickPeriod))
 			c.drive(from.Add(back), heardFrom("unheard"))
 			unserved := other("unserved")
-			unserved.Shut = true
+			unserved.StoreUnavailable = true
 			c.drive(from.Add(back), member.Fetched{Entries: []member.Entry{unserved}})
 		}, pulled, false},
 	}
--- a/internal/gateway/parked_test.go
+++ b/internal/gateway/parked_test.go
@@ -30,7 +30,7 @@
 
 func other(name string) member.Entry {
 	return member.Entry{
-		ID: member.ID{Name: name, Boot: 1}, Caller: "127.0.0.1:1", Peer: "127.0.0.1:2", Place: "hall", Region: "metro",
+		ID: member.ID{Name: name, Boot: 1}, CallerAddress: "127.0.0.1:1", PeerAddress: "127.0.0.1:2", Place: "hall", Region: "metro",
 		State: member.Alive, Sequence: 1,
 	}
 }
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -40,18 +40,18 @@
 	if m.have.Config < c.config.Version {
 		n.Config = c.raw
 	}
-	if m.have.Targets < c.targets.Moved() {
-		n.At, n.Moved, n.Age = c.targets.At(), c.targets.Moved(), now.Sub(c.confirmed[dutyTargets])
+	if m.have.Targets < c.targets.LastChange() {
+		n.At, n.Moved, n.Age = c.targets.Revision(), c.targets.LastChange(), now.Sub(c.confirmed[dutyTargets])
 		n.Targets, n.Changes = c.targetsSince(m.have.Targets)
 	}
-	if m.have.Evacuations < c.evacuations.Moved() {
+	if m.have.Evacuations < c.evacuations.LastChange() {
 		n.Evacuations = &relay.Evacuations{
-			List: slices.Collect(maps.Values(c.evacuations.Items())), At: c.evacuations.At(), Moved: c.evacuations.Moved(),
+			List: slices.Collect(maps.Values(c.evacuations.Items())), At: c.evacuations.Revision(), Moved: c.evacuations.LastChange(),
 			Age: now.Sub(c.confirmed[dutyEvacuations]),
 		}
 	}
 	if m.have.Entries {
-		n.Entries = c.members.Lacking(m.have.Known)
+		n.Entries = c.members.EntriesMissingFrom(m.have.Known)
 	}
 	m.answer <- n
 }
@@ -59,7 +59,7 @@
 // targetsSince returns the changes of targets since a revision, or the full list if the
 // recorded changes don't reach back to it.
 func (c *control) targetsSince(since roster.Revision) (e relay.Extent, changes []roster.Change[slot.Target]) {
-	changes, ok := c.targets.Since(since)
+	changes, ok := c.targets.ChangesSince(since)
 	if ok {
 		return relay.Changed, changes
 	}
@@ -120,7 +120,7 @@
 	}
 	c.pulling, c.pullAt = from, now
 	c.gateway.instruments.pulls.Inc(1)
-	have := relay.Have{Config: c.config.Version, Targets: c.targets.Moved(), Evacuations: c.evacuations.Moved()}
+	have := relay.Have{Config: c.config.Version, Targets: c.targets.LastChange(), Evacuations: c.evacuations.LastChange()}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -154,7 +154,7 @@
 	if e := m.news.Evacuations; e != nil {
 		c.vouched(now, m.asked, dutyEvacuations, e.Age)
 		if c.evacuate(now, func() bool { return c.evacuated(*e) }, "entry "+m.from) {
-			c.drive(now, member.News{})
+			c.drive(now, member.PushNow{})
 		}
 	}
 	if m.news.Targets != relay.Nothing {
@@ -172,7 +172,7 @@
 
 // lacks reports whether another entry advertises something newer.
 func (c *control) lacks(k relay.Knowledge) bool {
-	return k.Config > c.config.Version || k.Targets > c.targets.Moved() || k.Evacuations > c.evacuations.Moved()
+	return k.Config > c.config.Version || k.Targets > c.targets.LastChange() || k.Evacuations > c.evacuations.LastChange()
 }
 
 // pullNewest pulls again if something newer was advertised during a pull, or if the entry
@@ -197,7 +197,7 @@
 	}
 	c.fetching, c.fetched = true, now
 	have := relay.Have{
-		Config: math.MaxUint64, Targets: math.MaxUint64, Evacuations: math.MaxUint64, Entries: true, Known: c.members.Known(),
+		Config: math.MaxUint64, Targets: math.MaxUint64, Evacuations: math.MaxUint64, Entries: true, Known: c.members.EntryDigests(),
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -225,7 +225,7 @@
 // applyPulledTargets applies the targets in a pull's answer.
 func (c *control) pulled(n relay.News) (changed bool) {
 	if n.Targets == relay.Changed {
-		changed = c.targets.Told(n.Changes, n.At)
+		changed = c.targets.Merge(n.Changes, n.At)
 	} else {
 		list := make([]roster.Item[slot.Target], 0, len(n.Changes))
 		for _, change := range n.Changes {
@@ -233,6 +233,6 @@
 		}
 		changed = c.targets.Replace(list, n.At)
 	}
-	c.targets.Reached(n.Moved)
+	c.targets.AdvanceLastChange(n.Moved)
 	return changed
 }
--- a/internal/gateway/pull_test.go
+++ b/internal/gateway/pull_test.go
@@ -77,10 +77,10 @@
 	}
 	advertised := relay.Packet{Kind: relay.Tell, Knowledge: relay.Knowledge{Config: 1, Targets: news}}
 	dead, other := peer("dead", mute{}), peer("other", teller(answer))
-	w.c.Assert(dead.Send(e.self.Peer, advertised), qt.IsNil)
+	w.c.Assert(dead.Send(e.self.PeerAddress, advertised), qt.IsNil)
 	time.Sleep(20 * time.Millisecond)
 	began := time.Now()
-	w.c.Assert(other.Send(e.self.Peer, advertised), qt.IsNil)
+	w.c.Assert(other.Send(e.self.PeerAddress, advertised), qt.IsNil)
 	w.until("the target gone", func() bool { return !e.hasTarget(w.workers[0].ID) })
 	w.c.Assert(time.Since(began) < bound, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -166,9 +166,9 @@
 func (c *control) at(r duty) roster.Revision {
 	switch r {
 	case dutyTargets:
-		return c.targets.At()
+		return c.targets.Revision()
 	case dutyEvacuations:
-		return c.evacuations.At()
+		return c.evacuations.Revision()
 	}
 	return c.configAt
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -24,7 +24,7 @@
 	arrived time.Time
 	body    []byte
 	digest  uint64 // identifies repeated requests for the crash quarantine
-	route   *route.Entry
+	route   *route.ActiveRoute
 	service *service
 	version route.Version // of the configuration used for this request
 	// objective is the time by which the response should arrive, counted from the
@@ -104,7 +104,7 @@
 	q.digest = q.fingerprint()
 	q.objective = q.arrived.Add(q.route.Objective)
 	if left, ok := platform.RequestTime(q.r.Header); ok {
-		q.objective = q.objective.Add(-q.route.Patience.Elapsed(left))
+		q.objective = q.objective.Add(-q.route.WaitEstimator.Elapsed(left))
 	}
 	q.call = call.New(call.Config{
 		MaxDispatches: min(q.route.Attempts, call.MaxDispatches), Margin: endMargin, Budget: q.service.budget,
@@ -173,7 +173,7 @@
 	now := time.Now()
 	r := slot.Request{
 		Arrived: q.arrived, Objective: q.objective, Deadline: q.end(),
-		Priority: q.route.Priority, Hedge: hedge, Class: q.route.Name, Regions: q.route.Homes,
+		Priority: q.route.Priority, Hedge: hedge, Class: q.route.Name, Regions: q.route.Regions,
 	}
 	q.call.EachTarget(func(target string) { r.Tried = append(r.Tried, target) })
 	q.sought = q.service.arrive(now, r, q.slots)
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -49,7 +49,7 @@
 
 // effectiveItems returns the objects in the store and the vanished ones that are kept, without
 // those that only a copy brought back.
-func inForce[T any](now time.Time, r *roster.Roster[T], vanished *roster.Lapses[T], restoredAt time.Time) map[string]roster.Item[T] {
+func inForce[T any](now time.Time, r *roster.Roster[T], vanished *roster.Vanished[T], restoredAt time.Time) map[string]roster.Item[T] {
 	items := r.Items()
 	if r.AnyRevived() && now.Sub(restoredAt) < reviveTime {
 		for name := range items {
@@ -58,7 +58,7 @@
 			}
 		}
 	}
-	for name, it := range vanished.Kept(now) {
+	for name, it := range vanished.Items(now) {
 		if _, ok := items[name]; !ok {
 			items[name] = it
 		}
--- a/internal/gateway/roll.go
+++ b/internal/gateway/roll.go
@@ -25,9 +25,9 @@
 		if e.State != member.Alive {
 			continue
 		}
-		o := owner.Candidate{Entry: ownerOf(e), Strained: e.Strained}
+		o := owner.Candidate{Entry: ownerOf(e), Overloaded: e.Overloaded}
 		c.roll = append(c.roll, o)
-		if !e.Shut {
+		if !e.StoreUnavailable {
 			readers = append(readers, o)
 		}
 	}
@@ -39,7 +39,7 @@
 		ranked = c.roll
 	}
 	for r := range duties {
-		c.order[r] = owner.Order(readers, dutyNames[r], fastReaders)
+		c.order[r] = owner.TopRanked(readers, dutyNames[r], fastReaders)
 		c.rank[r] = owner.Rank(ranked, dutyNames[r], c.gateway.self.Name)
 	}
 	c.deal = nil
@@ -47,7 +47,7 @@
 
 func ownerOf(e member.Entry) owner.Entry {
 	return owner.Entry{
-		Name: e.ID.Name, Boot: e.ID.Boot, Front: e.Caller, Peer: e.Peer, Place: e.Place, Region: e.Region, Capacity: e.Capacity,
+		Name: e.ID.Name, Boot: e.ID.Boot, CallerAddress: e.CallerAddress, PeerAddress: e.PeerAddress, Place: e.Place, Region: e.Region, Capacity: e.Capacity,
 	}
 }
 
@@ -59,7 +59,7 @@
 
 // lostContact reports whether no packet of another entry has come for isolationTimeout.
 func (c *control) deaf(now time.Time) bool {
-	return now.Sub(c.started) > aloneAfter && now.Sub(c.members.Heard()) > aloneAfter
+	return now.Sub(c.started) > aloneAfter && now.Sub(c.members.LastReceived()) > aloneAfter
 }
 
 // isolated reports whether this entry receives nothing from the others though it has known
--- a/internal/gateway/senders.go
+++ b/internal/gateway/senders.go
@@ -30,8 +30,8 @@
 func (c *control) senders(owners map[string][]owner.Entry) map[string][]string {
 	senders := make(map[string][]string)
 	for _, r := range c.config.Routes {
-		host, _ := c.table.Host(r.Host)
-		for _, p := range r.Parts {
+		host, _ := c.table.LookupHost(r.Host)
+		for _, p := range r.Services {
 			for _, e := range owners[host] {
 				senders[p.Service] = append(senders[p.Service], e.Name)
 			}
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -74,7 +74,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.is = cfg
-	s.book.SetWarmup(now, slot.Warmup{Bound: quota.NewColdBound(cfg.WarmRate, b.WarmFactor, b.WarmSlack), Duration: cfg.Warmup})
+	s.book.SetWarmup(now, slot.Warmup{Bound: quota.NewColdBound(cfg.WarmupRate, b.WarmFactor, b.WarmSlack), Duration: cfg.WarmupTime})
 }
 
 // setTargets replaces the list of targets.
@@ -142,7 +142,7 @@
 			}
 		case slot.SendProbe:
 			s.counts.asked.Inc(1)
-			go s.ask(a, s.is.Health)
+			go s.ask(a, s.is.HealthPath)
 		case slot.NoteEjected:
 			s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID}).Warn("target is out, it fails what it is sent")
 		case slot.NoteReadmitted:
--- a/internal/gateway/several_test.go
+++ b/internal/gateway/several_test.go
@@ -110,7 +110,7 @@
 	for range 30 {
 		all.Go(func() {
 			for {
-				c, err := net.Dial("tcp", e.self.Front)
+				c, err := net.Dial("tcp", e.self.CallerAddress)
 				if err != nil {
 					return
 				}
--- a/internal/gateway/spread.go
+++ b/internal/gateway/spread.go
@@ -24,10 +24,10 @@
 	if k.Config == c.config.Version {
 		c.vouched(now, sentAt, dutyConfig, k.ConfigAge)
 	}
-	if k.Targets == c.targets.Moved() {
+	if k.Targets == c.targets.LastChange() {
 		c.vouched(now, sentAt, dutyTargets, k.TargetsAge)
 	}
-	if k.Evacuations == c.evacuations.Moved() {
+	if k.Evacuations == c.evacuations.LastChange() {
 		c.vouched(now, sentAt, dutyEvacuations, k.EvacuationsAge)
 	}
 }
@@ -49,11 +49,11 @@
 	for address := range c.waiting {
 		c.send(address, relay.Packet{Kind: relay.Tell, Knowledge: c.knowledge(now)})
 	}
-	if c.config.Version != 0 && c.targets.Moved() != 0 {
+	if c.config.Version != 0 && c.targets.LastChange() != 0 {
 		clear(c.waiting)
 	}
-	c.drive(now, member.Revised{Marks: member.Marks{
-		Settings: uint64(c.config.Version), Targets: uint64(c.targets.Moved()),
+	c.drive(now, member.SetRevisions{Revisions: member.Revisions{
+		Settings: uint64(c.config.Version), Targets: uint64(c.targets.LastChange()),
 	}})
 }
 
@@ -63,7 +63,7 @@
 func (c *control) vouch(now time.Time, r duty) {
 	for _, e := range c.order[r] {
 		if e.Name != c.gateway.self.Name {
-			c.send(e.Peer, relay.Packet{Kind: relay.Tell, Knowledge: c.knowledge(now)})
+			c.send(e.PeerAddress, relay.Packet{Kind: relay.Tell, Knowledge: c.knowledge(now)})
 		}
 	}
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -113,7 +113,7 @@
 	s := Status{
 		Entry: c.gateway.self.Name, Boot: c.gateway.self.Boot,
 		Version: uint64(c.config.Version), Age: c.age(now, dutyConfig).Seconds(),
-		Epoch: c.targets.At().Epoch(), Revision: c.targets.Moved().Position(), Fresh: c.age(now, dutyTargets).Seconds(),
+		Epoch: c.targets.Revision().Epoch(), Revision: c.targets.LastChange().Position(), Fresh: c.age(now, dutyTargets).Seconds(),
 		Marked: c.age(now, dutyEvacuations).Seconds(), Evacuations: []EvacuationStatus{},
 		Shut: c.shut, Leaving: c.gateway.leaving.Load(), Strained: c.strain.strained(now),
 		Entries: []EntryStatus{}, Hosts: []HostStatus{}, Services: []ServiceStatus{},
@@ -124,7 +124,7 @@
 		}
 	}
 	for host, owners := range c.gateway.view.Load().owners {
-		n, _ := c.numbers.Of(owner.HostID(host))
+		n, _ := c.numbers.Get(owner.HostID(host))
 		h := HostStatus{Name: host, Owners: []string{}, Rate: n.Rate}
 		for _, e := range owners {
 			h.Owners = append(h.Owners, e.Name)
@@ -161,8 +161,8 @@
 
 func (c *control) entryStatus(now time.Time, e member.Entry) EntryStatus {
 	s := EntryStatus{
-		Name: e.ID.Name, Place: e.Place, Front: e.Caller, Live: e.State == member.Alive, State: e.State.String(),
-		Since: now.Sub(e.Since).Seconds(), Version: e.Marks.Settings, Revision: roster.Revision(e.Marks.Targets).Position(), Strained: e.Strained, Shut: e.Shut,
+		Name: e.ID.Name, Place: e.Place, Front: e.CallerAddress, Live: e.State == member.Alive, State: e.State.String(),
+		Since: now.Sub(e.Since).Seconds(), Version: e.Revisions.Settings, Revision: roster.Revision(e.Revisions.Targets).Position(), Strained: e.Overloaded, Shut: e.StoreUnavailable,
 	}
 	for _, l := range c.loads[s.Name].list {
 		s.Rate += l.Rate
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -48,13 +48,13 @@
 	})
 	named := entries[0].view.Load().addresses("veil.example", "metro", entries[0].self)
 	dead, other := entries[0], entries[1]
-	if named[0] == other.self.Front {
+	if named[0] == other.self.CallerAddress {
 		dead, other = other, dead
 	}
 	dead.relay.Close()
 	began := time.Now()
 	w.until("another entry is named", func() bool {
-		return other.view.Load().addresses("veil.example", "metro", other.self)[0] == other.self.Front
+		return other.view.Load().addresses("veil.example", "metro", other.self)[0] == other.self.CallerAddress
 	})
 	w.c.Assert(time.Since(began) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -62,7 +62,7 @@
 		return
 	}
 	for _, e := range started {
-		c.send(e.Peer, relay.Packet{Kind: relay.Suspects, Suspects: quarantined, ID: c.members.Self()})
+		c.send(e.PeerAddress, relay.Packet{Kind: relay.Suspects, Suspects: quarantined, ID: c.members.Self()})
 	}
 }
 
@@ -108,10 +108,10 @@
 
 // receiveRumours merges quarantined requests that were received by gossip.
 func (c *control) learned(now time.Time, r member.Rumours) {
-	for _, s := range r.Crashers {
-		c.logTold(s.Print, s.Crashes, s.By)
-		suspect := call.Suspect{Fingerprint: s.Print, Crashes: int(s.Crashes), Age: now.Sub(s.At)}
-		c.gateway.suspects.Merge(now, s.By, []call.Suspect{suspect})
+	for _, s := range r.CrashReports {
+		c.logTold(s.Fingerprint, s.Crashes, s.Reporter)
+		suspect := call.Suspect{Fingerprint: s.Fingerprint, Crashes: int(s.Crashes), Age: now.Sub(s.Time)}
+		c.gateway.suspects.Merge(now, s.Reporter, []call.Suspect{suspect})
 	}
 }
 
@@ -141,28 +141,28 @@
 		c.suspects[s.Fingerprint] = s.Crashes
 		changed = append(changed, s)
 		if quarantined || announced == crashLimit {
-			rumours.Crashers = append(rumours.Crashers, c.crasher(now, s))
+			rumours.CrashReports = append(rumours.CrashReports, c.crasher(now, s))
 		}
 	}
 	if len(c.suspects) > maxTold {
 		clear(c.suspects)
 	}
-	if len(rumours.Crashers) > 0 {
-		c.drive(now, member.Tell{Rumours: rumours})
+	if len(rumours.CrashReports) > 0 {
+		c.drive(now, member.SpreadRumours{Rumours: rumours})
 	}
 	if len(changed) == 0 {
 		return
 	}
 	for _, e := range c.otherOwners() {
-		c.send(e.Peer, relay.Packet{Kind: relay.Suspects, Suspects: changed, ID: c.members.Self()})
+		c.send(e.PeerAddress, relay.Packet{Kind: relay.Suspects, Suspects: changed, ID: c.members.Self()})
 	}
 }
 
 // suspectRumour returns the gossip record of a suspect.
-func (c *control) crasher(now time.Time, s call.Suspect) member.Crasher {
+func (c *control) crasher(now time.Time, s call.Suspect) member.CrashReport {
 	c.said++
-	return member.Crasher{
-		Print: s.Fingerprint, Crashes: uint32(s.Crashes), At: now.Add(-s.Age), By: c.gateway.self.Name, Sequence: c.gateway.self.Boot + c.said,
+	return member.CrashReport{
+		Fingerprint: s.Fingerprint, Crashes: uint32(s.Crashes), Time: now.Add(-s.Age), Reporter: c.gateway.self.Name, Sequence: c.gateway.self.Boot + c.said,
 	}
 }
 
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -22,17 +22,17 @@
 	if v.table == nil {
 		return nil
 	}
-	name, _ := v.table.Host(host)
+	name, _ := v.table.LookupHost(host)
 	list := v.owners[name]
-	if regions := v.table.Homes(name); len(regions) > 0 {
+	if regions := v.table.Regions(name); len(regions) > 0 {
 		list = v.near(list, append(regions, region))
 	}
 	if len(list) == 0 {
-		return []string{self.Front}
+		return []string{self.CallerAddress}
 	}
 	var out []string
 	for _, e := range list {
-		out = append(out, e.Front)
+		out = append(out, e.CallerAddress)
 	}
 	return out
 }
--- a/internal/lab/capacity/gossip.go
+++ b/internal/lab/capacity/gossip.go
@@ -128,7 +128,7 @@
 // leaving entry, a restart, a lost entry and a lost failure domain, in this order.
 func notices(f *fleet.Fleet) (times [5]float64) {
 	nodes := f.Nodes
-	f.Handle(nodes[1], member.Revised{Marks: member.Marks{Settings: 7}})
+	f.Handle(nodes[1], member.SetRevisions{Revisions: member.Revisions{Settings: 7}})
 	times[0] = f.RunUntil(limit, func() bool {
 		return f.All(func(n *fleet.Node, _ member.View) bool { return n.Marks.Settings == 7 })
 	}).Seconds()
@@ -169,7 +169,7 @@
 	for _, n := range cfg.Entries {
 		f := settled(m, n, 3)
 		quiet := extra(f, 0, func() {})
-		edit.add(n, extra(f, quiet, func() { f.Handle(f.Nodes[1], member.Revised{Marks: member.Marks{Settings: 9}}) }))
+		edit.add(n, extra(f, quiet, func() { f.Handle(f.Nodes[1], member.SetRevisions{Revisions: member.Revisions{Settings: 9}}) }))
 		restart.add(n, extra(f, quiet, func() { f.Lose(f.Nodes[3]); f.Boot(f.Nodes[3]) }))
 		loss.add(n, extra(f, quiet, func() { f.Lose(f.Nodes[4]) }))
 		synced.add(n, extra(f, quiet, func() { markReady(f) }))
@@ -223,7 +223,7 @@
 		partitioned := func(n *fleet.Node) bool { return n.Entry.Region == "region-0" }
 		f.Cut(func(a, b *fleet.Node) bool { return partitioned(a) != partitioned(b) })
 		f.Run(cfg.Apart)
-		f.Handle(f.Nodes[1], member.Revised{Marks: member.Marks{Settings: 11}})
+		f.Handle(f.Nodes[1], member.SetRevisions{Revisions: member.Revisions{Settings: 11}})
 		f.Run(window)
 		mark(f)
 		f.Cut(nil)
--- a/internal/lab/capacity/loopback.go
+++ b/internal/lab/capacity/loopback.go
@@ -87,10 +87,10 @@
 			return entries, err
 		}
 		self := sample(i)
-		self.Peer = l.Addr().String()
+		self.PeerAddress = l.Addr().String()
 		self.Place, self.Region = fmt.Sprintf("place-%02d", i%places), fmt.Sprintf("region-%d", i%places%regions)
 		if i < 3 {
-			seeds = append(seeds, self.Peer)
+			seeds = append(seeds, self.PeerAddress)
 		}
 		entries = append(entries, startEntry(l, self, seeds))
 	}
--- a/internal/lab/capacity/wire.go
+++ b/internal/lab/capacity/wire.go
@@ -21,11 +21,11 @@
 // sampleEntry returns an entry with names and addresses of typical length.
 func sample(i int) member.Entry {
 	return member.Entry{
-		ID:     member.ID{Name: fmt.Sprintf("entry-%03d", i), Boot: 1_700_000_000_000},
-		Caller: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250),
-		Peer:   fmt.Sprintf("10.1.%d.%d:8081", i/250, i%250),
-		Place:  fmt.Sprintf("place-%02d", i%15),
-		Region: fmt.Sprintf("region-%d", i%4),
+		ID:            member.ID{Name: fmt.Sprintf("entry-%03d", i), Boot: 1_700_000_000_000},
+		CallerAddress: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250),
+		PeerAddress:   fmt.Sprintf("10.1.%d.%d:8081", i/250, i%250),
+		Place:         fmt.Sprintf("place-%02d", i%15),
+		Region:        fmt.Sprintf("region-%d", i%4),
 	}
 }
 
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -42,7 +42,7 @@
 	Entry      member.Entry
 	Table      *member.Table
 	View       member.View // at its last change
-	Marks      member.Marks
+	Marks      member.Revisions
 	Traffic    Traffic
 	Learned    member.Rumours
 	Superseded int // number of member.Superseded actions
@@ -80,13 +80,13 @@
 	for i := range cfg.Entries {
 		place := i % cfg.Places
 		f.Nodes = append(f.Nodes, &Node{index: i, Entry: member.Entry{
-			ID:     member.ID{Name: fmt.Sprintf("entry-%03d", i)},
-			Caller: fmt.Sprintf("10.%d.%d.%d:8080", place, i/250, i%250),
-			Peer:   fmt.Sprintf("10.%d.%d.%d:8081", place, i/250, i%250),
-			Place:  fmt.Sprintf("place-%02d", place),
-			Region: fmt.Sprintf("region-%d", place%cfg.Regions),
+			ID:            member.ID{Name: fmt.Sprintf("entry-%03d", i)},
+			CallerAddress: fmt.Sprintf("10.%d.%d.%d:8080", place, i/250, i%250),
+			PeerAddress:   fmt.Sprintf("10.%d.%d.%d:8081", place, i/250, i%250),
+			Place:         fmt.Sprintf("place-%02d", place),
+			Region:        fmt.Sprintf("region-%d", place%cfg.Regions),
 		}})
-		f.byPeer[f.Nodes[i].Entry.Peer] = f.Nodes[i]
+		f.byPeer[f.Nodes[i].Entry.PeerAddress] = f.Nodes[i]
 	}
 	return f
 }
@@ -104,13 +104,13 @@
 	cfg.Rand = rand.New(rand.NewPCG(f.cfg.Seed, uint64(n.index)<<20+n.Entry.ID.Boot))
 	for _, s := range f.Nodes[:min(f.cfg.Places, len(f.Nodes))] {
 		if s != n {
-			cfg.Seeds = append(cfg.Seeds, s.Entry.Peer)
+			cfg.Seeds = append(cfg.Seeds, s.Entry.PeerAddress)
 		}
 	}
 	n.Table = member.New(cfg)
 	n.View = n.Table.View()
 	n.up, n.paused, n.backlog, n.fetches = true, false, nil, false
-	n.Marks, n.Learned = member.Marks{}, member.Rumours{}
+	n.Marks, n.Learned = member.Revisions{}, member.Rumours{}
 	jitter := time.Duration(cfg.Rand.Float64() * float64(time.Second))
 	f.tickAt(n, f.now.Add(jitter))
 }
@@ -151,8 +151,8 @@
 
 // Handle delivers an event to an entry at the current virtual time.
 func (f *Fleet) Handle(n *Node, ev member.Event) {
-	if r, ok := ev.(member.Revised); ok {
-		n.Marks = r.Marks
+	if r, ok := ev.(member.SetRevisions); ok {
+		n.Marks = r.Revisions
 	}
 	f.handle(n, ev)
 }
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -64,16 +64,16 @@
 	switch a := a.(type) {
 	case member.Send:
 		f.send(n, a)
-	case member.Reach:
+	case member.IndirectPing:
 		f.reach(n, a)
-	case member.Behind:
+	case member.PeerAhead:
 		f.fetch(n, a)
 	case member.Fetch:
 		f.fetchEntries(n, a)
-	case member.Learned:
-		n.Learned.Stopping = append(n.Learned.Stopping, a.Rumours.Stopping...)
-		n.Learned.Crashers = append(n.Learned.Crashers, a.Rumours.Crashers...)
-	case member.Changed, member.Marked:
+	case member.RumoursReceived:
+		n.Learned.StopNotices = append(n.Learned.StopNotices, a.Rumours.StopNotices...)
+		n.Learned.CrashReports = append(n.Learned.CrashReports, a.Rumours.CrashReports...)
+	case member.ViewChanged, member.RevisionsChanged:
 		n.View = n.Table.View()
 	case member.Superseded:
 		n.Superseded++
@@ -109,7 +109,7 @@
 			f.handle(n, ev)
 		}
 	}
-	f.at(f.now.Add(s.Timeout), func() { deliver(member.NoAnswer{Exchange: s.Exchange}) })
+	f.at(f.now.Add(s.Timeout), func() { deliver(member.ExchangeFailed{ExchangeID: s.ExchangeID}) })
 	to := f.find(s.To.Address)
 	m, size := f.pass(n, s.Message)
 	f.carry(n, to, func() {
@@ -122,7 +122,7 @@
 		response, size := f.pass(to, *reply)
 		f.carry(to, n, func() {
 			f.received(n, size)
-			deliver(member.Answer{Exchange: s.Exchange, Message: response})
+			deliver(member.Response{ExchangeID: s.ExchangeID, Message: response})
 		})
 	})
 }
@@ -162,20 +162,20 @@
 
 // indirectPing pings a peer through a relay, which passes the acknowledgement
 // back.
-func (f *Fleet) reach(n *Node, r member.Reach) {
+func (f *Fleet) reach(n *Node, r member.IndirectPing) {
 	boot := n.Entry.ID.Boot
 	deliver := func(ev member.Event) {
 		if n.Entry.ID.Boot == boot {
 			f.handle(n, ev)
 		}
 	}
-	f.at(f.now.Add(r.Timeout), func() { deliver(member.NoAnswer{Exchange: r.Exchange}) })
-	relay, peer := f.find(r.Via.Address), f.find(r.Target.Address)
+	f.at(f.now.Add(r.Timeout), func() { deliver(member.ExchangeFailed{ExchangeID: r.ExchangeID}) })
+	relay, peer := f.find(r.Via.Address), f.find(r.Peer.Address)
 	f.ping(n, relay, func() {
 		f.ping(relay, peer, func() {
 			id := peer.Entry.ID
 			f.ping(peer, relay, func() {
-				f.ping(relay, n, func() { deliver(member.Reached{Exchange: r.Exchange, ID: id}) })
+				f.ping(relay, n, func() { deliver(member.IndirectAck{ExchangeID: r.ExchangeID, ID: id}) })
 			})
 		})
 	})
@@ -198,13 +198,13 @@
 func (f *Fleet) fetchEntries(n *Node, a member.Fetch) {
 	from := f.find(a.From.Address)
 	boot := n.Entry.ID.Boot
-	known := n.Table.Known()
+	known := n.Table.EntryDigests()
 	f.count(n, len(known)*4)
 	f.carry(n, from, func() {
 		if !from.up || from.paused {
 			return
 		}
-		m, size := f.pass(from, member.Message{From: from.Entry.ID, Entries: from.Table.Lacking(known)})
+		m, size := f.pass(from, member.Message{From: from.Entry.ID, Entries: from.Table.EntriesMissingFrom(known)})
 		f.carry(from, n, func() {
 			f.received(n, size)
 			if n.Entry.ID.Boot == boot {
@@ -216,7 +216,7 @@
 
 // pullSettings pulls the settings of a peer. A node has one pull in progress at a
 // time; after 1 s without a response it may start the next.
-func (f *Fleet) fetch(n *Node, b member.Behind) {
+func (f *Fleet) fetch(n *Node, b member.PeerAhead) {
 	from := f.find(b.Peer.Address)
 	if n.fetches || from == nil {
 		return
@@ -235,12 +235,12 @@
 			n.Traffic.In += int64(f.cfg.Fetch + f.cfg.Overhead)
 			n.fetches = false
 			if n.Entry.ID.Boot == boot {
-				f.Handle(n, member.Revised{Marks: higher(n.Marks, revisions)})
+				f.Handle(n, member.SetRevisions{Revisions: higher(n.Marks, revisions)})
 			}
 		})
 	})
 }
 
-func higher(a, b member.Marks) member.Marks {
-	return member.Marks{Settings: max(a.Settings, b.Settings)}
+func higher(a, b member.Revisions) member.Revisions {
+	return member.Revisions{Settings: max(a.Settings, b.Settings)}
 }
--- a/internal/members/calls.go
+++ b/internal/members/calls.go
@@ -24,9 +24,9 @@
 
 // Ping pings the peer at an address on behalf of another entry.
 func (m *Members) Ping(ctx context.Context, address string) (id member.ID, err error) {
-	timeout := m.cfg.Member.Timeout
+	timeout := m.cfg.Member.ExchangeTimeout
 	if timeout <= 0 {
-		timeout = member.DefaultTimeout
+		timeout = member.DefaultExchangeTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -34,8 +34,8 @@
 }
 
 // SetRevisions announces the revisions that are now in force at this entry.
-func (m *Members) Revised(ctx context.Context, marks member.Marks) (err error) {
-	return m.tell(ctx, member.Revised{Marks: marks})
+func (m *Members) Revised(ctx context.Context, marks member.Revisions) (err error) {
+	return m.tell(ctx, member.SetRevisions{Revisions: marks})
 }
 
 // SetReady announces that callers may be sent to this entry.
@@ -45,12 +45,12 @@
 
 // SpreadRumours starts spreading rumours to all entries.
 func (m *Members) Tell(ctx context.Context, r member.Rumours) (err error) {
-	return m.tell(ctx, member.Tell{Rumours: r})
+	return m.tell(ctx, member.SpreadRumours{Rumours: r})
 }
 
 // SetSeeds replaces the addresses used for a first contact with other entries.
 func (m *Members) Seeds(ctx context.Context, addresses []string) (err error) {
-	return m.tell(ctx, member.Seeds{Addresses: addresses})
+	return m.tell(ctx, member.SetSeeds{Addresses: addresses})
 }
 
 // Leave announces that this entry will stop. The entry still serves requests.
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -19,10 +19,10 @@
 type Config struct {
 	Member     member.Config
 	Client     *peer.Client
-	Now        func() time.Time                          // time.Now when nil
-	Behind     func(from member.Ref, marks member.Marks) // a peer has newer revisions
-	Learned    func(r member.Rumours)                    // rumours new to this entry were received
-	Superseded func(by member.ID)                        // a later incarnation of this entry is running
+	Now        func() time.Time                              // time.Now when nil
+	Behind     func(from member.Ref, marks member.Revisions) // a peer has newer revisions
+	Learned    func(r member.Rumours)                        // rumours new to this entry were received
+	Superseded func(by member.ID)                            // a later incarnation of this entry is running
 }
 
 // Members is the membership of one entry.
@@ -108,15 +108,15 @@
 	switch a := a.(type) {
 	case member.Send:
 		m.sends.Go(func() { m.send(ctx, a) })
-	case member.Reach:
+	case member.IndirectPing:
 		m.sends.Go(func() { m.reach(ctx, a) })
-	case member.Changed, member.Marked:
+	case member.ViewChanged, member.RevisionsChanged:
 		m.publish()
-	case member.Behind:
+	case member.PeerAhead:
 		if m.cfg.Behind != nil {
-			m.cfg.Behind(a.Peer, a.Marks)
+			m.cfg.Behind(a.Peer, a.Revisions)
 		}
-	case member.Learned:
+	case member.RumoursReceived:
 		if m.cfg.Learned != nil {
 			m.cfg.Learned(a.Rumours)
 		}
@@ -137,23 +137,23 @@
 }
 
 func (m *Members) send(ctx context.Context, s member.Send) {
-	var ev member.Event = member.NoAnswer{Exchange: s.Exchange}
+	var ev member.Event = member.ExchangeFailed{ExchangeID: s.ExchangeID}
 	limited, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
 	response, err := m.cfg.Client.Gossip(limited, s.To.Address, s.Message)
 	if err == nil {
-		ev = member.Answer{Exchange: s.Exchange, Message: response}
+		ev = member.Response{ExchangeID: s.ExchangeID, Message: response}
 	}
 	_ = m.post(ctx, post{event: ev})
 }
 
-func (m *Members) reach(ctx context.Context, r member.Reach) {
-	var ev member.Event = member.NoAnswer{Exchange: r.Exchange}
+func (m *Members) reach(ctx context.Context, r member.IndirectPing) {
+	var ev member.Event = member.ExchangeFailed{ExchangeID: r.ExchangeID}
 	limited, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
-	id, err := m.cfg.Client.Reach(limited, r.Via.Address, r.Target.Address)
+	id, err := m.cfg.Client.Reach(limited, r.Via.Address, r.Peer.Address)
 	if err == nil && id != (member.ID{}) {
-		ev = member.Reached{Exchange: r.Exchange, ID: id}
+		ev = member.IndirectAck{ExchangeID: r.ExchangeID, ID: id}
 	}
 	_ = m.post(ctx, post{event: ev})
 }
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -34,16 +34,16 @@
 	c.Assert(err, qt.IsNil)
 	address := l.Addr().String()
 	n := &node{self: member.Entry{
-		ID: member.ID{Name: name, Boot: boot}, Caller: "c-" + address, Peer: address, Place: "p", Region: "r",
+		ID: member.ID{Name: name, Boot: boot}, CallerAddress: "c-" + address, PeerAddress: address, Place: "p", Region: "r",
 	}}
 	client := peer.NewClient(peer.ClientConfig{})
 	n.Members = New(Config{
 		Member: member.Config{
 			Self: n.self, Seeds: seeds, Rand: rand.New(rand.NewPCG(1, boot)),
-			Period: member.DefaultPeriod / pace, Suspicion: member.DefaultSuspicion / pace,
+			Period: member.DefaultPeriod / pace, SuspicionTimeout: member.DefaultSuspicionTimeout / pace,
 		},
 		Client:     client,
-		Behind:     func(_ member.Ref, m member.Marks) { n.behind.Store(m.Settings) },
+		Behind:     func(_ member.Ref, m member.Revisions) { n.behind.Store(m.Settings) },
 		Learned:    func(member.Rumours) { n.learned.Add(1) },
 		Superseded: func(member.ID) { n.replaced.Add(1) },
 	})
@@ -85,17 +85,17 @@
 	c := qt.New(t)
 	ctx := context.Background()
 	a := start(c, "a", 1)
-	b := start(c, "b", 1, a.self.Peer)
-	d := start(c, "d", 1, a.self.Peer)
+	b := start(c, "b", 1, a.self.PeerAddress)
+	d := start(c, "d", 1, a.self.PeerAddress)
 	nodes := []*node{a, b, d}
 	for _, n := range nodes {
 		eventually(c, n.self.ID.Name+" sees all entries", func() bool { return len(n.Serving()) == 3 })
 		got, _ := n.View().Find("b")
-		c.Assert(got.Caller, qt.Equals, b.self.Caller)
+		c.Assert(got.CallerAddress, qt.Equals, b.self.CallerAddress)
 	}
 
-	c.Assert(b.Revised(ctx, member.Marks{Settings: 4}), qt.IsNil)
-	c.Assert(b.Tell(ctx, member.Rumours{Stopping: []member.Stopping{{Target: "w", At: time.Now()}}}), qt.IsNil)
+	c.Assert(b.Revised(ctx, member.Revisions{Settings: 4}), qt.IsNil)
+	c.Assert(b.Tell(ctx, member.Rumours{StopNotices: []member.StopNotice{{Target: "w", Time: time.Now()}}}), qt.IsNil)
 	c.Assert(b.Ready(ctx), qt.IsNil)
 	for _, n := range []*node{a, d} {
 		eventually(c, "settings of b", func() bool { return n.behind.Load() == 4 })
@@ -122,9 +122,9 @@
 func TestReplaced(t *testing.T) {
 	c := qt.New(t)
 	a := start(c, "a", 1)
-	b := start(c, "b", 1, a.self.Peer)
+	b := start(c, "b", 1, a.self.PeerAddress)
 	eventually(c, "both entries have joined", func() bool { return len(a.Serving()) == 2 && len(b.Serving()) == 2 })
-	start(c, "b", 2, a.self.Peer)
+	start(c, "b", 2, a.self.PeerAddress)
 	eventually(c, "the old incarnation learns of the new one", func() bool { return b.replaced.Load() == 1 })
 }
 
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -46,13 +46,13 @@
 		State:    wire.State(e.State),
 		Ready:    e.Ready,
 		Ago:      encodeAgo(now, e.Since),
-		Caller:   e.Caller,
-		Peer:     e.Peer,
+		Caller:   e.CallerAddress,
+		Peer:     e.PeerAddress,
 		Place:    e.Place,
 		Region:   e.Region,
 		Capacity: float32(e.Capacity),
-		Strained: e.Strained,
-		Shut:     e.Shut,
+		Strained: e.Overloaded,
+		Shut:     e.StoreUnavailable,
 	}
 }
 
@@ -66,19 +66,19 @@
 		return e, &FieldError{Field: field + ".state", Found: fmt.Sprint(int32(w.GetState())), Expected: "0 to 4"}
 	}
 	return member.Entry{
-		ID:       id,
-		Sequence: w.GetSequence(),
-		State:    member.State(w.GetState()),
-		Ready:    w.GetReady(),
-		Since:    decodeAgo(now, w.GetAgo()),
-		Caller:   w.GetCaller(),
-		Peer:     w.GetPeer(),
-		Place:    w.GetPlace(),
-		Region:   w.GetRegion(),
-		Capacity: float64(w.GetCapacity()),
+		ID:            id,
+		Sequence:      w.GetSequence(),
+		State:         member.State(w.GetState()),
+		Ready:         w.GetReady(),
+		Since:         decodeAgo(now, w.GetAgo()),
+		CallerAddress: w.GetCaller(),
+		PeerAddress:   w.GetPeer(),
+		Place:         w.GetPlace(),
+		Region:        w.GetRegion(),
+		Capacity:      float64(w.GetCapacity()),
 		Condition: member.Condition{
-			Strained: w.GetStrained(),
-			Shut:     w.GetShut(),
+			Overloaded:       w.GetStrained(),
+			StoreUnavailable: w.GetShut(),
 		},
 	}, nil
 }
@@ -88,22 +88,22 @@
 	w := &wire.Gossip{
 		From:     encodeID(m.From),
 		Digest:   m.Digest,
-		Settings: m.Marks.Settings,
-		Targets:  m.Marks.Targets,
+		Settings: m.Revisions.Settings,
+		Targets:  m.Revisions.Targets,
 		Join:     m.Join,
-		Sums:     m.Sums,
-		Accused:  m.Accused,
-		Ask:      m.Ask,
-		Want:     m.Want,
+		Sums:     m.BucketDigests,
+		Accused:  m.SuspectDigests,
+		Ask:      m.BucketMask,
+		Want:     m.MissingAddresses,
 	}
 	for _, e := range m.Entries {
 		w.Entries = append(w.Entries, EncodeEntry(now, e))
 	}
-	for _, s := range m.Rumours.Stopping {
-		w.Leaving = append(w.Leaving, &wire.Leaving{Target: s.Target, Boot: s.Boot, Ago: encodeAgo(now, s.At)})
+	for _, s := range m.Rumours.StopNotices {
+		w.Leaving = append(w.Leaving, &wire.Leaving{Target: s.Target, Boot: s.Boot, Ago: encodeAgo(now, s.Time)})
 	}
-	for _, c := range m.Rumours.Crashers {
-		w.Suspects = append(w.Suspects, &wire.Suspect{Print: c.Print, Crashes: c.Crashes, Ago: encodeAgo(now, c.At), By: c.By, Sequence: c.Sequence})
+	for _, c := range m.Rumours.CrashReports {
+		w.Suspects = append(w.Suspects, &wire.Suspect{Print: c.Fingerprint, Crashes: c.Crashes, Ago: encodeAgo(now, c.Time), By: c.Reporter, Sequence: c.Sequence})
 	}
 	return w
 }
@@ -115,13 +115,13 @@
 		return m, &FieldError{Field: "entries", Found: fmt.Sprint(n), Expected: fmt.Sprintf("at most %d", member.MaxJoin)}
 	}
 	m = member.Message{
-		Digest:  w.GetDigest(),
-		Marks:   member.Marks{Settings: w.GetSettings(), Targets: w.GetTargets()},
-		Join:    w.GetJoin(),
-		Sums:    w.GetSums(),
-		Accused: w.GetAccused(),
-		Ask:     w.GetAsk(),
-		Want:    w.GetWant(),
+		Digest:           w.GetDigest(),
+		Revisions:        member.Revisions{Settings: w.GetSettings(), Targets: w.GetTargets()},
+		Join:             w.GetJoin(),
+		BucketDigests:    w.GetSums(),
+		SuspectDigests:   w.GetAccused(),
+		BucketMask:       w.GetAsk(),
+		MissingAddresses: w.GetWant(),
 	}
 	if m.From, err = requireID("from", w.GetFrom()); err != nil {
 		return m, err
@@ -139,10 +139,10 @@
 
 func decodeRumours(now time.Time, w *wire.Gossip) (r member.Rumours) {
 	for _, s := range w.GetLeaving() {
-		r.Stopping = append(r.Stopping, member.Stopping{Target: s.GetTarget(), Boot: s.GetBoot(), At: decodeAgo(now, s.GetAgo())})
+		r.StopNotices = append(r.StopNotices, member.StopNotice{Target: s.GetTarget(), Boot: s.GetBoot(), Time: decodeAgo(now, s.GetAgo())})
 	}
 	for _, c := range w.GetSuspects() {
-		r.Crashers = append(r.Crashers, member.Crasher{Print: c.GetPrint(), Crashes: c.GetCrashes(), At: decodeAgo(now, c.GetAgo()), By: c.GetBy(), Sequence: c.GetSequence()})
+		r.CrashReports = append(r.CrashReports, member.CrashReport{Fingerprint: c.GetPrint(), Crashes: c.GetCrashes(), Time: decodeAgo(now, c.GetAgo()), Reporter: c.GetBy(), Sequence: c.GetSequence()})
 	}
 	return r
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -76,18 +76,18 @@
 
 	now := time.Now()
 	m := member.Message{
-		From: other, Digest: 1 << 63, Marks: member.Marks{Settings: 4, Targets: 9}, Join: true,
+		From: other, Digest: 1 << 63, Revisions: member.Revisions{Settings: 4, Targets: 9}, Join: true,
 		Entries: []member.Entry{{
 			ID: other, Sequence: 3, State: member.Suspect, Ready: true, Since: now.Add(-time.Minute),
-			Caller: "c", Peer: "p", Place: "here", Region: "there", Capacity: 128,
-			Condition: member.Condition{Strained: true, Shut: true},
+			CallerAddress: "c", PeerAddress: "p", Place: "here", Region: "there", Capacity: 128,
+			Condition: member.Condition{Overloaded: true, StoreUnavailable: true},
 		}},
-		Sums: []uint32{8, 1 << 31}, Accused: []uint32{7, 1 << 31},
-		Ask:  1 << 63,
-		Want: []string{"e9"},
+		BucketDigests: []uint32{8, 1 << 31}, SuspectDigests: []uint32{7, 1 << 31},
+		BucketMask:       1 << 63,
+		MissingAddresses: []string{"e9"},
 		Rumours: member.Rumours{
-			Stopping: []member.Stopping{{Target: "w1", Boot: 2, At: now.Add(-time.Second)}},
-			Crashers: []member.Crasher{{Print: 1 << 62, Crashes: 2, At: now.Add(-time.Second), By: "e3", Sequence: 1 << 60}},
+			StopNotices:  []member.StopNotice{{Target: "w1", Boot: 2, Time: now.Add(-time.Second)}},
+			CrashReports: []member.CrashReport{{Fingerprint: 1 << 62, Crashes: 2, Time: now.Add(-time.Second), Reporter: "e3", Sequence: 1 << 60}},
 		},
 	}
 	got, err := client.Gossip(ctx, address, m)
--- a/internal/relay/packet.go
+++ b/internal/relay/packet.go
@@ -56,7 +56,7 @@
 	Exchange  uint64         // identifies the request that a response belongs to
 	Message   member.Message // of GossipRequest and GossipResponse
 	Knowledge Knowledge      // of GossipRequest, GossipResponse and Announcement
-	Numbers   []owner.Number // of GossipRequest and GossipResponse
+	Numbers   []owner.Count  // of GossipRequest and GossipResponse
 	Loads     []Load         // of LoadReport
 	Suspects  []call.Suspect // of SuspectReport
 	ID        member.ID      // entry that answered a ping or sends a report
@@ -80,9 +80,9 @@
 		if err != nil || len(data) <= maxPacket || n == 0 {
 			return data, err
 		}
-		if p.Message.Ask != 0 {
+		if p.Message.BucketMask != 0 {
 			// The receiver would take entries cut from a bucket as missing at the sender.
-			p.Message.Ask, n = 0, 0
+			p.Message.BucketMask, n = 0, 0
 		}
 		p.Message.Entries = p.Message.Entries[:n/2]
 	}
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, n := range w.Numbers {
-		p.Numbers = append(p.Numbers, owner.Number{Host: n.Host, Owners: int(n.Owners), Rate: float64(n.Rate), Sequence: n.Sequence})
+		p.Numbers = append(p.Numbers, owner.Count{Host: n.Host, Owners: int(n.Owners), Rate: float64(n.Rate), Sequence: n.Sequence})
 	}
 	for _, l := range w.Loads {
 		p.Loads = append(p.Loads, Load{Host: l.Host, Rate: float64(l.Rate)})
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -47,10 +47,10 @@
 		packet Packet
 	}{
 		{"ask", Packet{
-			Kind: Ask, Exchange: 8, Message: member.Message{From: from, Digest: 5, Ask: 1 << 63}, Knowledge: knowledge,
-			Numbers: []owner.Number{{Host: 9, Owners: 3, Rate: 2.5, Sequence: 4}},
+			Kind: Ask, Exchange: 8, Message: member.Message{From: from, Digest: 5, BucketMask: 1 << 63}, Knowledge: knowledge,
+			Numbers: []owner.Count{{Host: 9, Owners: 3, Rate: 2.5, Sequence: 4}},
 		}},
-		{"answer", Packet{Kind: Answer, Exchange: 8, Message: member.Message{From: from, Sums: []uint32{1, 2}}, Knowledge: knowledge}},
+		{"answer", Packet{Kind: Answer, Exchange: 8, Message: member.Message{From: from, BucketDigests: []uint32{1, 2}}, Knowledge: knowledge}},
 		{"knowledge", Packet{Kind: Tell, Knowledge: knowledge}},
 		{"suspects", Packet{Kind: Suspects, ID: from, Suspects: []call.Suspect{{Fingerprint: 5, Crashes: 2, Age: time.Second}}}},
 		{"loads", Packet{Kind: Loads, ID: from, Loads: []Load{{Host: 9, Rate: 2.5}}}},
@@ -94,11 +94,11 @@
 func TestFullPacketFits(t *testing.T) {
 	now := time.Unix(1000, 0)
 	self := member.Entry{
-		ID: member.ID{Name: "edge-fremantle-hall-100", Boot: 1 << 62}, Caller: "10.100.100.100:18548", Peer: "10.100.100.100:17540",
+		ID: member.ID{Name: "edge-fremantle-hall-100", Boot: 1 << 62}, CallerAddress: "10.100.100.100:18548", PeerAddress: "10.100.100.100:17540",
 		Place: "fremantle-hall-annex", Region: "perth-metro-south", Capacity: 128,
 	}
 	const maxEntryBytes = 900 // the gateway's limit
-	table := member.New(member.Config{Self: self, Room: maxEntryBytes, Bulk: 8, Rand: rand.New(rand.NewPCG(1, 1))})
+	table := member.New(member.Config{Self: self, MaxEntryBytes: maxEntryBytes, BulkThreshold: 8, Rand: rand.New(rand.NewPCG(1, 1))})
 	var all []member.Entry
 	for i := range 300 {
 		e := self
@@ -107,14 +107,14 @@
 	}
 	p := Packet{Kind: Answer, Exchange: 1 << 62, Knowledge: Knowledge{Config: 1 << 40, Targets: 1 << 40, ConfigAge: time.Hour, TargetsAge: time.Hour}}
 	for i := range 8 {
-		p.Numbers = append(p.Numbers, owner.Number{Host: uint32(i), Owners: 400, Rate: 1, Sequence: 1 << 40})
+		p.Numbers = append(p.Numbers, owner.Count{Host: uint32(i), Owners: 400, Rate: 1, Sequence: 1 << 40})
 	}
 	for _, a := range table.Handle(now, member.Request{Message: member.Message{From: all[0].ID, Digest: 1, Entries: all}}) {
 		if r, ok := a.(member.Reply); ok {
 			p.Message = r.Message
 		}
 	}
-	qt.Assert(t, p.Message.Sums, qt.HasLen, member.Buckets)
+	qt.Assert(t, p.Message.BucketDigests, qt.HasLen, member.Buckets)
 	qt.Assert(t, len(p.Message.Entries) > 4, qt.IsTrue)
 	data, err := encodePacket(now, p)
 	qt.Assert(t, err, qt.IsNil)
@@ -122,10 +122,10 @@
 	got, err := decodePacket(now, data)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, got.Message.Entries, qt.HasLen, len(p.Message.Entries))
-	p.Message.Accused = make([]uint32, 96)
+	p.Message.SuspectDigests = make([]uint32, 96)
 	for i := range 8 {
-		p.Message.Rumours.Crashers = append(p.Message.Rumours.Crashers, member.Crasher{
-			Print: 1 << 63, Crashes: 3, At: now, By: fmt.Sprintf("edge-fremantle-hall-%d", i), Sequence: 1 << 62,
+		p.Message.Rumours.CrashReports = append(p.Message.Rumours.CrashReports, member.CrashReport{
+			Fingerprint: 1 << 63, Crashes: 3, Time: now, Reporter: fmt.Sprintf("edge-fremantle-hall-%d", i), Sequence: 1 << 62,
 		})
 	}
 	data, err = encodePacket(now, p)
@@ -155,7 +155,7 @@
 		{"list", News{Config: []byte("{}"), Targets: Listed, At: 12, Moved: 9, Age: 30 * time.Millisecond, Changes: changes[:1]}},
 		{"changes", News{Targets: Changed, At: 12, Moved: 9, Changes: changes}},
 		{"entries", News{Entries: []member.Entry{{
-			ID: member.ID{Name: "a", Boot: 7}, Sequence: 3, State: member.Leaving, Caller: "c", Peer: "p", Place: "hall", Region: "metro", Capacity: 128,
+			ID: member.ID{Name: "a", Boot: 7}, Sequence: 3, State: member.Leaving, CallerAddress: "c", PeerAddress: "p", Place: "hall", Region: "metro", Capacity: 128,
 		}}}},
 		{"evacuations", News{Evacuations: &Evacuations{
 			List: []roster.Item[slot.Evacuation]{{Name: "hall", Revision: 4}}, At: 12, Moved: 9, Age: 30 * time.Millisecond,
--- a/pkg/member/entry.go
+++ b/pkg/member/entry.go
@@ -40,28 +40,28 @@
 
 // Entry is one incarnation in the view of this entry.
 type Entry struct {
-	ID       ID
-	Sequence uint64 // incremented only by the incarnation itself
-	State    State
-	Ready    bool      // has settings and targets, so that callers may be sent to it
-	Since    time.Time // when the state was declared
-	Caller   string    // host:port of the callers' listener
-	Peer     string    // host:port of the peers' listener
-	Place    string
-	Region   string
-	Capacity float64 // requests per second
+	ID            ID
+	Sequence      uint64 // incremented only by the incarnation itself
+	State         State
+	Ready         bool      // has settings and targets, so that callers may be sent to it
+	Since         time.Time // when the state was declared
+	CallerAddress string    // host:port of the callers' listener
+	PeerAddress   string    // host:port of the peers' listener
+	Place         string
+	Region        string
+	Capacity      float64 // requests per second
 	Condition
-	Marks Marks // as last received from the incarnation itself; not relayed
+	Revisions Revisions // as last received from the incarnation itself; not relayed
 }
 
 // Condition is what an entry reports about its own health.
 type Condition struct {
-	Strained bool // can't keep up with its load
-	Shut     bool // the store doesn't serve it
+	Overloaded       bool // can't keep up with its load
+	StoreUnavailable bool // the store doesn't serve it
 }
 
 // IsSummary reports whether the entry is a summary, which has no addresses.
-func (e Entry) Brief() bool { return e.Peer == "" }
+func (e Entry) IsSummary() bool { return e.PeerAddress == "" }
 
 // Serves reports whether requests may be sent to the entry. They may be sent to a
 // suspect, since most suspicions turn out wrong.
@@ -74,10 +74,10 @@
 	Address string
 }
 
-func (e Entry) ref() Ref { return Ref{ID: e.ID, Address: e.Peer} }
+func (e Entry) ref() Ref { return Ref{ID: e.ID, Address: e.PeerAddress} }
 
-func (e Entry) brief() Entry {
-	e.Caller, e.Peer, e.Place, e.Region, e.Capacity = "", "", "", "", 0
+func (e Entry) summary() Entry {
+	e.CallerAddress, e.PeerAddress, e.Place, e.Region, e.Capacity = "", "", "", "", 0
 	return e
 }
 
--- a/pkg/member/event.go
+++ b/pkg/member/event.go
@@ -13,41 +13,41 @@
 	Request struct{ Message Message }
 
 	// Response is a peer's response to a Send.
-	Answer struct {
-		Exchange uint64
-		Message  Message
+	Response struct {
+		ExchangeID uint64
+		Message    Message
 	}
 
 	// ExchangeFailed signals that a Send or an IndirectPing failed or timed out.
-	NoAnswer struct{ Exchange uint64 }
+	ExchangeFailed struct{ ExchangeID uint64 }
 
 	// IndirectAck tells which incarnation responded to an IndirectPing.
-	Reached struct {
-		Exchange uint64
-		ID       ID
+	IndirectAck struct {
+		ExchangeID uint64
+		ID         ID
 	}
 
 	// SetSeeds replaces the seed addresses.
-	Seeds struct{ Addresses []string }
+	SetSeeds struct{ Addresses []string }
 
 	// SetRevisions sets the revisions that are in force at this entry.
-	Revised struct{ Marks Marks }
+	SetRevisions struct{ Revisions Revisions }
 
 	// Ready signals that this entry has settings and targets.
 	Ready struct{}
 
 	// SetCondition sets the health that this entry reports.
-	Feel struct{ Condition Condition }
+	SetCondition struct{ Condition Condition }
 
 	// Fetched holds a peer's whole view, in response to a Fetch.
 	Fetched struct{ Entries []Entry }
 
 	// PushNow asks for messages to be sent at once: the driver adds data of its own
 	// to them that peers should receive without waiting for the next round.
-	News struct{}
+	PushNow struct{}
 
 	// SpreadRumours starts to spread rumours from this entry.
-	Tell struct{ Rumours Rumours }
+	SpreadRumours struct{ Rumours Rumours }
 
 	// Leave announces that this entry will stop; it still serves.
 	Leave struct{}
@@ -56,20 +56,20 @@
 	Depart struct{}
 )
 
-func (Tick) event()     {}
-func (Request) event()  {}
-func (Answer) event()   {}
-func (NoAnswer) event() {}
-func (Reached) event()  {}
-func (Seeds) event()    {}
-func (Revised) event()  {}
-func (Ready) event()    {}
-func (Feel) event()     {}
-func (Fetched) event()  {}
-func (News) event()     {}
-func (Tell) event()     {}
-func (Leave) event()    {}
-func (Depart) event()   {}
+func (Tick) event()           {}
+func (Request) event()        {}
+func (Response) event()       {}
+func (ExchangeFailed) event() {}
+func (IndirectAck) event()    {}
+func (SetSeeds) event()       {}
+func (SetRevisions) event()   {}
+func (Ready) event()          {}
+func (SetCondition) event()   {}
+func (Fetched) event()        {}
+func (PushNow) event()        {}
+func (SpreadRumours) event()  {}
+func (Leave) event()          {}
+func (Depart) event()         {}
 
 // Action is an output of Table.Handle, which the driver carries out. The set is
 // closed.
@@ -78,19 +78,19 @@
 type (
 	// Send starts an exchange. A Response or an ExchangeFailed with its ID ends it.
 	Send struct {
-		Exchange uint64
-		To       Ref
-		Message  Message
-		Timeout  time.Duration
+		ExchangeID uint64
+		To         Ref
+		Message    Message
+		Timeout    time.Duration
 	}
 
 	// IndirectPing asks one peer to ping another. An IndirectAck or an ExchangeFailed
 	// with its ID ends it.
-	Reach struct {
-		Exchange uint64
-		Via      Ref
-		Target   Ref
-		Timeout  time.Duration
+	IndirectPing struct {
+		ExchangeID uint64
+		Via        Ref
+		Peer       Ref
+		Timeout    time.Duration
 	}
 
 	// Reply is the response to the Request that was handled.
@@ -101,31 +101,31 @@
 	Fetch struct{ From Ref }
 
 	// ViewChanged signals that View has changed.
-	Changed struct{}
+	ViewChanged struct{}
 
 	// RevisionsChanged signals that View has changed only in the revisions of an entry.
-	Marked struct{}
+	RevisionsChanged struct{}
 
 	// PeerAhead signals that a peer has newer revisions than this entry.
-	Behind struct {
-		Peer  Ref
-		Marks Marks
+	PeerAhead struct {
+		Peer      Ref
+		Revisions Revisions
 	}
 
 	// RumoursReceived holds rumours that are new to this entry.
-	Learned struct{ Rumours Rumours }
+	RumoursReceived struct{ Rumours Rumours }
 
 	// Superseded signals that a later incarnation of this entry's own name is up, so
 	// that this process must stop.
 	Superseded struct{ By ID }
 )
 
-func (Send) action()       {}
-func (Reach) action()      {}
-func (Reply) action()      {}
-func (Fetch) action()      {}
-func (Changed) action()    {}
-func (Marked) action()     {}
-func (Behind) action()     {}
-func (Learned) action()    {}
-func (Superseded) action() {}
+func (Send) action()             {}
+func (IndirectPing) action()     {}
+func (Reply) action()            {}
+func (Fetch) action()            {}
+func (ViewChanged) action()      {}
+func (RevisionsChanged) action() {}
+func (PeerAhead) action()        {}
+func (RumoursReceived) action()  {}
+func (Superseded) action()       {}
--- a/pkg/member/faults_test.go
+++ b/pkg/member/faults_test.go
@@ -11,20 +11,20 @@
 )
 
 // fleetSize is a size of the fleet that a fault is injected into.
-type size struct {
-	name    string
-	cfg     fleet.Config
-	seeds   uint64
-	noticed time.Duration // limit for a death to reach every entry
+type fleetSize struct {
+	name           string
+	cfg            fleet.Config
+	seeds          uint64
+	detectionLimit time.Duration // limit for a death to reach every entry
 }
 
 var (
-	today = size{"today", fleet.Config{Entries: 14, Places: 3, Regions: 1}, 4, 5 * time.Second}
-	grown = size{"grown", fleet.Config{Entries: 30, Places: 15, Regions: 4}, 1, 13 * time.Second}
+	today = fleetSize{"today", fleet.Config{Entries: 14, Places: 3, Regions: 1}, 4, 5 * time.Second}
+	grown = fleetSize{"grown", fleet.Config{Entries: 30, Places: 15, Regions: 4}, 1, 13 * time.Second}
 )
 
 // settledFleet starts a fleet and waits until its entries agree.
-func settled(c *qt.C, s size, seed uint64) *fleet.Fleet {
+func settledFleet(c *qt.C, s fleetSize, seed uint64) *fleet.Fleet {
 	cfg := s.cfg
 	cfg.Seed = seed
 	f := fleet.New(cfg)
@@ -59,7 +59,7 @@
 
 // assertNeverGone runs the fleet for d and fails as soon as any entry sees one of the
 // healthy nodes as gone.
-func watched(c *qt.C, f *fleet.Fleet, d time.Duration, healthy ...*fleet.Node) {
+func assertNeverGone(c *qt.C, f *fleet.Fleet, d time.Duration, healthy ...*fleet.Node) {
 	const step = 100 * time.Millisecond
 	for end := f.Now().Add(d); f.Now().Before(end); f.Run(step) {
 		for _, n := range healthy {
@@ -79,14 +79,14 @@
 func TestFaults(t *testing.T) {
 	tests := []struct {
 		name  string
-		sizes []size
-		run   func(c *qt.C, f *fleet.Fleet, s size)
+		sizes []fleetSize
+		run   func(c *qt.C, f *fleet.Fleet, s fleetSize)
 	}{
-		{"an entry lost", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, s size) {
+		{"an entry lost", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, s fleetSize) {
 			f.Lose(f.Nodes[4])
-			within(c, f, s.noticed, "death", seenAs(f, f.Nodes[4], member.Dead))
+			within(c, f, s.detectionLimit, "death", seenAs(f, f.Nodes[4], member.Dead))
 		}},
-		{"a place lost", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, _ size) {
+		{"a place lost", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			var lost []*fleet.Node
 			for _, n := range f.Nodes {
 				if n.Entry.Place == "place-01" {
@@ -98,97 +98,97 @@
 				within(c, f, 13*time.Second, "death in a lost place", seenAs(f, n, member.Dead))
 			}
 		}},
-		{"two lost at once", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, _ size) {
+		{"two lost at once", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			f.Lose(f.Nodes[4])
 			f.Lose(f.Nodes[5])
 			within(c, f, 13*time.Second, "first", seenAs(f, f.Nodes[4], member.Dead))
 			within(c, f, 13*time.Second, "second", seenAs(f, f.Nodes[5], member.Dead))
 		}},
-		{"a short pause", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, _ size) {
+		{"a short pause", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			f.Pause(f.Nodes[4])
 			f.Run(time.Second)
 			f.Resume(f.Nodes[4])
-			watched(c, f, 10*time.Second, f.Nodes...)
+			assertNeverGone(c, f, 10*time.Second, f.Nodes...)
 		}},
-		{"a long pause", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, s size) {
+		{"a long pause", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, s fleetSize) {
 			f.Pause(f.Nodes[4])
-			within(c, f, s.noticed, "death", seenAs(f, f.Nodes[4], member.Dead))
+			within(c, f, s.detectionLimit, "death", seenAs(f, f.Nodes[4], member.Dead))
 			f.Run(time.Minute)
 			f.Resume(f.Nodes[4])
 			within(c, f, 20*time.Second, "return", f.Agreed)
-			watched(c, f, 20*time.Second, f.Nodes...)
+			assertNeverGone(c, f, 20*time.Second, f.Nodes...)
 		}},
-		{"a resumed entry suspects nobody", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, _ size) {
+		{"a resumed entry suspects nobody", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			f.Run(50 * time.Millisecond)
 			f.Pause(f.Nodes[4])
 			f.Run(30 * time.Second)
 			f.Resume(f.Nodes[4])
 			others := append(append([]*fleet.Node{}, f.Nodes[:4]...), f.Nodes[5:]...)
-			watched(c, f, 20*time.Second, others...)
+			assertNeverGone(c, f, 20*time.Second, others...)
 		}},
-		{"paused while another is lost", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, _ size) {
+		{"paused while another is lost", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			f.Pause(f.Nodes[4])
 			f.Lose(f.Nodes[7])
 			f.Run(time.Minute)
 			f.Resume(f.Nodes[4])
 			within(c, f, 8*time.Second, "death", seenAs(f, f.Nodes[7], member.Dead))
 		}},
-		{"flapping", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, _ size) {
+		{"flapping", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			others := append(append([]*fleet.Node{}, f.Nodes[:4]...), f.Nodes[5:]...)
 			for range 8 {
 				f.Pause(f.Nodes[4])
-				watched(c, f, 5*time.Second, others...)
+				assertNeverGone(c, f, 5*time.Second, others...)
 				f.Resume(f.Nodes[4])
-				watched(c, f, 3*time.Second, others...)
+				assertNeverGone(c, f, 3*time.Second, others...)
 			}
 			within(c, f, 20*time.Second, "return", f.Agreed)
 		}},
-		{"two entries can't see each other", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, _ size) {
+		{"two entries can't see each other", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			one, two := f.Nodes[4], f.Nodes[7]
 			f.Cut(func(a, b *fleet.Node) bool { return a == one && b == two || a == two && b == one })
-			watched(c, f, 30*time.Second, f.Nodes...)
+			assertNeverGone(c, f, 30*time.Second, f.Nodes...)
 		}},
-		{"a group cut off for a minute", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, _ size) {
+		{"a group cut off for a minute", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			side := func(n *fleet.Node) bool { return n.Entry.Place == "place-00" }
 			f.Cut(func(a, b *fleet.Node) bool { return side(a) != side(b) })
 			f.Run(time.Minute)
 			f.Cut(nil)
 			within(c, f, 25*time.Second, "merge", f.Agreed)
-			watched(c, f, 20*time.Second, f.Nodes...)
+			assertNeverGone(c, f, 20*time.Second, f.Nodes...)
 		}},
-		{"restarted at once", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, _ size) {
+		{"restarted at once", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			f.Lose(f.Nodes[4])
 			f.Boot(f.Nodes[4])
 			within(c, f, 8*time.Second, "new incarnation", seenAs(f, f.Nodes[4], member.Alive))
 			within(c, f, 20*time.Second, "agreement", f.Agreed)
 		}},
-		{"restarted after its death was noticed", []size{today}, func(c *qt.C, f *fleet.Fleet, s size) {
+		{"restarted after its death was noticed", []fleetSize{today}, func(c *qt.C, f *fleet.Fleet, s fleetSize) {
 			f.Lose(f.Nodes[4])
-			within(c, f, s.noticed, "death", seenAs(f, f.Nodes[4], member.Dead))
+			within(c, f, s.detectionLimit, "death", seenAs(f, f.Nodes[4], member.Dead))
 			f.Boot(f.Nodes[4])
 			within(c, f, 5*time.Second, "new incarnation", seenAs(f, f.Nodes[4], member.Alive))
 		}},
-		{"all restarted", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, _ size) {
+		{"all restarted", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			for _, n := range f.Nodes {
 				f.Lose(n)
 				f.Boot(n)
 			}
 			within(c, f, 25*time.Second, "agreement", f.Agreed)
 		}},
-		{"a planned stop", []size{today, grown}, func(c *qt.C, f *fleet.Fleet, _ size) {
+		{"a planned stop", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			f.Handle(f.Nodes[4], member.Leave{})
 			within(c, f, 5*time.Second, "leaving", seenAs(f, f.Nodes[4], member.Leaving))
-			watched(c, f, 20*time.Second, f.Nodes...)
+			assertNeverGone(c, f, 20*time.Second, f.Nodes...)
 			f.Handle(f.Nodes[4], member.Depart{})
 			f.Run(time.Second)
 			f.Lose(f.Nodes[4])
 			within(c, f, 5*time.Second, "left", seenAs(f, f.Nodes[4], member.Left))
 		}},
-		{"lost while leaving", []size{today}, func(c *qt.C, f *fleet.Fleet, s size) {
+		{"lost while leaving", []fleetSize{today}, func(c *qt.C, f *fleet.Fleet, s fleetSize) {
 			f.Handle(f.Nodes[4], member.Leave{})
 			f.Run(3 * time.Second)
 			f.Lose(f.Nodes[4])
-			within(c, f, s.noticed, "death", seenAs(f, f.Nodes[4], member.Dead))
+			within(c, f, s.detectionLimit, "death", seenAs(f, f.Nodes[4], member.Dead))
 		}},
 	}
 	for _, tt := range tests {
@@ -197,7 +197,7 @@
 				t.Parallel()
 				c := qt.New(t)
 				for seed := range s.seeds {
-					tt.run(c, settled(c, s, seed), s)
+					tt.run(c, settledFleet(c, s, seed), s)
 				}
 			})
 		}
@@ -210,9 +210,9 @@
 // of its own entries. Merging these would leave locate without entries on both sides
 // at once. No entry may see one of its own side as gone at any time after the
 // partition heals, and all must agree soon.
-func TestRegionsApart(t *testing.T) {
+func TestRegionsPartitioned(t *testing.T) {
 	c := qt.New(t)
-	f := settled(c, grown, 7)
+	f := settledFleet(c, grown, 7)
 	side := func(n *fleet.Node) bool { return n.Entry.Region == "region-0" }
 	f.Cut(func(a, b *fleet.Node) bool { return side(a) != side(b) })
 	f.Run(3 * time.Minute)
@@ -234,7 +234,7 @@
 
 // An operator's edit reaches one entry, in some rows while others are unreachable.
 // Every entry must have it within 13 s of being reachable.
-func TestMarksSpread(t *testing.T) {
+func TestRevisionsSpread(t *testing.T) {
 	tests := []struct {
 		name  string
 		fault func(f *fleet.Fleet)
@@ -257,17 +257,17 @@
 		{"with an entry paused", func(f *fleet.Fleet) { f.Pause(f.Nodes[5]); f.Run(10 * time.Second) }, func(f *fleet.Fleet) { f.Resume(f.Nodes[5]) }},
 	}
 	for _, tt := range tests {
-		for _, s := range []size{today, grown} {
+		for _, s := range []fleetSize{today, grown} {
 			t.Run(tt.name+"/"+s.name, func(t *testing.T) {
 				t.Parallel()
 				c := qt.New(t)
-				f := settled(c, s, 3)
+				f := settledFleet(c, s, 3)
 				tt.fault(f)
-				f.Handle(f.Nodes[0], member.Revised{Marks: member.Marks{Settings: 8}})
+				f.Handle(f.Nodes[0], member.SetRevisions{Revisions: member.Revisions{Settings: 8}})
 				f.Run(time.Second)
 				tt.heal(f)
 				within(c, f, 13*time.Second, "settings", func() bool {
-					return f.All(func(n *fleet.Node, _ member.View) bool { return n.Marks == member.Marks{Settings: 8} })
+					return f.All(func(n *fleet.Node, _ member.View) bool { return n.Marks == member.Revisions{Settings: 8} })
 				})
 			})
 		}
@@ -278,23 +278,23 @@
 // request that crashes targets is observed by one entry at a time. Each notice must
 // reach the other entries within 5 s, and must be new to each of them only once.
 func TestRumours(t *testing.T) {
-	for _, s := range []size{today, grown} {
+	for _, s := range []fleetSize{today, grown} {
 		t.Run(s.name, func(t *testing.T) {
 			c := qt.New(t)
 			for seed := range s.seeds {
-				f := settled(c, s, seed)
-				f.Handle(f.Nodes[2], member.Tell{Rumours: member.Rumours{
-					Stopping: []member.Stopping{{Target: "w1", Boot: 4, At: f.Now()}},
-					Crashers: []member.Crasher{{Print: 99, Crashes: 1, At: f.Now()}},
+				f := settledFleet(c, s, seed)
+				f.Handle(f.Nodes[2], member.SpreadRumours{Rumours: member.Rumours{
+					StopNotices:  []member.StopNotice{{Target: "w1", Boot: 4, Time: f.Now()}},
+					CrashReports: []member.CrashReport{{Fingerprint: 99, Crashes: 1, Time: f.Now()}},
 				}})
 				within(c, f, 5*time.Second, "rumours", func() bool {
 					return f.All(func(n *fleet.Node, _ member.View) bool {
-						return n == f.Nodes[2] || len(n.Learned.Stopping) == 1 && len(n.Learned.Crashers) == 1
+						return n == f.Nodes[2] || len(n.Learned.StopNotices) == 1 && len(n.Learned.CrashReports) == 1
 					})
 				})
 				f.Run(20 * time.Second)
 				f.All(func(n *fleet.Node, _ member.View) bool {
-					c.Assert(len(n.Learned.Stopping) <= 1 && len(n.Learned.Crashers) <= 1, qt.IsTrue, qt.Commentf("learned again: %+v", n.Learned))
+					c.Assert(len(n.Learned.StopNotices) <= 1 && len(n.Learned.CrashReports) <= 1, qt.IsTrue, qt.Commentf("learned again: %+v", n.Learned))
 					return true
 				})
 			}
--- a/pkg/member/home.go
+++ b/pkg/member/home.go
@@ -8,17 +8,17 @@
 )
 
 // splitmixMultiplier is the first multiplier of the splitmix64 finalizer.
-const mixer = 0xbf58476d1ce4e5b9
+const splitmixMultiplier = 0xbf58476d1ce4e5b9
 
 // PreferredEntries returns k entries for a service by rendezvous hashing, the most
 // preferred first. They are in distinct places if there are enough places.
-func Homes(entries []Entry, service string, k int) []Entry {
-	ranked := order(entries, xxhash.Sum64String(service))
+func PreferredEntries(entries []Entry, service string, k int) []Entry {
+	ranked := rankByHash(entries, xxhash.Sum64String(service))
 	k = min(k, len(ranked))
 	homes := make([]Entry, 0, k)
 	rest := make([]Entry, 0, len(ranked))
 	for _, e := range ranked {
-		if len(homes) < k && !placed(homes, e.Place) {
+		if len(homes) < k && !containsPlace(homes, e.Place) {
 			homes = append(homes, e)
 			continue
 		}
@@ -29,7 +29,7 @@
 
 // rankByHash ranks by name without the boot number, so that an entry that restarts
 // keeps its services. An entry that leaves moves only its own services.
-func order(entries []Entry, seed uint64) []Entry {
+func rankByHash(entries []Entry, seed uint64) []Entry {
 	score := func(e Entry) uint64 { return mix(xxhash.Sum64String(e.ID.Name) ^ seed) }
 	ranked := slices.Clone(entries)
 	slices.SortFunc(ranked, func(a, b Entry) int {
@@ -38,13 +38,13 @@
 	return ranked
 }
 
-func placed(homes []Entry, place string) bool {
+func containsPlace(homes []Entry, place string) bool {
 	return slices.ContainsFunc(homes, func(e Entry) bool { return e.Place == place })
 }
 
 func mix(x uint64) uint64 {
 	x ^= x >> 30
-	x *= mixer
+	x *= splitmixMultiplier
 	x ^= x >> 27
 	x *= 0x94d049bb133111eb
 	return x ^ x>>31
--- a/pkg/member/learn.go
+++ b/pkg/member/learn.go
@@ -9,44 +9,44 @@
 // maxReportAge is the age up to which a suspicion or death is believed without
 // verification. An older one that reaches an entry in whose view the suspect is alive
 // comes from the other side of a network partition.
-const freshAccusation = 15 * time.Second
+const maxReportAge = 15 * time.Second
 
 // maxUnverified bounds the suspicions that wait for verification.
-const maxDoubts = 64
+const maxUnverified = 64
 
 // merge merges a peer's update about an incarnation. all is set if the peer has sent
 // its whole view.
-func (t *Table) learn(now time.Time, e Entry, all bool) {
+func (t *Table) merge(now time.Time, e Entry, all bool) {
 	if e.ID.Name == t.self.ID.Name {
-		t.learnSelf(now, e)
+		t.refute(now, e)
 		return
 	}
 	r, ok := t.records[e.ID.Name]
 	if !ok || e.ID.Boot > r.ID.Boot {
-		t.learnNew(now, e, all)
+		t.mergeUnknown(now, e, all)
 		return
 	}
 	if !e.newer(r.Entry) {
 		return
 	}
 	if (e.State == Suspect || e.State == Dead) && !r.State.Gone() {
-		t.accused(now, r, e)
+		t.mergeSuspicion(now, r, e)
 		return
 	}
 	t.update(now, r, e)
 }
 
-func (t *Table) learnNew(now time.Time, e Entry, all bool) {
+func (t *Table) mergeUnknown(now time.Time, e Entry, all bool) {
 	if e.State.Gone() && !(all && e.State == Dead) {
 		return
 	}
-	if e.Brief() {
-		t.wants = append(t.wants, e.ID.Name)
+	if e.IsSummary() {
+		t.missingAddresses = append(t.missingAddresses, e.ID.Name)
 		return
 	}
 	r := t.add(e)
 	if e.State == Suspect {
-		r.deadline = now.Add(t.suspicion())
+		r.deadline = now.Add(t.suspicionTimeout())
 	}
 	if !all {
 		t.announce(r)
@@ -55,7 +55,7 @@
 
 // refute overrides a wrong update about this entry with a higher sequence number,
 // which takes precedence everywhere.
-func (t *Table) learnSelf(now time.Time, e Entry) {
+func (t *Table) refute(now time.Time, e Entry) {
 	if e.ID.Boot > t.self.ID.Boot {
 		t.supersede(now, e.ID)
 		return
@@ -63,20 +63,20 @@
 	if e.ID.Boot < t.self.ID.Boot || !e.newer(t.self.Entry) || t.self.State == Left {
 		return
 	}
-	t.revise(now, func(s *Entry) { s.Sequence = e.Sequence })
+	t.updateSelf(now, func(s *Entry) { s.Sequence = e.Sequence })
 }
 
 func (t *Table) supersede(now time.Time, by ID) {
-	if t.cfg.Sole {
-		t.revise(now, func(s *Entry) { s.ID.Boot = by.Boot + 1 })
-		t.carry(t.self, true)
+	if t.cfg.ExclusiveName {
+		t.updateSelf(now, func(s *Entry) { s.ID.Boot = by.Boot + 1 })
+		t.enqueue(t.self, true)
 		return
 	}
 	if t.superseded {
 		return
 	}
 	t.superseded = true
-	t.act(Superseded{By: by})
+	t.emit(Superseded{By: by})
 }
 
 // mergeSuspicion merges a suspicion or death of an entry that is believed up.
@@ -85,9 +85,9 @@
 // directly would remove many responsive entries from the view at once, for a while.
 // An old suspicion is therefore verified with the suspect itself. A recent death is
 // merged as a suspicion first, which gives the suspect time to refute it.
-func (t *Table) accused(now time.Time, r *record, e Entry) {
-	if r.State != Suspect && now.Sub(e.Since) > freshAccusation {
-		t.doubt(e)
+func (t *Table) mergeSuspicion(now time.Time, r *record, e Entry) {
+	if r.State != Suspect && now.Sub(e.Since) > maxReportAge {
+		t.deferVerification(e)
 		return
 	}
 	if r.State == Alive {
@@ -100,73 +100,73 @@
 // was in force before the suspicion. While many entries fail at once, summaries
 // take 17 times as many bytes: with them, of 260 failures among 472 entries that were
 // all detected within 1 s, the last took 3 s to reach every entry.
-func (t *Table) accusations() (digests []uint32) {
-	if !t.many() {
+func (t *Table) takeSuspectDigests() (digests []uint32) {
+	if !t.massFailure() {
 		return nil
 	}
 	all := t.byName()
 	start := t.rand.IntN(len(all))
 	for i := range all {
 		r := all[(start+i)%len(all)]
-		if r.State == Suspect && r.accuses > 0 && len(digests) < maxAccused {
-			r.accuses--
-			digests = append(digests, r.was)
+		if r.State == Suspect && r.suspectSends > 0 && len(digests) < maxSuspectDigests {
+			r.suspectSends--
+			digests = append(digests, r.suspectDigest)
 		}
 	}
 	return digests
 }
 
 // receiveSuspectDigests merges a peer's suspicions that are sent by digest.
-func (t *Table) hearAccused(now time.Time, digests []uint32) {
+func (t *Table) receiveSuspectDigests(now time.Time, digests []uint32) {
 	for _, digest := range digests {
-		r := t.bySum[digest]
+		r := t.byDigest[digest]
 		if r == nil || r.State != Alive {
 			continue
 		}
 		e := r.Entry
 		e.State, e.Since = Suspect, now
 		if r == t.self {
-			t.learnSelf(now, e)
+			t.refute(now, e)
 			continue
 		}
 		t.update(now, r, e)
 	}
 }
 
-func (t *Table) doubt(e Entry) {
-	for _, d := range t.doubts {
+func (t *Table) deferVerification(e Entry) {
+	for _, d := range t.unverified {
 		if d.ID == e.ID {
 			return
 		}
 	}
-	if len(t.doubts) < maxDoubts {
-		t.doubts = append(t.doubts, e)
+	if len(t.unverified) < maxUnverified {
+		t.unverified = append(t.unverified, e)
 	}
 }
 
 // update merges a newer update about a known incarnation. Its addresses, place, region,
 // capacity and revisions are kept.
 func (t *Table) update(now time.Time, r *record, e Entry) {
-	e.Caller, e.Peer, e.Place, e.Region, e.Capacity, e.Marks = r.Caller, r.Peer, r.Place, r.Region, r.Capacity, r.Marks
+	e.CallerAddress, e.PeerAddress, e.Place, e.Region, e.Capacity, e.Revisions = r.CallerAddress, r.PeerAddress, r.Place, r.Region, r.Capacity, r.Revisions
 	if e.State == Suspect && (r.State != Suspect || e.Sequence != r.Sequence) {
-		r.deadline = now.Add(t.suspicion())
-		r.was, r.accuses = uint32(r.sum), t.spread()
+		r.deadline = now.Add(t.suspicionTimeout())
+		r.suspectDigest, r.suspectSends = uint32(r.digest), t.sendCount()
 	}
-	t.put(r, e)
-	t.carry(r, false)
-	t.news = true
+	t.setEntry(r, e)
+	t.enqueue(r, false)
+	t.pushPending = true
 }
 
 // suspicionTimeout returns the time that a suspect has to refute the suspicion. It
 // grows with the number of rounds that the suspicion needs to spread.
-func (t *Table) suspicion() time.Duration {
-	factor := math.Log2(float64(len(t.records))) / suspicionRounds
-	return time.Duration(float64(t.cfg.Suspicion) * max(1, factor))
+func (t *Table) suspicionTimeout() time.Duration {
+	factor := math.Log2(float64(len(t.records))) / suspicionBaseLog2
+	return time.Duration(float64(t.cfg.SuspicionTimeout) * max(1, factor))
 }
 
 // suspicionBaseLog2 is the binary logarithm of the number of entries up to which
 // Config.SuspicionTimeout applies unscaled.
-const suspicionRounds = 4
+const suspicionBaseLog2 = 4
 
 // suspect records that an incarnation did not respond, and contacts its successor in
 // hash order at once: when many entries fail together, the successor and its other
@@ -184,21 +184,21 @@
 	default:
 		return
 	}
-	before := t.peers().watched
+	before := t.peerGroups().watched
 	t.update(now, r, e)
-	after := t.peers().watched
-	if t.many() {
-		after = t.after(t.peers().near, manyNext)
+	after := t.peerGroups().watched
+	if t.massFailure() {
+		after = t.successors(t.peerGroups().ring, massFailureSuccessors)
 	}
 	for _, next := range after {
-		if !slices.Contains(before, next) && !t.asks(next) {
+		if !slices.Contains(before, next) && !t.exchangePending(next) {
 			t.gossip(now, next)
 		}
 	}
 }
 
 // exchangePending reports whether an exchange with an entry has not ended.
-func (t *Table) asks(r *record) bool {
+func (t *Table) exchangePending(r *record) bool {
 	for _, ex := range t.exchanges {
 		if ex.to.ID == r.ID {
 			return true
@@ -217,8 +217,8 @@
 			e.State = Dead
 			e.Since = now
 			t.update(now, r, e)
-		case r.State == Dead && now.Sub(r.Since) > t.cfg.ForgetDead,
-			r.State == Left && now.Sub(r.Since) > t.cfg.ForgetLeft && r != t.self:
+		case r.State == Dead && now.Sub(r.Since) > t.cfg.DeadRetention,
+			r.State == Left && now.Sub(r.Since) > t.cfg.LeftRetention && r != t.self:
 			t.remove(r)
 		}
 	}
--- a/pkg/member/message.go
+++ b/pkg/member/message.go
@@ -9,61 +9,61 @@
 	maxChanges = 16   // recent changes in one message
 	maxRumours = 16   // rumours of each kind in one message
 	// maxPacketRumours replaces maxRumours if a message must fit into a packet.
-	packetRumours = 8
-	maxWants      = 8  // names whose addresses one message asks for
-	maxAccused    = 96 // suspicions by digest in one message
+	maxPacketRumours   = 8
+	maxAddressRequests = 8  // names whose addresses one message asks for
+	maxSuspectDigests  = 96 // suspicions by digest in one message
 	// maxQueued bounds the changes that wait to be sent. With more of them, as when
 	// hundreds of entries start, comparing digests finds the missing ones with fewer bytes.
-	maxHot = 64
+	maxQueued = 64
 )
 
 // Revisions are the revisions of the settings and targets in force at an entry.
-type Marks struct {
+type Revisions struct {
 	Settings uint64
 	Targets  uint64
 }
 
 // olderThan reports whether other has a newer revision of either.
-func (r Marks) behind(other Marks) bool {
+func (r Revisions) olderThan(other Revisions) bool {
 	return other.Settings > r.Settings || other.Targets > r.Targets
 }
 
 // StopNotice announces that a target is about to stop.
-type Stopping struct {
+type StopNotice struct {
 	Target string
 	Boot   uint64
-	At     time.Time
+	Time   time.Time
 }
 
 // CrashReport reports a request that has crashed targets.
-type Crasher struct {
-	Print   uint64 // identifies the request
-	Crashes uint32 // targets that it has crashed
-	At      time.Time
+type CrashReport struct {
+	Fingerprint uint64 // identifies the request
+	Crashes     uint32 // targets that it has crashed
+	Time        time.Time
 	// Reporter is the entry that observed the crashes; each entry counts only its own
 	// observations. Sequence orders the reports of one entry.
-	By       string
+	Reporter string
 	Sequence uint64
 }
 
 // Rumours are short-lived notices that entries relay to each other.
 type Rumours struct {
-	Stopping []Stopping
-	Crashers []Crasher
+	StopNotices  []StopNotice
+	CrashReports []CrashReport
 }
 
-func (r Rumours) empty() bool { return len(r.Stopping) == 0 && len(r.Crashers) == 0 }
+func (r Rumours) empty() bool { return len(r.StopNotices) == 0 && len(r.CrashReports) == 0 }
 
 // Message is one direction of an exchange.
 type Message struct {
-	From    ID
-	Digest  uint64 // over the sender's entries that are not gone
-	Marks   Marks
-	Join    bool     // first contact: asks for every entry
-	Entries []Entry  // recent changes, or summaries of the buckets in BucketMask
-	Sums    []uint32 // by bucket, in a response whose digest differs from the request's
-	Ask     uint64   // a bit for each bucket whose summaries are in Entries
-	Want    []string // names whose addresses the sender lacks
-	Accused []uint32 // digests of suspects, sent while there are many
-	Rumours Rumours
+	From             ID
+	Digest           uint64 // over the sender's entries that are not gone
+	Revisions        Revisions
+	Join             bool     // first contact: asks for every entry
+	Entries          []Entry  // recent changes, or summaries of the buckets in BucketMask
+	BucketDigests    []uint32 // by bucket, in a response whose digest differs from the request's
+	BucketMask       uint64   // a bit for each bucket whose summaries are in Entries
+	MissingAddresses []string // names whose addresses the sender lacks
+	SuspectDigests   []uint32 // digests of suspects, sent while there are many
+	Rumours          Rumours
 }
--- a/pkg/member/pause_test.go
+++ b/pkg/member/pause_test.go
@@ -42,8 +42,8 @@
 			now := epoch.Add(tt.gap)
 			checks := 0
 			for _, s := range sent {
-				for _, act := range a.Handle(now, member.NoAnswer{Exchange: s.Exchange}) {
-					if _, ok := act.(member.Reach); ok {
+				for _, act := range a.Handle(now, member.ExchangeFailed{ExchangeID: s.ExchangeID}) {
+					if _, ok := act.(member.IndirectPing); ok {
 						checks++
 					}
 				}
--- a/pkg/member/records.go
+++ b/pkg/member/records.go
@@ -17,17 +17,17 @@
 // digests holds the digests of all entries and of each bucket. Each is the XOR of the
 // digests of its entries, so that an update costs the same for any number of entries.
 // Entries that are gone are excluded, since each table removes them at its own time.
-type sums struct {
-	all     uint64
+type digests struct {
+	total   uint64
 	buckets [Buckets]uint64
 }
 
-func (d *sums) mix(bucket int, digest uint64) {
-	d.all ^= digest
+func (d *digests) toggle(bucket int, digest uint64) {
+	d.total ^= digest
 	d.buckets[bucket] ^= digest
 }
 
-func sumOf(e Entry) uint64 {
+func digestOf(e Entry) uint64 {
 	if e.State.Gone() {
 		return 0
 	}
@@ -35,7 +35,7 @@
 	b = append(b, e.ID.Name...)
 	b = binary.BigEndian.AppendUint64(b, e.ID.Boot)
 	b = binary.BigEndian.AppendUint64(b, e.Sequence)
-	b = append(b, byte(e.State), bit(e.Ready)|bit(e.Strained)<<1|bit(e.Shut)<<2)
+	b = append(b, byte(e.State), bit(e.Ready)|bit(e.Overloaded)<<1|bit(e.StoreUnavailable)<<2)
 	return xxhash.Sum64(b)
 }
 
@@ -48,9 +48,9 @@
 
 // bucketDigests returns the digest of each bucket, truncated to the 32 bits that
 // suffice to tell two apart.
-func (t *Table) digests() []uint32 {
+func (t *Table) bucketDigests() []uint32 {
 	all := make([]uint32, Buckets)
-	for i, digest := range t.sums.buckets {
+	for i, digest := range t.digests.buckets {
 		all[i] = uint32(digest)
 	}
 	return all
@@ -59,51 +59,51 @@
 // add adds an incarnation, which replaces an earlier one of the same name.
 func (t *Table) add(e Entry) *record {
 	if old, ok := t.records[e.ID.Name]; ok {
-		t.discount(old)
+		t.unaccount(old)
 	}
 	hash := xxhash.Sum64String(e.ID.Name)
 	r := &record{hash: hash, bucket: int(hash % Buckets)}
 	t.records[e.ID.Name] = r
 	t.sorted = nil
-	t.put(r, e)
+	t.setEntry(r, e)
 	return r
 }
 
 // setEntry replaces the entry of a record.
-func (t *Table) put(r *record, e Entry) {
-	t.sums.mix(r.bucket, r.sum)
+func (t *Table) setEntry(r *record, e Entry) {
+	t.digests.toggle(r.bucket, r.digest)
 	t.suspects += int(bit(e.State == Suspect)) - int(bit(r.State == Suspect))
 	t.unindex(r)
 	r.Entry = e
-	r.sum = sumOf(e)
-	t.bySum[uint32(r.sum)] = r
-	t.sums.mix(r.bucket, r.sum)
+	r.digest = digestOf(e)
+	t.byDigest[uint32(r.digest)] = r
+	t.digests.toggle(r.bucket, r.digest)
 	t.groups = nil
-	t.changed = true
+	t.viewChanged = true
 }
 
 // unindex removes a record from the index by digest.
 func (t *Table) unindex(r *record) {
-	if t.bySum[uint32(r.sum)] == r {
-		delete(t.bySum, uint32(r.sum))
+	if t.byDigest[uint32(r.digest)] == r {
+		delete(t.byDigest, uint32(r.digest))
 	}
 }
 
 // unaccount removes a record from the index, the digests and the count of suspects, and
 // stops sending it.
-func (t *Table) discount(r *record) {
+func (t *Table) unaccount(r *record) {
 	t.unindex(r)
-	t.sums.mix(r.bucket, r.sum)
+	t.digests.toggle(r.bucket, r.digest)
 	t.suspects -= int(bit(r.State == Suspect))
-	r.sends = 0
+	r.sendsLeft = 0
 }
 
 func (t *Table) remove(r *record) {
-	t.discount(r)
+	t.unaccount(r)
 	delete(t.records, r.ID.Name)
 	t.sorted = nil
 	t.groups = nil
-	t.changed = true
+	t.viewChanged = true
 }
 
 func (t *Table) byName() []*record {
@@ -119,92 +119,94 @@
 
 // announce queues a record with its addresses for the next messages and pushes them.
 func (t *Table) announce(r *record) {
-	t.carry(r, true)
-	t.news = true
+	t.enqueue(r, true)
+	t.pushPending = true
 }
 
 // enqueue adds a record to so many messages that it probably reaches every entry. The
 // digests find the entries that it didn't reach.
-func (t *Table) carry(r *record, withAddresses bool) {
-	if !r.hot && len(t.hot) >= maxHot && r != t.self {
+func (t *Table) enqueue(r *record, withAddresses bool) {
+	if !r.queued && len(t.sendQueue) >= maxQueued && r != t.self {
 		return
 	}
-	r.sends = t.spread()
-	r.full = r.full && r.hot || withAddresses
-	if !r.hot {
-		r.hot = true
-		t.hot = append(t.hot, r)
+	r.sendsLeft = t.sendCount()
+	r.withAddresses = r.withAddresses && r.queued || withAddresses
+	if !r.queued {
+		r.queued = true
+		t.sendQueue = append(t.sendQueue, r)
 	}
 }
 
 // pruneQueue removes the changes that have been sent often enough.
-func (t *Table) cool() {
-	t.hot = slices.DeleteFunc(t.hot, func(r *record) bool {
-		r.hot = r.sends > 0
-		return !r.hot
+func (t *Table) pruneQueue() {
+	t.sendQueue = slices.DeleteFunc(t.sendQueue, func(r *record) bool {
+		r.queued = r.sendsLeft > 0
+		return !r.queued
 	})
 }
 
-func (t *Table) spread() int { return bits.Len(uint(len(t.records))) + 1 }
+func (t *Table) sendCount() int { return bits.Len(uint(len(t.records))) + 1 }
 
 // takeChanges returns queued changes for one message, those sent least often first.
-func (t *Table) changes() []Entry {
-	t.cool()
-	slices.SortStableFunc(t.hot, func(a, b *record) int {
-		return cmp.Or(cmp.Compare(b.sends, a.sends), cmp.Compare(a.ID.Name, b.ID.Name))
+func (t *Table) takeChanges() []Entry {
+	t.pruneQueue()
+	slices.SortStableFunc(t.sendQueue, func(a, b *record) int {
+		return cmp.Or(cmp.Compare(b.sendsLeft, a.sendsLeft), cmp.Compare(a.ID.Name, b.ID.Name))
 	})
-	budget := t.room()
+	budget := t.entryBudget()
 	var entries []Entry
-	for _, r := range t.hot[:min(len(t.hot), maxChanges)] {
-		e := r.said()
-		if !budget.take(e) {
+	for _, r := range t.sendQueue[:min(len(t.sendQueue), maxChanges)] {
+		e := r.outgoing()
+		if !budget.reserve(e) {
 			break
 		}
-		r.sends--
+		r.sendsLeft--
 		entries = append(entries, e)
 	}
 	return entries
 }
 
 // entryBudget tracks the bytes that a message has left for entries.
-type room struct {
-	left  int
-	bound bool
+type entryBudget struct {
+	bytesLeft int
+	limited   bool
 }
 
-func (t *Table) room() room { return room{left: t.cfg.Room, bound: t.cfg.Room > 0} }
+func (t *Table) entryBudget() entryBudget {
+	return entryBudget{bytesLeft: t.cfg.MaxEntryBytes, limited: t.cfg.MaxEntryBytes > 0}
+}
 
 // entryOverheadBytes is the size of an encoded entry without its strings: numbers,
 // state and field tags.
-const entryBytes = 46
+const entryOverheadBytes = 46
 
 // reserve takes the bytes of an entry and reports whether it fits.
-func (b *room) take(e Entry) bool {
-	if !b.bound {
+func (b *entryBudget) reserve(e Entry) bool {
+	if !b.limited {
 		return true
 	}
-	b.left -= entryBytes + len(e.ID.Name) + len(e.Caller) + len(e.Peer) + len(e.Place) + len(e.Region)
-	return b.left >= 0
+	b.bytesLeft -= entryOverheadBytes + len(e.ID.Name) + len(e.CallerAddress) + len(e.PeerAddress) + len(e.Place) + len(e.Region)
+	return b.bytesLeft >= 0
 }
 
 // creditChanges counts each queued change as sent once more if a peer has the same
 // digest, since the peer then has all of them. Otherwise, after a start of hundreds
 // of entries at once, messages would be filled for most of a minute with changes that
 // every entry already has.
-func (t *Table) settle(digest uint64) {
-	if digest != t.sums.all {
+func (t *Table) creditChanges(digest uint64) {
+	if digest != t.digests.total {
 		return
 	}
-	for _, r := range t.hot {
-		r.sends = max(r.sends-1, 0)
+	for _, r := range t.sendQueue {
+		r.sendsLeft = max(r.sendsLeft-1, 0)
 	}
 }
 
-func (r *record) said() Entry {
-	if r.full {
+func (r *record) outgoing() Entry {
+	if r.withAddresses {
 		return r.Entry
 	}
-	return r.brief()
+	return r.summary()
 }
 
 // View is an immutable snapshot of a table.
@@ -216,7 +218,7 @@
 
 // View returns a snapshot of the table.
 func (t *Table) View() View {
-	v := View{Self: t.self.Entry, Digest: t.sums.all}
+	v := View{Self: t.self.Entry, Digest: t.digests.total}
 	for _, r := range t.byName() {
 		v.Entries = append(v.Entries, r.Entry)
 	}
--- a/pkg/member/round.go
+++ b/pkg/member/round.go
@@ -9,39 +9,39 @@
 
 // groups are the other entries that are not gone, grouped by distance.
 type groups struct {
-	up      []*record // all of them
-	place   []*record // own place
-	region  []*record // other places of the own region
-	far     []*record // other regions
-	near    []*record // hash ring, in which each entry is watched by its predecessor
-	watched []*record // contacted in every round
+	reachable    []*record // all of them
+	samePlace    []*record // own place
+	sameRegion   []*record // other places of the own region
+	otherRegions []*record // other regions
+	ring         []*record // hash ring, in which each entry is watched by its predecessor
+	watched      []*record // contacted in every round
 }
 
 // smallRegionEntries is the number of entries below which a region's entries are also
 // watched from other regions.
-const smallRegion = 3
+const smallRegionEntries = 3
 
 // largePlacePeers is the number of other entries in a place from which they watch only
 // each other, since traffic between places costs money. If such a place fails as a
 // whole, the random exchanges of the others detect it: each of 94 failed among 472
 // entries is contacted twice a round.
-const largePlace = 16
+const largePlacePeers = 16
 
 // Shares of the random exchanges by distance, in eighths. Other regions have the rest.
 const (
-	shares      = 8
+	totalShares = 8
 	placeShare  = 4
 	regionShare = 2
 )
 
-func (t *Table) peers() *groups {
+func (t *Table) peerGroups() *groups {
 	if t.groups == nil {
-		t.groups = t.group()
+		t.groups = t.buildGroups()
 	}
 	return t.groups
 }
 
-func (t *Table) group() *groups {
+func (t *Table) buildGroups() *groups {
 	g := &groups{}
 	regions := make(map[string]int)
 	for _, r := range t.byName() {
@@ -52,17 +52,17 @@
 		if r == t.self {
 			continue
 		}
-		g.up = append(g.up, r)
+		g.reachable = append(g.reachable, r)
 		switch {
 		case r.Region != t.self.Region:
-			g.far = append(g.far, r)
+			g.otherRegions = append(g.otherRegions, r)
 		case r.Place != t.self.Place:
-			g.region = append(g.region, r)
+			g.sameRegion = append(g.sameRegion, r)
 		default:
-			g.place = append(g.place, r)
+			g.samePlace = append(g.samePlace, r)
 		}
 	}
-	g.watched = t.watch(g, regions)
+	g.watched = t.watchedPeers(g, regions)
 	return g
 }
 
@@ -71,14 +71,14 @@
 // period. The hash scatters the entries of a place, so that a failed place leaves few
 // gaps of more than one entry. An entry in a small region is also watched by its
 // predecessor among all regions.
-func (t *Table) watch(g *groups, regions map[string]int) []*record {
-	g.near = g.place
-	if len(g.near) < largePlace {
-		g.near = append(slices.Clone(g.place), g.region...)
+func (t *Table) watchedPeers(g *groups, regions map[string]int) []*record {
+	g.ring = g.samePlace
+	if len(g.ring) < largePlacePeers {
+		g.ring = append(slices.Clone(g.samePlace), g.sameRegion...)
 	}
-	watched := t.after(g.near, 1)
-	for _, next := range t.after(g.up, 1) {
-		if regions[next.Region] < smallRegion && !slices.Contains(watched, next) {
+	watched := t.successors(g.ring, 1)
+	for _, next := range t.successors(g.reachable, 1) {
+		if regions[next.Region] < smallRegionEntries && !slices.Contains(watched, next) {
 			watched = append(watched, next)
 		}
 	}
@@ -87,7 +87,7 @@
 
 // successors returns up to most entries of rs that follow this entry on the hash ring.
 // It skips suspects, so that their successors stay watched meanwhile.
-func (t *Table) after(rs []*record, most int) (next []*record) {
+func (t *Table) successors(rs []*record, most int) (next []*record) {
 	own := xxhash.Sum64String(t.self.ID.Name)
 	distance := func(r *record) uint64 { return r.hash - own }
 	for _, r := range rs {
@@ -108,15 +108,15 @@
 
 func (t *Table) tick(now time.Time) {
 	t.expire(now)
-	if now.Before(t.round) || t.self.State == Left {
+	if now.Before(t.nextRound) || t.self.State == Left {
 		return
 	}
-	t.round = now.Add(t.jitter(t.cfg.Period))
-	t.rounds++
-	t.followed = false
-	t.contact(now)
-	t.exchangeRound(now)
-	t.recheck(now)
+	t.nextRound = now.Add(t.jitter(t.cfg.Period))
+	t.roundCount++
+	t.followedUp = false
+	t.contactSeeds(now)
+	t.gossipRound(now)
+	t.recheckDead(now)
 }
 
 // jitter varies a period by up to 10 % either way, so that entries that started
@@ -125,9 +125,9 @@
 	return d + time.Duration((t.rand.Float64()-0.5)/5*float64(d))
 }
 
-func (t *Table) exchangeRound(now time.Time) {
-	peers := slices.Clone(t.peers().watched)
-	if r := t.pick(peers); r != nil {
+func (t *Table) gossipRound(now time.Time) {
+	peers := slices.Clone(t.peerGroups().watched)
+	if r := t.pickPeer(peers); r != nil {
 		peers = append(peers, r)
 	}
 	for _, r := range peers {
@@ -136,24 +136,24 @@
 }
 
 // pickPeer returns a random entry that is not excluded, more often a near one.
-func (t *Table) pick(excluded []*record) *record {
-	g := t.peers()
+func (t *Table) pickPeer(excluded []*record) *record {
+	g := t.peerGroups()
 	var from []*record
-	switch n := t.rand.IntN(shares); {
+	switch n := t.rand.IntN(totalShares); {
 	case n < placeShare:
-		from = g.place
+		from = g.samePlace
 	case n < placeShare+regionShare:
-		from = g.region
+		from = g.sameRegion
 	default:
-		from = g.far
+		from = g.otherRegions
 	}
-	if r := t.draw(from, excluded); r != nil {
+	if r := t.pickFrom(from, excluded); r != nil {
 		return r
 	}
-	return t.draw(g.up, excluded)
+	return t.pickFrom(g.reachable, excluded)
 }
 
-func (t *Table) draw(from, excluded []*record) *record {
+func (t *Table) pickFrom(from, excluded []*record) *record {
 	var candidates []*record
 	for _, r := range from {
 		if !slices.Contains(excluded, r) {
@@ -169,8 +169,8 @@
 // contactSeeds sends a join to a random seed in every round until one has responded.
 // After that it contacts a seed that is no known entry's address every retryRounds
 // rounds, so that groups of entries that never met find each other.
-func (t *Table) contact(now time.Time) {
-	if t.joined && t.rounds%retryRounds != 0 {
+func (t *Table) contactSeeds(now time.Time) {
+	if t.joined && t.roundCount%retryRounds != 0 {
 		return
 	}
 	unknown := t.unknownSeeds()
@@ -181,10 +181,10 @@
 }
 
 func (t *Table) unknownSeeds() []string {
-	known := map[string]bool{t.self.Peer: true}
+	known := map[string]bool{t.self.PeerAddress: true}
 	for _, r := range t.records {
 		if t.joined && !r.State.Gone() {
-			known[r.Peer] = true
+			known[r.PeerAddress] = true
 		}
 	}
 	var unknown []string
@@ -199,11 +199,11 @@
 // recheckDead verifies an old suspicion, if there is one. Otherwise it contacts a
 // random dead entry, on average every retryRounds rounds, or in every round while dead
 // entries respond.
-func (t *Table) recheck(now time.Time) {
-	if t.verify(now) {
+func (t *Table) recheckDead(now time.Time) {
+	if t.verifySuspicion(now) {
 		return
 	}
-	if !t.returning && t.rand.IntN(retryRounds) != 0 {
+	if !t.deadReturning && t.rand.IntN(retryRounds) != 0 {
 		return
 	}
 	var dead []*record
@@ -213,7 +213,7 @@
 		}
 	}
 	if len(dead) == 0 {
-		t.returning = false
+		t.deadReturning = false
 		return
 	}
 	t.gossip(now, dead[t.rand.IntN(len(dead))])
@@ -221,16 +221,16 @@
 
 // verifySuspicion sends the oldest unverified suspicion to the suspect and reports
 // whether there was one.
-func (t *Table) verify(now time.Time) bool {
-	for len(t.doubts) > 0 {
-		d := t.doubts[0]
-		t.doubts = t.doubts[1:]
+func (t *Table) verifySuspicion(now time.Time) bool {
+	for len(t.unverified) > 0 {
+		d := t.unverified[0]
+		t.unverified = t.unverified[1:]
 		r, ok := t.records[d.ID.Name]
 		if !ok || !d.newer(r.Entry) || r.State.Gone() {
 			continue
 		}
-		m := t.message(now, r.ID.Name)
-		m.Entries = append([]Entry{d.brief()}, m.Entries...)
+		m := t.newMessage(now, r.ID.Name)
+		m.Entries = append([]Entry{d.summary()}, m.Entries...)
 		t.send(r.ref(), m, exchange{})
 		return true
 	}
@@ -244,16 +244,16 @@
 )
 
 // tokenBucket limits pushes to one per period, with a burst of pushBurst.
-type budget struct {
-	tokens float64
-	at     time.Time
+type tokenBucket struct {
+	tokens   float64
+	refilled time.Time
 }
 
-func (b *budget) take(now time.Time, period time.Duration) bool {
-	if !b.at.IsZero() {
-		b.tokens += float64(now.Sub(b.at)) / float64(period)
+func (b *tokenBucket) allow(now time.Time, period time.Duration) bool {
+	if !b.refilled.IsZero() {
+		b.tokens += float64(now.Sub(b.refilled)) / float64(period)
 	}
-	b.at = now
+	b.refilled = now
 	b.tokens = min(b.tokens, pushBurst)
 	if b.tokens < 1 {
 		return false
@@ -262,14 +262,14 @@
 	return true
 }
 
-func (t *Table) pushNews(now time.Time) {
-	if !t.news || len(t.peers().up) == 0 || !t.push.take(now, t.cfg.Period) {
+func (t *Table) pushChanges(now time.Time) {
+	if !t.pushPending || len(t.peerGroups().reachable) == 0 || !t.pushBudget.allow(now, t.cfg.Period) {
 		return
 	}
-	t.news = false
+	t.pushPending = false
 	var peers []*record
 	for range t.cfg.FanOut {
-		if r := t.pick(peers); r != nil {
+		if r := t.pickPeer(peers); r != nil {
 			peers = append(peers, r)
 			t.gossip(now, r)
 		}
--- a/pkg/member/rumour.go
+++ b/pkg/member/rumour.go
@@ -8,55 +8,55 @@
 
 // Rumours are kept for rumourLifetime, at most rumourLimit of each kind.
 const (
-	rumourAge   = 10 * time.Minute
-	rumourLimit = 256
+	rumourLifetime = 10 * time.Minute
+	rumourLimit    = 256
 )
 
 type rumour[V any] struct {
-	value V
-	sends int
+	value     V
+	sendsLeft int
 }
 
 // rumours holds the rumours of one kind. Each is sent in a bounded number of messages
 // and removed after rumourLifetime.
 type rumours[K comparable, V any] struct {
-	key   func(V) K
-	at    func(V) time.Time
-	newer func(v, old V) bool
-	items []*rumour[V]
+	key       func(V) K
+	timestamp func(V) time.Time
+	newer     func(v, old V) bool
+	items     []*rumour[V]
 }
 
-type stoppingKey struct {
+type stopNoticeKey struct {
 	target string
 	boot   uint64
 }
 
-func newStopping() *rumours[stoppingKey, Stopping] {
-	return &rumours[stoppingKey, Stopping]{
-		key:   func(s Stopping) stoppingKey { return stoppingKey{s.Target, s.Boot} },
-		at:    func(s Stopping) time.Time { return s.At },
-		newer: func(_, _ Stopping) bool { return false },
+func newStopNotices() *rumours[stopNoticeKey, StopNotice] {
+	return &rumours[stopNoticeKey, StopNotice]{
+		key:       func(s StopNotice) stopNoticeKey { return stopNoticeKey{s.Target, s.Boot} },
+		timestamp: func(s StopNotice) time.Time { return s.Time },
+		newer:     func(_, _ StopNotice) bool { return false },
 	}
 }
 
-type crasherKey struct {
-	print uint64
-	by    string
+type crashReportKey struct {
+	fingerprint uint64
+	reporter    string
 }
 
-func newCrashers() *rumours[crasherKey, Crasher] {
-	return &rumours[crasherKey, Crasher]{
-		key: func(c Crasher) crasherKey { return crasherKey{c.Print, c.By} },
-		at:  func(c Crasher) time.Time { return c.At },
-		newer: func(c, old Crasher) bool {
+func newCrashReports() *rumours[crashReportKey, CrashReport] {
+	return &rumours[crashReportKey, CrashReport]{
+		key:       func(c CrashReport) crashReportKey { return crashReportKey{c.Fingerprint, c.Reporter} },
+		timestamp: func(c CrashReport) time.Time { return c.Time },
+		newer: func(c, old CrashReport) bool {
 			return c.Sequence > old.Sequence || c.Sequence == old.Sequence && c.Crashes > old.Crashes
 		},
 	}
 }
 
 // add adds a rumour and reports whether it is new.
-func (rs *rumours[K, V]) learn(now time.Time, v V, sends int) bool {
-	if now.Sub(rs.at(v)) > rumourAge {
+func (rs *rumours[K, V]) add(now time.Time, v V, sends int) bool {
+	if now.Sub(rs.timestamp(v)) > rumourLifetime {
 		return false
 	}
 	i := slices.IndexFunc(rs.items, func(r *rumour[V]) bool { return rs.key(r.value) == rs.key(v) })
@@ -69,24 +69,24 @@
 	if len(rs.items) == rumourLimit {
 		rs.items = slices.Delete(rs.items, 0, 1)
 	}
-	rs.items = append(rs.items, &rumour[V]{value: v, sends: sends})
+	rs.items = append(rs.items, &rumour[V]{value: v, sendsLeft: sends})
 	return true
 }
 
 // takeUnsent returns up to most rumours that still have to be sent, those sent least
 // often first.
-func (rs *rumours[K, V]) take(now time.Time, most int) []V {
-	rs.items = slices.DeleteFunc(rs.items, func(r *rumour[V]) bool { return now.Sub(rs.at(r.value)) > rumourAge })
+func (rs *rumours[K, V]) takeUnsent(now time.Time, most int) []V {
+	rs.items = slices.DeleteFunc(rs.items, func(r *rumour[V]) bool { return now.Sub(rs.timestamp(r.value)) > rumourLifetime })
 	var unsent []*rumour[V]
 	for _, r := range rs.items {
-		if r.sends > 0 {
+		if r.sendsLeft > 0 {
 			unsent = append(unsent, r)
 		}
 	}
-	slices.SortStableFunc(unsent, func(a, b *rumour[V]) int { return cmp.Compare(b.sends, a.sends) })
+	slices.SortStableFunc(unsent, func(a, b *rumour[V]) int { return cmp.Compare(b.sendsLeft, a.sendsLeft) })
 	var values []V
 	for _, r := range unsent[:min(len(unsent), most)] {
-		r.sends--
+		r.sendsLeft--
 		values = append(values, r.value)
 	}
 	return values
@@ -94,40 +94,40 @@
 
 func (t *Table) takeRumours(now time.Time) Rumours {
 	most := maxRumours
-	if t.cfg.Room > 0 {
-		most = packetRumours
+	if t.cfg.MaxEntryBytes > 0 {
+		most = maxPacketRumours
 	}
-	return Rumours{Stopping: t.stopping.take(now, most), Crashers: t.crashers.take(now, most)}
+	return Rumours{StopNotices: t.stopNotices.takeUnsent(now, most), CrashReports: t.crashReports.takeUnsent(now, most)}
 }
 
 // startRumours spreads rumours that begin at this entry.
-func (t *Table) tell(now time.Time, r Rumours) { t.spreadRumours(now, r) }
+func (t *Table) startRumours(now time.Time, r Rumours) { t.addRumours(now, r) }
 
 // receiveRumours relays a peer's rumours that are new to this entry.
-func (t *Table) hear(now time.Time, r Rumours) {
-	added := t.spreadRumours(now, r)
+func (t *Table) receiveRumours(now time.Time, r Rumours) {
+	added := t.addRumours(now, r)
 	if !added.empty() {
-		t.act(Learned{Rumours: added})
+		t.emit(RumoursReceived{Rumours: added})
 	}
 }
 
 // addRumours queues the new ones of the rumours for sending and returns them.
-func (t *Table) spreadRumours(now time.Time, r Rumours) (added Rumours) {
-	sends := rumourSpread * t.spread()
-	for _, s := range r.Stopping {
-		if t.stopping.learn(now, s, sends) {
-			added.Stopping = append(added.Stopping, s)
+func (t *Table) addRumours(now time.Time, r Rumours) (added Rumours) {
+	sends := rumourSendFactor * t.sendCount()
+	for _, s := range r.StopNotices {
+		if t.stopNotices.add(now, s, sends) {
+			added.StopNotices = append(added.StopNotices, s)
 		}
 	}
-	for _, c := range r.Crashers {
-		if t.crashers.learn(now, c, sends) {
-			added.Crashers = append(added.Crashers, c)
+	for _, c := range r.CrashReports {
+		if t.crashReports.add(now, c, sends) {
+			added.CrashReports = append(added.CrashReports, c)
 		}
 	}
-	t.news = t.news || !added.empty()
+	t.pushPending = t.pushPending || !added.empty()
 	return added
 }
 
 // rumourSendFactor multiplies the sends of a rumour compared with a change of the view,
 // since no digest finds the entries that a rumour didn't reach.
-const rumourSpread = 2
+const rumourSendFactor = 2
--- a/pkg/member/table_test.go
+++ b/pkg/member/table_test.go
@@ -18,7 +18,7 @@
 func entry(name string, boot, sequence uint64, state member.State) member.Entry {
 	return member.Entry{
 		ID: member.ID{Name: name, Boot: boot}, Sequence: sequence, State: state, Since: epoch,
-		Caller: name + ":1", Peer: name + ":2", Place: "here", Region: "r",
+		CallerAddress: name + ":1", PeerAddress: name + ":2", Place: "here", Region: "r",
 	}
 }
 
@@ -96,10 +96,10 @@
 		check   func(c *qt.C, a *member.Table, got member.Message)
 	}{
 		{"unknown sender", nil, b, func(c *qt.C, _ *member.Table, got member.Message) {
-			c.Assert(got.Want, qt.DeepEquals, []string{"b"})
+			c.Assert(got.MissingAddresses, qt.DeepEquals, []string{"b"})
 		}},
 		{"unknown address", []member.Entry{entry("b", 1, 0, member.Alive), brief}, b, func(c *qt.C, _ *member.Table, got member.Message) {
-			c.Assert(got.Want, qt.DeepEquals, []string{"z"})
+			c.Assert(got.MissingAddresses, qt.DeepEquals, []string{"z"})
 		}},
 		{"accused", []member.Entry{entry("b", 1, 0, member.Alive), entry("b", 1, 0, member.Suspect)}, b, func(c *qt.C, _ *member.Table, got member.Message) {
 			c.Assert(got.Entries[0].ID, qt.Equals, b)
@@ -186,14 +186,14 @@
 			case 4:
 				k := pick.Draw(rt, "side")
 				f.Cut(func(a, b *fleet.Node) bool {
-					return a.Entry.Peer <= f.Nodes[k].Entry.Peer != (b.Entry.Peer <= f.Nodes[k].Entry.Peer)
+					return a.Entry.PeerAddress <= f.Nodes[k].Entry.PeerAddress != (b.Entry.PeerAddress <= f.Nodes[k].Entry.PeerAddress)
 				})
 			case 5:
-				f.Handle(n, member.Revised{Marks: member.Marks{Settings: n.Marks.Settings + 1}})
+				f.Handle(n, member.SetRevisions{Revisions: member.Revisions{Settings: n.Marks.Settings + 1}})
 			}
 			before := views(f)
 			f.Run(time.Duration(rapid.IntRange(0, 12_000).Draw(rt, "ms")) * time.Millisecond)
-			neverBack(rt, f, before)
+			assertNoRegression(rt, f, before)
 		}
 		f.Cut(nil)
 		for _, n := range f.Nodes {
@@ -213,7 +213,7 @@
 	return v
 }
 
-func neverBack(rt *rapid.T, f *fleet.Fleet, before []member.View) {
+func assertNoRegression(rt *rapid.T, f *fleet.Fleet, before []member.View) {
 	for i, n := range f.Nodes {
 		for _, old := range before[i].Entries {
 			e, ok := n.View.Find(old.ID.Name)
--- a/pkg/member/watch.go
+++ b/pkg/member/watch.go
@@ -4,41 +4,41 @@
 
 // maxRelays is the number of entries that are asked to ping an entry that did not
 // respond.
-const relays = 2
+const maxRelays = 2
 
-func (t *Table) noAnswer(now time.Time, id uint64) {
+func (t *Table) handleFailure(now time.Time, id uint64) {
 	ex, ok := t.exchanges[id]
 	if !ok {
 		return
 	}
 	delete(t.exchanges, id)
-	if ex.check != (ID{}) {
-		t.unreached(now, ex.check)
+	if ex.pinged != (ID{}) {
+		t.relayFailed(now, ex.pinged)
 		return
 	}
-	t.failed(now, ex.to.ID)
+	t.startIndirectCheck(now, ex.to.ID)
 }
 
 // startIndirectCheck checks an incarnation that did not respond, through relays.
-func (t *Table) failed(now time.Time, id ID) {
+func (t *Table) startIndirectCheck(now time.Time, id ID) {
 	r, ok := t.records[id.Name]
 	if !ok || r.ID != id || r == t.self {
 		return
 	}
 	if r.State == Dead {
-		t.returning = false
+		t.deadReturning = false
 	}
 	if r.State.Gone() || r.State == Suspect || t.checks[id] != nil {
 		return
 	}
-	via := t.relaysFor(r)
-	if len(via) == 0 || t.many() {
+	via := t.pickRelays(r)
+	if len(via) == 0 || t.massFailure() {
 		t.suspect(now, r)
 		return
 	}
-	t.checks[id] = &check{sequence: r.Sequence, left: len(via)}
+	t.checks[id] = &indirectCheck{sequence: r.Sequence, pendingRelays: len(via)}
 	for _, v := range via {
-		t.reach(v, r)
+		t.sendIndirectPing(v, r)
 	}
 }
 
@@ -49,47 +49,47 @@
 	// Suspects make up a mass failure if they are one in massFailureDivisor entries, and
 	// at least massFailureMinSuspects. Links that lose a tenth of their packets cause
 	// fewer suspects.
-	manyShare = 16
-	manyLeast = 3
+	massFailureDivisor     = 16
+	massFailureMinSuspects = 3
 	// massFailureSuccessors is the number of successors that are contacted when an
 	// entry becomes a suspect in a mass failure.
-	manyNext = 4
+	massFailureSuccessors = 4
 )
 
 // massFailure reports whether there are so many suspects that an entry that doesn't
 // respond is suspected at once, without an indirect check.
-func (t *Table) many() bool {
-	return t.suspects >= max(len(t.records)/manyShare, manyLeast)
+func (t *Table) massFailure() bool {
+	return t.suspects >= max(len(t.records)/massFailureDivisor, massFailureMinSuspects)
 }
 
-func (t *Table) reach(via, peer *record) {
-	t.exchange++
-	t.exchanges[t.exchange] = exchange{to: via.ref(), check: peer.ID}
-	t.act(Reach{Exchange: t.exchange, Via: via.ref(), Target: peer.ref(), Timeout: t.cfg.Relay})
+func (t *Table) sendIndirectPing(via, peer *record) {
+	t.lastExchange++
+	t.exchanges[t.lastExchange] = exchange{to: via.ref(), pinged: peer.ID}
+	t.emit(IndirectPing{ExchangeID: t.lastExchange, Via: via.ref(), Peer: peer.ref(), Timeout: t.cfg.RelayTimeout})
 }
 
-func (t *Table) reached(now time.Time, ev Reached) {
-	ex, ok := t.exchanges[ev.Exchange]
+func (t *Table) handleIndirectAck(now time.Time, ev IndirectAck) {
+	ex, ok := t.exchanges[ev.ExchangeID]
 	if !ok {
 		return
 	}
-	delete(t.exchanges, ev.Exchange)
-	if ev.ID == ex.check {
-		delete(t.checks, ex.check)
+	delete(t.exchanges, ev.ExchangeID)
+	if ev.ID == ex.pinged {
+		delete(t.checks, ex.pinged)
 		return
 	}
-	t.unreached(now, ex.check)
+	t.relayFailed(now, ex.pinged)
 }
 
 // relayFailed counts a relay that could not reach an incarnation. After the last one
 // the incarnation becomes a suspect, unless its sequence number has changed meanwhile.
-func (t *Table) unreached(now time.Time, id ID) {
+func (t *Table) relayFailed(now time.Time, id ID) {
 	c, ok := t.checks[id]
 	if !ok {
 		return
 	}
-	c.left--
-	if c.left > 0 {
+	c.pendingRelays--
+	if c.pendingRelays > 0 {
 		return
 	}
 	delete(t.checks, id)
@@ -101,9 +101,9 @@
 
 // pickRelays returns random relays for a peer, preferably from other places than the
 // peer's, since a place often fails as a whole.
-func (t *Table) relaysFor(peer *record) []*record {
+func (t *Table) pickRelays(peer *record) []*record {
 	var otherPlaces, samePlace []*record
-	for _, r := range t.peers().up {
+	for _, r := range t.peerGroups().reachable {
 		switch {
 		case r == peer || r.State != Alive:
 		case r.Place != peer.Place:
@@ -115,7 +115,7 @@
 	t.shuffle(otherPlaces)
 	t.shuffle(samePlace)
 	all := append(otherPlaces, samePlace...)
-	return all[:min(len(all), relays)]
+	return all[:min(len(all), maxRelays)]
 }
 
 func (t *Table) shuffle(rs []*record) {
--- a/pkg/owner/deal.go
+++ b/pkg/owner/deal.go
@@ -19,20 +19,20 @@
 //
 // The first owners of all hosts are assigned, spread over different entries, before any
 // host gets further owners. They are therefore independent of the owner counts.
-type Deal struct {
-	live   []Candidate
-	place  []int // index of each entry's place
-	places int
-	owned  []int            // for each entry, the hosts that it is a first owner of
-	first  map[string][]int // by host, as indexes into live
-	scores map[string][]uint64
+type Assignment struct {
+	live        []Candidate
+	placeIndex  []int // index of each entry's place
+	placeCount  int
+	ownedHosts  []int            // for each entry, the hosts that it is a first owner of
+	firstOwners map[string][]int // by host, as indexes into live
+	scores      map[string][]uint64
 }
 
 // New assigns the first owners of hosts.
-func New(live []Candidate, hosts []string) *Deal {
-	a := &Deal{
-		live: live, place: make([]int, len(live)), owned: make([]int, len(live)),
-		first: make(map[string][]int, len(hosts)), scores: make(map[string][]uint64, len(hosts)),
+func New(live []Candidate, hosts []string) *Assignment {
+	a := &Assignment{
+		live: live, placeIndex: make([]int, len(live)), ownedHosts: make([]int, len(live)),
+		firstOwners: make(map[string][]int, len(hosts)), scores: make(map[string][]uint64, len(hosts)),
 	}
 	indexes := make(map[string]int)
 	for i, c := range live {
@@ -41,51 +41,51 @@
 			n = len(indexes)
 			indexes[c.Place] = n
 		}
-		a.place[i] = n
+		a.placeIndex[i] = n
 	}
-	a.places = len(indexes)
+	a.placeCount = len(indexes)
 	for _, host := range slices.Sorted(slices.Values(hosts)) {
 		scores := make([]uint64, len(live))
 		for i := range live {
 			scores[i] = score(live[i].Name, host)
 		}
 		a.scores[host] = scores
-		a.first[host] = a.deal(host, nil, Least, a.owned)
+		a.firstOwners[host] = a.assign(host, nil, MinOwners, a.ownedHosts)
 	}
 	return a
 }
 
 // FirstOwners returns the owners of a host that are independent of its owner count. The
 // first of them decides the count.
-func (a *Deal) FirstOwners(host string) []Entry { return a.entries(a.first[host]) }
+func (a *Assignment) FirstOwners(host string) []Entry { return a.entries(a.firstOwners[host]) }
 
 // Owners returns the entries that each host's callers are sent to. counts holds the
 // owner count of each host; MinOwners applies if it is lower or missing.
-func (a *Deal) Owners(counts map[string]int) map[string][]Entry {
-	owned := slices.Clone(a.owned)
-	owners := make(map[string][]Entry, len(a.first))
-	for _, host := range slices.Sorted(maps.Keys(a.first)) {
-		owners[host] = a.entries(a.deal(host, a.first[host], counts[host], owned))
+func (a *Assignment) Owners(counts map[string]int) map[string][]Entry {
+	owned := slices.Clone(a.ownedHosts)
+	owners := make(map[string][]Entry, len(a.firstOwners))
+	for _, host := range slices.Sorted(maps.Keys(a.firstOwners)) {
+		owners[host] = a.entries(a.assign(host, a.firstOwners[host], counts[host], owned))
 	}
 	return owners
 }
 
 // CapacityShares yields the capacity that each entry has for a host, in the order in
 // which entries become its owners. Of the other hosts only the first owners count.
-func (a *Deal) Fit(host string) iter.Seq[float64] {
+func (a *Assignment) CapacityShares(host string) iter.Seq[float64] {
 	return func(yield func(float64) bool) {
-		owned := slices.Clone(a.owned)
-		first := a.first[host]
+		owned := slices.Clone(a.ownedHosts)
+		first := a.firstOwners[host]
 		for _, i := range first {
 			owned[i]--
 		}
 		for _, i := range first {
-			if !yield(a.spare(i, owned)) {
+			if !yield(a.capacityShare(i, owned)) {
 				return
 			}
 		}
-		for i := range a.rest(host, first, owned) {
-			if !yield(a.spare(i, owned)) {
+		for i := range a.remaining(host, first, owned) {
+			if !yield(a.capacityShare(i, owned)) {
 				return
 			}
 		}
@@ -93,12 +93,12 @@
 }
 
 // assign extends a host's owners to count entries and adds the new ones to owned.
-func (a *Deal) deal(host string, owners []int, count int, owned []int) []int {
+func (a *Assignment) assign(host string, owners []int, count int, owned []int) []int {
 	if len(owners) >= count {
 		return owners
 	}
 	owners = slices.Clone(owners)
-	for i := range a.rest(host, owners, owned) {
+	for i := range a.remaining(host, owners, owned) {
 		owners = append(owners, i)
 		if len(owners) == count {
 			break
@@ -109,13 +109,13 @@
 
 // remaining yields the entries that become owners of a host after its present owners,
 // in order. It adds each to owned after yielding it.
-func (a *Deal) rest(host string, owners, owned []int) iter.Seq[int] {
+func (a *Assignment) remaining(host string, owners, owned []int) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		taken := make([]bool, len(a.live))
-		places := make([]int, a.places)
+		places := make([]int, a.placeCount)
 		for _, i := range owners {
 			taken[i] = true
-			places[a.place[i]]++
+			places[a.placeIndex[i]]++
 		}
 		scores := a.scores[host]
 		for range len(a.live) - len(owners) {
@@ -128,7 +128,7 @@
 			next := yield(best)
 			taken[best] = true
 			owned[best]++
-			places[a.place[best]]++
+			places[a.placeIndex[best]]++
 			if !next {
 				return
 			}
@@ -139,18 +139,18 @@
 // compare orders two entries for a host, the better one first. It prefers failure
 // domains with fewer owners of the host: owners prefer nearby targets, so owners in
 // different failure domains prefer different targets.
-func (a *Deal) compare(i, j int, owned, places []int, scores []uint64) int {
+func (a *Assignment) compare(i, j int, owned, places []int, scores []uint64) int {
 	x, y := &a.live[i], &a.live[j]
-	if x.Strained != y.Strained {
-		return cmp.Compare(truth(x.Strained), truth(y.Strained))
+	if x.Overloaded != y.Overloaded {
+		return cmp.Compare(boolInt(x.Overloaded), boolInt(y.Overloaded))
 	}
-	if s, t := a.spare(i, owned), a.spare(j, owned); s != t {
+	if s, t := a.capacityShare(i, owned), a.capacityShare(j, owned); s != t {
 		return cmp.Compare(t, s)
 	}
 	if owned[i] != owned[j] {
 		return cmp.Compare(owned[i], owned[j])
 	}
-	if p, q := places[a.place[i]], places[a.place[j]]; p != q {
+	if p, q := places[a.placeIndex[i]], places[a.placeIndex[j]]; p != q {
 		return cmp.Compare(p, q)
 	}
 	if scores[i] != scores[j] {
@@ -160,11 +160,11 @@
 }
 
 // capacityShare returns the capacity that an entry would have for one more host.
-func (a *Deal) spare(i int, owned []int) float64 {
+func (a *Assignment) capacityShare(i int, owned []int) float64 {
 	return a.live[i].Capacity / float64(owned[i]+1)
 }
 
-func (a *Deal) entries(list []int) (entries []Entry) {
+func (a *Assignment) entries(list []int) (entries []Entry) {
 	for _, i := range list {
 		entries = append(entries, a.live[i].Entry)
 	}
--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -11,12 +11,12 @@
 
 // Entry is one incarnation of an entry.
 type Entry struct {
-	Name   string
-	Boot   uint64 // increases with each start
-	Front  string // host:port for callers
-	Peer   string // host:port for other entries, TCP and UDP
-	Place  string // failure domain
-	Region string
+	Name          string
+	Boot          uint64 // increases with each start
+	CallerAddress string // host:port for callers
+	PeerAddress   string // host:port for other entries, TCP and UDP
+	Place         string // failure domain
+	Region        string
 	// Capacity is in requests per second.
 	Capacity float64
 }
@@ -29,16 +29,16 @@
 // Candidate is a live entry.
 type Candidate struct {
 	Entry
-	Strained bool // reports that it can't keep up with its load
+	Overloaded bool // reports that it can't keep up with its load
 }
 
 // MinOwners is the least number of owners of a host. With a single owner, all callers
 // would wait until its death is detected; in a burst, a single owner was too busy even
 // to refuse the requests that it could not serve.
-const Least = 2
+const MinOwners = 2
 
 // TopRanked returns the first entries, up to most, in the order of Rank.
-func Order(live []Candidate, resource string, most int) (first []Entry) {
+func TopRanked(live []Candidate, resource string, most int) (first []Entry) {
 	var scores []uint64
 	for _, c := range live {
 		s := score(c.Name, resource)
@@ -57,7 +57,7 @@
 	return first
 }
 
-func truth(b bool) int {
+func boolInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -42,7 +42,7 @@
 	o := owners(entries(13), counts())
 	names := map[string]bool{}
 	for host, list := range o {
-		c.Assert(list, qt.HasLen, max(counts()[host], Least))
+		c.Assert(list, qt.HasLen, max(counts()[host], MinOwners))
 		places := map[string]bool{}
 		for _, e := range list {
 			names[e.Name] = true
@@ -63,17 +63,17 @@
 	for n := range 14 {
 		after := owners(live, map[string]int{"a": n, "b": 2, "c": 3})
 		for host, list := range before {
-			qt.Assert(t, after[host][:Least], qt.DeepEquals, list[:Least])
+			qt.Assert(t, after[host][:MinOwners], qt.DeepEquals, list[:MinOwners])
 		}
 	}
 }
 
 // An overloaded entry owns nothing while another entry isn't overloaded.
-func TestStrainedOwnsNothing(t *testing.T) {
+func TestOverloadedOwnsNothing(t *testing.T) {
 	live := entries(13)
 	first := owners(live, counts())["a"][0].Name
 	for i := range live {
-		live[i].Strained = live[i].Name == first
+		live[i].Overloaded = live[i].Name == first
 	}
 	qt.Assert(t, owners(live, counts())["a"][0].Name, qt.Not(qt.Equals), first)
 }
@@ -90,7 +90,7 @@
 }
 
 // A strong entry owns two hosts before a weak one owns any.
-func TestStrongOnesOwnSeveral(t *testing.T) {
+func TestStrongEntriesOwnSeveralHosts(t *testing.T) {
 	live := entries(13)
 	for i := range live {
 		live[i].Capacity = 100
@@ -99,7 +99,7 @@
 		}
 	}
 	for host, list := range owners(live, counts()) {
-		for _, e := range list[:Least] {
+		for _, e := range list[:MinOwners] {
 			qt.Assert(t, e.Capacity, qt.Equals, 640.0, qt.Commentf("%s: %s", host, e.Name))
 		}
 	}
@@ -135,10 +135,10 @@
 			}
 		})
 		b.Run(fmt.Sprint("number/", n), func(b *testing.B) {
-			var s Size
+			var s Sizer
 			now := time.Unix(1000, 0)
 			for b.Loop() {
-				s.Decide(now, 2000, New(live, hosts).Fit("a"))
+				s.Decide(now, 2000, New(live, hosts).CapacityShares("a"))
 			}
 		})
 	}
--- a/pkg/owner/size_test.go
+++ b/pkg/owner/size_test.go
@@ -11,7 +11,7 @@
 
 // Owners are added at once when the load needs them. They are removed one at a time,
 // and only when fewer have been enough for shrinkDelay.
-func TestSize(t *testing.T) {
+func TestSizer(t *testing.T) {
 	capacities := slices.Values([]float64{400, 300, 200, 200, 200, 200, 50})
 	tests := []struct {
 		at   time.Duration
@@ -33,7 +33,7 @@
 		{31 * time.Second, 10, 4},
 		{36 * time.Second, 10, 3},
 	}
-	var s Size
+	var s Sizer
 	start := time.Unix(1000, 0)
 	for _, tt := range tests {
 		qt.Assert(t, s.Decide(start.Add(tt.at), tt.load, capacities), qt.Equals, tt.want, qt.Commentf("at %v", tt.at))
@@ -43,11 +43,11 @@
 // A steady load is just at the limit where one more owner is needed, and its measured
 // rate varies by a tenth. The owner count may change at most once, since each change
 // sends callers to entries that have no data on the targets yet.
-func TestSizeOfASteadyLoad(t *testing.T) {
+func TestSteadyLoadKeepsOwnerCount(t *testing.T) {
 	capacities := slices.Values([]float64{96, 96, 96, 96})
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		var s Size
+		var s Sizer
 		now, changes, last := time.Unix(1000, 0), -1, 0
 		for range 4 * 60 {
 			now = now.Add(250 * time.Millisecond)
@@ -60,12 +60,12 @@
 }
 
 // The first owner dies. Its successor continues from the count that it has adopted.
-func TestNextFirstOwnerGoesOn(t *testing.T) {
-	var s Size
+func TestNextFirstOwnerKeepsCount(t *testing.T) {
+	var s Sizer
 	now := time.Unix(1000, 0)
-	qt.Assert(t, s.Hear(4), qt.Equals, 4)
-	qt.Assert(t, s.Hear(0), qt.Equals, 4, qt.Commentf("a new first owner has announced no count"))
+	qt.Assert(t, s.Adopt(4), qt.Equals, 4)
+	qt.Assert(t, s.Adopt(0), qt.Equals, 4, qt.Commentf("a new first owner has announced no count"))
 	capacities := slices.Values([]float64{100, 100, 100, 100, 100})
 	qt.Assert(t, s.Decide(now, 150, capacities), qt.Equals, 4)
-	qt.Assert(t, s.Decide(now.Add(lowTime), 150, capacities), qt.Equals, 3)
+	qt.Assert(t, s.Decide(now.Add(shrinkDelay), 150, capacities), qt.Equals, 3)
 }
--- a/pkg/roster/keepers_test.go
+++ b/pkg/roster/keepers_test.go
@@ -12,111 +12,111 @@
 
 // storeHistory is the history of a store: all changes, the current objects, and the
 // revision at which each deleted object was removed.
-type past struct {
-	changes []Change[string]
-	now     map[string]Item[string]
-	ended   map[string]Revision // names are never used twice
-	names   int
-	epoch   uint64
+type storeHistory struct {
+	changes   []Change[string]
+	current   map[string]Item[string]
+	deletedAt map[string]Revision // names are never used twice
+	names     int
+	epoch     uint64
 }
 
-func (h *past) at() Revision { return NewRevision(h.epoch, uint64(len(h.changes))) }
+func (h *storeHistory) revision() Revision { return NewRevision(h.epoch, uint64(len(h.changes))) }
 
-func (h *past) add(c Change[string]) {
-	c.Revision = h.at() + 1
+func (h *storeHistory) add(c Change[string]) {
+	c.Revision = h.revision() + 1
 	h.changes = append(h.changes, c)
 	if c.Deleted {
-		delete(h.now, c.Name)
-		h.ended[c.Name] = c.Revision
+		delete(h.current, c.Name)
+		h.deletedAt[c.Name] = c.Revision
 		return
 	}
-	h.now[c.Name] = c.Item
+	h.current[c.Name] = c.Item
 }
 
 // step adds a target, or lets one write a heartbeat, announce its stop or be removed.
-func (h *past) step(rnd *rand.Rand) {
-	names := slices.Sorted(maps.Keys(h.now))
+func (h *storeHistory) step(rnd *rand.Rand) {
+	names := slices.Sorted(maps.Keys(h.current))
 	if len(names) < 3 || rnd.IntN(6) == 0 {
 		h.names++
 		h.add(set(fmt.Sprint("t", h.names), 0, "r0"))
 		return
 	}
-	it := h.now[names[rnd.IntN(len(names))]]
+	it := h.current[names[rnd.IntN(len(names))]]
 	switch n := rnd.IntN(8); {
 	case n == 0:
 		h.add(del(it.Name, 0))
 	case n == 1:
 		h.add(set(it.Name, 0, "d"+it.Value[1:]))
 	default:
-		h.add(set(it.Name, 0, it.Value[:1]+fmt.Sprint(h.at())))
+		h.add(set(it.Name, 0, it.Value[:1]+fmt.Sprint(h.revision())))
 	}
 }
 
 // cluster is a set of rosters that read the store and pull from each other, with the
 // responses that are in transit.
-type fleet struct {
-	*past
-	keepers []*Roster[string]
-	coming  []func()
+type cluster struct {
+	*storeHistory
+	rosters   []*Roster[string]
+	inTransit []func()
 }
 
 // newTestRoster returns a roster that ignores all but the first byte of values.
-func keeper() *Roster[string] {
+func newTestRoster() *Roster[string] {
 	return New(func(a, b string) bool { return a[0] == b[0] })
 }
 
 // restart replaces a roster with an empty one. Responses to the earlier one are lost.
-func (c *fleet) restart(i int) { c.keepers[i] = keeper() }
+func (c *cluster) restart(i int) { c.rosters[i] = newTestRoster() }
 
-func (c *fleet) list(i int) {
-	r, at, items := c.keepers[i], c.at(), slices.Collect(maps.Values(c.now))
-	c.coming = append(c.coming, func() { r.Replace(items, at) })
+func (c *cluster) list(i int) {
+	r, at, items := c.rosters[i], c.revision(), slices.Collect(maps.Values(c.current))
+	c.inTransit = append(c.inTransit, func() { r.Replace(items, at) })
 }
 
-func (c *fleet) watch(i int) {
-	r := c.keepers[i]
-	if r.At() == 0 || r.At().Epoch() != c.epoch {
+func (c *cluster) watch(i int) {
+	r := c.rosters[i]
+	if r.Revision() == 0 || r.Revision().Epoch() != c.epoch {
 		c.list(i)
 		return
 	}
-	at, changes := c.at(), slices.Clone(c.changes[r.At().Position():])
-	c.coming = append(c.coming, func() { r.Told(changes, at) })
+	at, changes := c.revision(), slices.Clone(c.changes[r.Revision().Position():])
+	c.inTransit = append(c.inTransit, func() { r.Merge(changes, at) })
 }
 
-func (c *fleet) pull(i, j int) {
-	r, from := c.keepers[i], c.keepers[j]
-	if from.Moved() <= r.Moved() {
+func (c *cluster) pull(i, j int) {
+	r, from := c.rosters[i], c.rosters[j]
+	if from.LastChange() <= r.LastChange() {
 		return
 	}
-	at, lastChange := from.At(), from.Moved()
-	changes, ok := from.Since(r.Moved())
+	at, lastChange := from.Revision(), from.LastChange()
+	changes, ok := from.ChangesSince(r.LastChange())
 	items := slices.Collect(maps.Values(from.Items()))
-	c.coming = append(c.coming, func() {
+	c.inTransit = append(c.inTransit, func() {
 		if ok {
-			r.Told(changes, at)
+			r.Merge(changes, at)
 		} else {
 			r.Replace(items, at)
 		}
-		r.Reached(lastChange)
+		r.AdvanceLastChange(lastChange)
 	})
 }
 
-func (c *fleet) deliver(rnd *rand.Rand) {
-	if len(c.coming) == 0 {
+func (c *cluster) deliver(rnd *rand.Rand) {
+	if len(c.inTransit) == 0 {
 		return
 	}
-	n := rnd.IntN(len(c.coming))
-	c.coming[n]()
-	c.coming = slices.Delete(c.coming, n, n+1)
+	n := rnd.IntN(len(c.inTransit))
+	c.inTransit[n]()
+	c.inTransit = slices.Delete(c.inTransit, n, n+1)
 }
 
 // removedItem describes a target that a roster holds although it was removed within the
 // history that the roster knows.
-func (c *fleet) stale() string {
-	for i, r := range c.keepers {
+func (c *cluster) removedItem() string {
+	for i, r := range c.rosters {
 		for name := range r.Items() {
-			if end, ok := c.ended[name]; ok && end <= r.At() {
-				return fmt.Sprintf("roster %d has the history up to %d and holds %s, removed at %d", i, r.At(), name, end)
+			if end, ok := c.deletedAt[name]; ok && end <= r.Revision() {
+				return fmt.Sprintf("roster %d has the history up to %d and holds %s, removed at %d", i, r.Revision(), name, end)
 			}
 		}
 	}
@@ -134,16 +134,16 @@
 // Rosters list, watch, pull and restart in any order, with reordered responses. None may
 // hold an object that was removed within its known history, and in the end all hold what
 // the store holds.
-func TestKeepersHoldNothingThatIsGone(t *testing.T) {
+func TestRostersHoldNoRemovedItem(t *testing.T) {
 	const seeds, steps = 400, 300
 	for seed := range uint64(seeds) {
 		rnd := rand.New(rand.NewPCG(seed, 9))
-		c := &fleet{past: &past{now: make(map[string]Item[string]), ended: make(map[string]Revision)}}
+		c := &cluster{storeHistory: &storeHistory{current: make(map[string]Item[string]), deletedAt: make(map[string]Revision)}}
 		for range 4 {
-			c.keepers = append(c.keepers, keeper())
+			c.rosters = append(c.rosters, newTestRoster())
 		}
 		for step := range steps {
-			i, j := rnd.IntN(len(c.keepers)), rnd.IntN(len(c.keepers))
+			i, j := rnd.IntN(len(c.rosters)), rnd.IntN(len(c.rosters))
 			switch n := rnd.IntN(20); {
 			case n < 7:
 				c.step(rnd)
@@ -158,10 +158,10 @@
 			default:
 				c.deliver(rnd)
 			}
-			qt.Assert(t, c.stale(), qt.Equals, "", qt.Commentf("seed %d, step %d", seed, step))
+			qt.Assert(t, c.removedItem(), qt.Equals, "", qt.Commentf("seed %d, step %d", seed, step))
 		}
 		c.settle(rnd)
-		for i, r := range c.keepers {
+		for i, r := range c.rosters {
 			qt.Assert(t, values(r), qt.DeepEquals, c.values(), qt.Commentf("seed %d, roster %d", seed, i))
 		}
 	}
@@ -169,15 +169,15 @@
 
 // settle delivers all responses in transit, then lets one roster read the store and the
 // others pull from each other.
-func (c *fleet) settle(rnd *rand.Rand) {
-	for len(c.coming) > 0 {
+func (c *cluster) settle(rnd *rand.Rand) {
+	for len(c.inTransit) > 0 {
 		c.deliver(rnd)
 	}
 	c.watch(0)
 	c.deliver(rnd)
-	for range c.keepers {
-		for i := range c.keepers {
-			for j := range c.keepers {
+	for range c.rosters {
+		for i := range c.rosters {
+			for j := range c.rosters {
 				c.pull(i, j)
 				c.deliver(rnd)
 			}
@@ -185,9 +185,9 @@
 	}
 }
 
-func (h *past) values() map[string]byte {
+func (h *storeHistory) values() map[string]byte {
 	out := make(map[string]byte)
-	for name, it := range h.now {
+	for name, it := range h.current {
 		out[name] = it.Value[0]
 	}
 	return out
--- a/pkg/roster/lapse.go
+++ b/pkg/roster/lapse.go
@@ -10,27 +10,27 @@
 	OutageAge = 2 * time.Second
 	// RetentionTime is how long after the store's return expired records are retained.
 	// Their owners write them again within about 2 s.
-	ReturnTime = 2200 * time.Millisecond
+	RetentionTime = 2200 * time.Millisecond
 )
 
 // Vanished holds objects that vanished around an outage of the store, or in its restore
 // from a copy. Records that aren't renewed expire, and none can be renewed during an
 // outage. The store's list may therefore lack healthy objects when it returns. Without
 // the retained ones there might be no target left to send requests to.
-type Lapses[T any] struct {
+type Vanished[T any] struct {
 	items    map[string]Item[T]
 	until    map[string]time.Time // by name, the end of retention
 	returned time.Time            // of the store, after the last outage
 }
 
 // NewVanished returns an empty set of vanished objects.
-func NewLapses[T any]() *Lapses[T] {
-	return &Lapses[T]{items: make(map[string]Item[T]), until: make(map[string]time.Time)}
+func NewVanished[T any]() *Vanished[T] {
+	return &Vanished[T]{items: make(map[string]Item[T]), until: make(map[string]time.Time)}
 }
 
 // StoreAnswered records that the store answered when its data had reached an age, and
 // reports whether that counts as the end of an outage.
-func (v *Lapses[T]) Heard(now time.Time, age time.Duration) (outage bool) {
+func (v *Vanished[T]) StoreAnswered(now time.Time, age time.Duration) (outage bool) {
 	if age < OutageAge {
 		return false
 	}
@@ -39,28 +39,30 @@
 }
 
 // Removed takes an object that vanished and reports whether it is retained.
-func (v *Lapses[T]) Removed(now time.Time, it Item[T]) (retained bool) {
-	if v.returned.IsZero() || now.Sub(v.returned) >= ReturnTime {
+func (v *Vanished[T]) Removed(now time.Time, it Item[T]) (retained bool) {
+	if v.returned.IsZero() || now.Sub(v.returned) >= RetentionTime {
 		return false
 	}
-	v.keep(it, v.returned.Add(ReturnTime))
+	v.retain(it, v.returned.Add(RetentionTime))
 	return true
 }
 
 // MissingFromCopy retains an object that is missing from the copy that the store was
 // restored from. Its owner writes it again.
-func (v *Lapses[T]) Lost(now time.Time, it Item[T]) { v.keep(it, now.Add(ReturnTime)) }
+func (v *Vanished[T]) MissingFromCopy(now time.Time, it Item[T]) {
+	v.retain(it, now.Add(RetentionTime))
+}
 
-func (v *Lapses[T]) keep(it Item[T], until time.Time) {
+func (v *Vanished[T]) retain(it Item[T], until time.Time) {
 	v.items[it.Name] = it
 	v.until[it.Name] = until
 }
 
 // Awaiting reports whether any objects are still retained.
-func (v *Lapses[T]) Awaiting(now time.Time) bool { return len(v.Kept(now)) > 0 }
+func (v *Vanished[T]) Awaiting(now time.Time) bool { return len(v.Items(now)) > 0 }
 
 // Items returns the objects that are still retained.
-func (v *Lapses[T]) Kept(now time.Time) map[string]Item[T] {
+func (v *Vanished[T]) Items(now time.Time) map[string]Item[T] {
 	for name, until := range v.until {
 		if !now.Before(until) {
 			delete(v.items, name)
--- a/pkg/roster/restore_test.go
+++ b/pkg/roster/restore_test.go
@@ -17,55 +17,55 @@
 	c := qt.New(t)
 	r := New(func(a, b int) bool { return a == b })
 	r.Replace([]Item[int]{{"a", rev(1, 5), 1}, {"b", rev(1, 6), 1}}, rev(1, 10))
-	r.Told([]Change[int]{{Item[int]{Name: "a", Revision: rev(1, 12)}, true}}, rev(1, 12))
+	r.Merge([]Change[int]{{Item[int]{Name: "a", Revision: rev(1, 12)}, true}}, rev(1, 12))
 	c.Assert(r.Replace([]Item[int]{{"a", rev(2, 5), 1}, {"b", rev(2, 6), 1}}, rev(2, 8)), qt.IsTrue)
 	c.Assert(r.Revived("a"), qt.IsTrue)
 	c.Assert(r.Revived("b"), qt.IsFalse)
 	r.Replace([]Item[int]{{"a", rev(2, 5), 1}, {"b", rev(2, 6), 1}}, rev(2, 9))
 	c.Assert(r.Revived("a"), qt.IsTrue)
-	c.Assert(r.Told([]Change[int]{{Item[int]{"a", rev(2, 11), 1}, false}}, rev(2, 11)), qt.IsTrue)
+	c.Assert(r.Merge([]Change[int]{{Item[int]{"a", rev(2, 11), 1}, false}}, rev(2, 11)), qt.IsTrue)
 	c.Assert(r.Revived("a"), qt.IsFalse)
 }
 
 // A list of a new epoch counts as a change even if no object differs. Otherwise the
 // roster would not propagate the epoch, and the others would stay in the older one until
 // something changes.
-func TestNewEpochIsNews(t *testing.T) {
+func TestNewEpochIsAChange(t *testing.T) {
 	c := qt.New(t)
 	r := New(func(a, b int) bool { return a == b })
 	c.Assert(r.Replace([]Item[int]{{"a", rev(1, 5), 1}}, rev(1, 10)), qt.IsTrue)
 	c.Assert(r.Replace([]Item[int]{{"a", rev(2, 5), 1}}, rev(2, 8)), qt.IsTrue)
-	c.Assert(r.Moved(), qt.Equals, rev(2, 8))
-	_, ok := r.Since(rev(1, 10))
+	c.Assert(r.LastChange(), qt.Equals, rev(2, 8))
+	_, ok := r.ChangesSince(rev(1, 10))
 	c.Assert(ok, qt.IsFalse)
 }
 
 // restore restores the store from a copy that lacks the last changes. Everything that
 // is read from it after that belongs to a new epoch.
-func (h *past) restore(back int) {
+func (h *storeHistory) restore(back int) {
 	kept := len(h.changes) - min(back, len(h.changes))
 	h.epoch++
 	h.changes = slices.Clone(h.changes[:kept])
-	h.now, h.ended = make(map[string]Item[string]), make(map[string]Revision)
+	h.current, h.deletedAt = make(map[string]Item[string]), make(map[string]Revision)
 	for i := range h.changes {
 		c := &h.changes[i]
 		c.Revision = NewRevision(h.epoch, c.Revision.Position())
 		if c.Deleted {
-			delete(h.now, c.Name)
-			h.ended[c.Name] = c.Revision
+			delete(h.current, c.Name)
+			h.deletedAt[c.Name] = c.Revision
 			continue
 		}
-		h.now[c.Name] = c.Item
+		h.current[c.Name] = c.Item
 	}
 }
 
 // epochRegression describes a roster whose epoch has decreased.
-func (c *fleet) behind(epochs []uint64) string {
-	for i, r := range c.keepers {
-		if e := r.At().Epoch(); e < epochs[i] && r.At() > 0 {
+func (c *cluster) epochRegression(epochs []uint64) string {
+	for i, r := range c.rosters {
+		if e := r.Revision().Epoch(); e < epochs[i] && r.Revision() > 0 {
 			return fmt.Sprintf("roster %d went from epoch %d to %d", i, epochs[i], e)
 		}
-		epochs[i] = r.At().Epoch()
+		epochs[i] = r.Revision().Epoch()
 	}
 	return ""
 }
@@ -73,17 +73,17 @@
 // The store is restored from older copies while rosters list, watch, pull and restart,
 // with responses of several epochs in transit. A roster that takes an older epoch for the
 // newer one, or mixes them, holds objects that the store doesn't.
-func TestKeepersThroughRestores(t *testing.T) {
+func TestRostersAcrossRestores(t *testing.T) {
 	const seeds, steps = 400, 300
 	for seed := range uint64(seeds) {
 		rnd := rand.New(rand.NewPCG(seed, 13))
-		c := &fleet{past: &past{now: make(map[string]Item[string]), ended: make(map[string]Revision), epoch: 1}}
+		c := &cluster{storeHistory: &storeHistory{current: make(map[string]Item[string]), deletedAt: make(map[string]Revision), epoch: 1}}
 		for range 4 {
-			c.keepers = append(c.keepers, keeper())
+			c.rosters = append(c.rosters, newTestRoster())
 		}
-		epochs := make([]uint64, len(c.keepers))
+		epochs := make([]uint64, len(c.rosters))
 		for step := range steps {
-			i, j := rnd.IntN(len(c.keepers)), rnd.IntN(len(c.keepers))
+			i, j := rnd.IntN(len(c.rosters)), rnd.IntN(len(c.rosters))
 			switch n := rnd.IntN(20); {
 			case n < 7:
 				c.step(rnd)
@@ -100,10 +100,10 @@
 			default:
 				c.deliver(rnd)
 			}
-			qt.Assert(t, c.behind(epochs), qt.Equals, "", qt.Commentf("seed %d, step %d", seed, step))
+			qt.Assert(t, c.epochRegression(epochs), qt.Equals, "", qt.Commentf("seed %d, step %d", seed, step))
 		}
 		c.settle(rnd)
-		for i, r := range c.keepers {
+		for i, r := range c.rosters {
 			qt.Assert(t, values(r), qt.DeepEquals, c.values(), qt.Commentf("seed %d, roster %d, epoch %d", seed, i, c.epoch))
 		}
 	}
@@ -113,11 +113,11 @@
 // position.
 func TestRevisionOrder(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(rev(2, 1) > rev(1, MostPosition), qt.IsTrue)
+	c.Assert(rev(2, 1) > rev(1, MaxPosition), qt.IsTrue)
 	c.Assert(rev(0, 7), qt.Equals, Revision(7))
 	c.Assert(rev(3, 9).Epoch(), qt.Equals, uint64(3))
 	c.Assert(rev(3, 9).Position(), qt.Equals, uint64(9))
-	c.Assert(rev(MostEpoch+1, MostPosition+1), qt.Equals, rev(MostEpoch, MostPosition))
+	c.Assert(rev(MaxEpoch+1, MaxPosition+1), qt.Equals, rev(MaxEpoch, MaxPosition))
 }
 
 // Measures a merge without changes into a roster of 720 targets.
@@ -130,6 +130,6 @@
 	r.Replace(list, rev(1, 1000))
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Told(nil, rev(1, 1001))
+		r.Merge(nil, rev(1, 1001))
 	}
 }
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -27,18 +27,18 @@
 // A significant change is a deletion, a new object, or a new value for which same
 // returns false. Other changes, such as heartbeats, only raise an object's revision.
 type Roster[T any] struct {
-	same  func(a, b T) bool
-	items map[string]Item[T]
-	told  map[string]Revision // of the last significant change of each item
-	gone  map[string]Revision // deletions, so that late updates don't bring objects back
-	at    Revision
-	moved Revision // of the last significant change
+	same       func(a, b T) bool
+	items      map[string]Item[T]
+	changedAt  map[string]Revision // of the last significant change of each item
+	deletedAt  map[string]Revision // deletions, so that late updates don't bring objects back
+	revision   Revision
+	lastChange Revision // of the last significant change
 	// floor is the newest revision up to which deletions may be missing, because they
 	// were pruned or never received. ChangesSince covers only what came after it.
 	floor Revision
 	// epochBase is the revision of the first list in the current epoch. Objects with an
 	// older revision may come from the copy that the store was restored from.
-	base Revision
+	epochBase Revision
 	// revived are objects that were deleted in an older epoch and that a restore of the
 	// store from a copy brought back.
 	revived map[string]Revision
@@ -49,16 +49,16 @@
 func New[T any](same func(a, b T) bool) *Roster[T] {
 	return &Roster[T]{
 		same: same, items: make(map[string]Item[T]),
-		told: make(map[string]Revision), gone: make(map[string]Revision),
+		changedAt: make(map[string]Revision), deletedAt: make(map[string]Revision),
 		revived: make(map[string]Revision),
 	}
 }
 
 // Revision returns the revision up to which the history is known.
-func (r *Roster[T]) At() Revision { return r.at }
+func (r *Roster[T]) Revision() Revision { return r.revision }
 
 // LastChange returns the revision of the last significant change.
-func (r *Roster[T]) Moved() Revision { return r.moved }
+func (r *Roster[T]) LastChange() Revision { return r.lastChange }
 
 // Items returns a copy of the objects by name.
 func (r *Roster[T]) Items() map[string]Item[T] { return maps.Clone(r.items) }
@@ -67,7 +67,7 @@
 // Two rosters may record the same change at different revisions, if one of them
 // received only a later update of the object. Without this call each would take the
 // other to be newer forever.
-func (r *Roster[T]) Reached(revision Revision) { r.moved = max(r.moved, revision) }
+func (r *Roster[T]) AdvanceLastChange(revision Revision) { r.lastChange = max(r.lastChange, revision) }
 
 // Revived reports whether a deleted object was brought back by a restore of the store
 // from a copy and has not been written since.
@@ -84,16 +84,16 @@
 
 // ChangesSince returns the significant changes after revision since. ok is false if the
 // history doesn't reach back that far, so that the whole list is needed.
-func (r *Roster[T]) Since(since Revision) (changes []Change[T], ok bool) {
+func (r *Roster[T]) ChangesSince(since Revision) (changes []Change[T], ok bool) {
 	if since == 0 || since < r.floor {
 		return nil, false
 	}
-	for name, rev := range r.told {
+	for name, rev := range r.changedAt {
 		if rev > since {
 			changes = append(changes, Change[T]{Item: r.items[name]})
 		}
 	}
-	for name, rev := range r.gone {
+	for name, rev := range r.deletedAt {
 		if rev > since {
 			changes = append(changes, Change[T]{Item: Item[T]{Name: name, Revision: rev}, Deleted: true})
 		}
@@ -110,11 +110,11 @@
 // Merge merges the changes up to revision at from a sender that knows the whole history
 // up to it, and reports whether any was significant. If this roster knows a later part
 // of the history, an unknown object in the changes was deleted since and is ignored.
-func (r *Roster[T]) Told(changes []Change[T], at Revision) (changed bool) {
-	if at >= r.at {
+func (r *Roster[T]) Merge(changes []Change[T], at Revision) (changed bool) {
+	if at >= r.revision {
 		return r.Apply(changes, at)
 	}
-	return r.Apply(slices.DeleteFunc(slices.Clone(changes), r.ended), at)
+	return r.Apply(slices.DeleteFunc(slices.Clone(changes), r.endedSince), at)
 }
 
 // endedSince reports whether a change is for an object that was deleted since, within
@@ -122,9 +122,9 @@
 // show the objects that were created and deleted before it. When a removed target was
 // merged as a new one, it got requests until the next whole list, 2.5 s or more after
 // its removal, at every entry that received the change.
-func (r *Roster[T]) ended(c Change[T]) bool {
+func (r *Roster[T]) endedSince(c Change[T]) bool {
 	_, known := r.items[c.Name]
-	return !known && !c.Deleted && c.Revision <= r.at
+	return !known && !c.Deleted && c.Revision <= r.revision
 }
 
 // Apply applies changes in any order, after which the history is known up to revision
@@ -136,36 +136,36 @@
 			changed = true
 		}
 	}
-	r.at = max(r.at, at)
+	r.revision = max(r.revision, at)
 	return changed
 }
 
 func (r *Roster[T]) apply(c Change[T]) (changed bool) {
 	old, known := r.items[c.Name]
-	if known && old.Revision >= c.Revision || r.gone[c.Name] >= c.Revision {
+	if known && old.Revision >= c.Revision || r.deletedAt[c.Name] >= c.Revision {
 		return false
 	}
 	_, revived := r.revived[c.Name]
 	delete(r.revived, c.Name)
 	if c.Deleted {
 		delete(r.items, c.Name)
-		delete(r.told, c.Name)
-		r.gone[c.Name] = c.Revision
+		delete(r.changedAt, c.Name)
+		r.deletedAt[c.Name] = c.Revision
 		changed = known
 	} else {
-		if deleted := r.gone[c.Name]; deleted > 0 && deleted.Epoch() < c.Revision.Epoch() && c.Revision <= r.base {
+		if deleted := r.deletedAt[c.Name]; deleted > 0 && deleted.Epoch() < c.Revision.Epoch() && c.Revision <= r.epochBase {
 			r.revived[c.Name] = c.Revision
 		}
-		delete(r.gone, c.Name)
+		delete(r.deletedAt, c.Name)
 		r.items[c.Name] = c.Item
 		changed = !known || revived || !r.same(old.Value, c.Value)
 	}
 	if !changed {
 		return false
 	}
-	r.moved = max(r.moved, c.Revision)
+	r.lastChange = max(r.lastChange, c.Revision)
 	if !c.Deleted {
-		r.told[c.Name] = c.Revision
+		r.changedAt[c.Name] = c.Revision
 	}
 	return true
 }
@@ -182,41 +182,41 @@
 		listed[it.Name] = true
 		changes = append(changes, Change[T]{Item: it})
 	}
-	restored := r.at > 0 && at.Epoch() > r.at.Epoch()
+	restored := r.revision > 0 && at.Epoch() > r.revision.Epoch()
 	if restored {
-		r.base = at
+		r.epochBase = at
 		clear(r.revived)
 	}
-	if at > r.at {
+	if at > r.revision {
 		r.floor = max(r.floor, at)
 	}
-	if at >= r.at {
+	if at >= r.revision {
 		for name, it := range r.items {
 			if !listed[name] && it.Revision <= at {
 				changes = append(changes, Change[T]{Item: Item[T]{Name: name, Revision: at}, Deleted: true})
 			}
 		}
 	}
-	changed = r.Told(changes, at)
+	changed = r.Merge(changes, at)
 	if restored {
 		// A new epoch must reach all other entries, even if no object differs.
-		r.moved = max(r.moved, at)
+		r.lastChange = max(r.lastChange, at)
 	}
 	return changed || restored
 }
 
 // maxDeletions is the number of deletions that are remembered. It covers one day of a
 // site with some hundred objects.
-const keptGone = 1024
+const maxDeletions = 1024
 
 // PruneDeletions removes the older half of the deletions if there are more than
 // maxDeletions. An update that is older than a pruned deletion would bring its object
 // back until the next list, which a reader requests whenever it is unsure.
-func (r *Roster[T]) Forget() {
-	if len(r.gone) <= keptGone {
+func (r *Roster[T]) PruneDeletions() {
+	if len(r.deletedAt) <= maxDeletions {
 		return
 	}
-	revisions := slices.Sorted(maps.Values(r.gone))
+	revisions := slices.Sorted(maps.Values(r.deletedAt))
 	r.floor = revisions[len(revisions)/2]
-	maps.DeleteFunc(r.gone, func(_ string, rev Revision) bool { return rev <= r.floor })
+	maps.DeleteFunc(r.deletedAt, func(_ string, rev Revision) bool { return rev <= r.floor })
 }
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -74,17 +74,17 @@
 
 // A heartbeat writes a new revision without a significant change. It must not be sent
 // to the other entries.
-func TestHeartbeatMovesNothing(t *testing.T) {
+func TestHeartbeatIsNoChange(t *testing.T) {
 	r := New(func(a, b string) bool { return a[0] == b[0] })
 	r.Apply([]Change[string]{set("a", 1, "r1")}, 1)
 	qt.Assert(t, r.Apply([]Change[string]{set("a", 2, "r2")}, 2), qt.IsFalse)
-	qt.Assert(t, r.Moved(), qt.Equals, Revision(1))
-	qt.Assert(t, r.At(), qt.Equals, Revision(2))
+	qt.Assert(t, r.LastChange(), qt.Equals, Revision(1))
+	qt.Assert(t, r.Revision(), qt.Equals, Revision(2))
 }
 
 // An entry that lacks changes receives only these, and then holds what the sender
 // holds. Heartbeats are not sent. An entry that has nothing receives the whole list.
-func TestSince(t *testing.T) {
+func TestChangesSince(t *testing.T) {
 	same := func(a, b string) bool { return a[0] == b[0] }
 	rnd := rand.New(rand.NewPCG(2, 2))
 	for range 200 {
@@ -96,13 +96,13 @@
 			if rnd.IntN(10) > 0 {
 				continue
 			}
-			changes, ok := sender.Since(receiver.Moved())
-			qt.Assert(t, ok, qt.Equals, receiver.Moved() > 0)
+			changes, ok := sender.ChangesSince(receiver.LastChange())
+			qt.Assert(t, ok, qt.Equals, receiver.LastChange() > 0)
 			if !ok {
-				receiver.Replace(slices.Collect(maps.Values(sender.Items())), sender.At())
+				receiver.Replace(slices.Collect(maps.Values(sender.Items())), sender.Revision())
 				continue
 			}
-			receiver.Apply(changes, sender.At())
+			receiver.Apply(changes, sender.Revision())
 			qt.Assert(t, values(receiver), qt.DeepEquals, values(sender))
 		}
 	}
@@ -116,34 +116,34 @@
 	return out
 }
 
-func TestSinceLeavesHeartbeatsOut(t *testing.T) {
+func TestChangesSinceExcludesHeartbeats(t *testing.T) {
 	r := New(func(a, b string) bool { return a[0] == b[0] })
 	r.Apply([]Change[string]{set("a", 1, "r1"), set("b", 2, "r1"), set("a", 3, "r2")}, 3)
-	changes, ok := r.Since(1)
+	changes, ok := r.ChangesSince(1)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, changes, qt.DeepEquals, []Change[string]{set("b", 2, "r1")})
 }
 
 // Targets are added and removed as long as an entry runs. The number of remembered
 // deletions stays bounded, and ChangesSince fails for a revision before pruned ones.
-func TestForget(t *testing.T) {
+func TestPruneDeletions(t *testing.T) {
 	r := New(same)
-	for rev := Revision(1); rev <= 10*keptGone; rev += 2 {
+	for rev := Revision(1); rev <= 10*maxDeletions; rev += 2 {
 		name := fmt.Sprint(rev)
 		r.Apply([]Change[string]{set(name, rev, "x"), del(name, rev+1)}, rev+1)
-		r.Forget()
+		r.PruneDeletions()
 	}
-	qt.Assert(t, len(r.gone) <= keptGone, qt.IsTrue)
-	_, ok := r.Since(1)
+	qt.Assert(t, len(r.deletedAt) <= maxDeletions, qt.IsTrue)
+	_, ok := r.ChangesSince(1)
 	qt.Assert(t, ok, qt.IsFalse)
-	_, ok = r.Since(r.At() - 10)
+	_, ok = r.ChangesSince(r.Revision() - 10)
 	qt.Assert(t, ok, qt.IsTrue)
 }
 
 // Records expire during an outage of the store. After its return they are retained as
 // long as their owners may take to write them again, and are removed after that. A
 // record that vanishes at any other time is removed at once.
-func TestLapses(t *testing.T) {
+func TestVanished(t *testing.T) {
 	start := time.Unix(100, 0)
 	tests := []struct {
 		name    string
@@ -155,14 +155,14 @@
 		{"no outage", time.Second, 0, 0, 0},
 		{"outage", 4 * time.Second, 0, time.Second, 1},
 		{"vanishes soon after the return", 4 * time.Second, time.Second, time.Second, 1},
-		{"still missing after its time", 4 * time.Second, 0, ReturnTime, 0},
-		{"vanishes later", 4 * time.Second, ReturnTime, ReturnTime, 0},
+		{"still missing after its time", 4 * time.Second, 0, RetentionTime, 0},
+		{"vanishes later", 4 * time.Second, RetentionTime, RetentionTime, 0},
 	}
 	for _, tt := range tests {
-		v := NewLapses[string]()
-		v.Heard(start, tt.age)
+		v := NewVanished[string]()
+		v.StoreAnswered(start, tt.age)
 		v.Removed(start.Add(tt.removed), Item[string]{Name: "a"})
-		qt.Assert(t, v.Kept(start.Add(tt.checked)), qt.HasLen, tt.want, qt.Commentf("%s", tt.name))
+		qt.Assert(t, v.Items(start.Add(tt.checked)), qt.HasLen, tt.want, qt.Commentf("%s", tt.name))
 	}
 }
 
@@ -191,18 +191,18 @@
 			// gone is removed at 5, b comes at 6.
 			list := []Item[string]{{"a", 1, "ready"}, {"b", 6, "ready"}}
 			lister.Replace(list, 7)
-			changes, ok := lister.Since(other.Moved())
+			changes, ok := lister.ChangesSince(other.LastChange())
 			if ok {
-				other.Apply(changes, lister.At())
+				other.Apply(changes, lister.Revision())
 			} else {
-				other.Replace(slices.Collect(maps.Values(lister.Items())), lister.At())
+				other.Replace(slices.Collect(maps.Values(lister.Items())), lister.Revision())
 			}
 			_, known := other.Get("gone")
 			c.Assert(known, qt.IsFalse)
 			_, known = other.Get("b")
 			c.Assert(known, qt.IsTrue)
 			lister.Apply([]Change[string]{set("c", 8, "ready")}, 8)
-			_, ok = lister.Since(7)
+			_, ok = lister.ChangesSince(7)
 			c.Assert(ok, qt.IsTrue)
 		})
 	}
@@ -231,10 +231,10 @@
 					second.Replace(tt.before, 2)
 				}
 				second.Replace([]Item[string]{{"a", 1, "ready"}, {"b", 6, "ready"}}, 7)
-				if changes, ok := first.Since(1); ok && !whole {
-					second.Told(changes, first.At())
+				if changes, ok := first.ChangesSince(1); ok && !whole {
+					second.Merge(changes, first.Revision())
 				} else {
-					second.Replace(slices.Collect(maps.Values(first.Items())), first.At())
+					second.Replace(slices.Collect(maps.Values(first.Items())), first.Revision())
 				}
 				_, back := second.Get("brief")
 				qt.Check(t, back, qt.IsFalse, qt.Commentf("whole list: %v", whole))
@@ -247,13 +247,13 @@
 
 // Changes from another entry are merged if they are newer than the known state: a
 // target that is added, one that changes, and one that is removed.
-func TestTold(t *testing.T) {
+func TestMerge(t *testing.T) {
 	r := New(same)
 	r.Apply([]Change[string]{set("a", 1, "ready"), set("b", 2, "ready")}, 4)
-	qt.Assert(t, r.Told([]Change[string]{set("a", 5, "draining"), del("b", 6), set("c", 7, "ready")}, 8), qt.IsTrue)
+	qt.Assert(t, r.Merge([]Change[string]{set("a", 5, "draining"), del("b", 6), set("c", 7, "ready")}, 8), qt.IsTrue)
 	qt.Assert(t, r.Items(), qt.DeepEquals, map[string]Item[string]{"a": {"a", 5, "draining"}, "c": {"c", 7, "ready"}})
-	qt.Assert(t, r.At(), qt.Equals, Revision(8))
-	qt.Assert(t, r.Told([]Change[string]{del("a", 3)}, 4), qt.IsFalse)
+	qt.Assert(t, r.Revision(), qt.Equals, Revision(8))
+	qt.Assert(t, r.Merge([]Change[string]{del("a", 3)}, 4), qt.IsFalse)
 	// The removal is within the known history, but was not received before.
-	qt.Assert(t, r.Told([]Change[string]{del("c", 8)}, 8), qt.IsTrue)
+	qt.Assert(t, r.Merge([]Change[string]{del("c", 8)}, 8), qt.IsTrue)
 }
--- a/pkg/route/config.go
+++ b/pkg/route/config.go
@@ -18,36 +18,36 @@
 // Route defines how the requests for one host and path prefix are served.
 type Route struct {
 	Name       string
-	Host       string        // compared without case and port
-	Prefix     string        // begins and ends with a slash
-	Idempotent bool          // a request may be run twice without harm
-	Timeout    time.Duration // longest time to a final response
-	Objective  time.Duration // a response within it is worth its full credit
-	Priority   int           // rank among the routes of a service, 0 first
-	Attempts   int           // targets that one request may be sent to
-	Homes      []string      // regions whose targets may serve it; empty for all
-	Parts      []Part        // empty if it isn't known which service may serve it
+	Host       string            // compared without case and port
+	Prefix     string            // begins and ends with a slash
+	Idempotent bool              // a request may be run twice without harm
+	Timeout    time.Duration     // longest time to a final response
+	Objective  time.Duration     // a response within it is worth its full credit
+	Priority   int               // rank among the routes of a service, 0 first
+	Attempts   int               // targets that one request may be sent to
+	Regions    []string          // regions whose targets may serve it; empty for all
+	Services   []WeightedService // empty if it isn't known which service may serve it
 }
 
 // WeightedService is a service with its weight in a route.
-type Part struct {
+type WeightedService struct {
 	Service string
 	Weight  int
 }
 
 // Service is a group of interchangeable targets.
 type Service struct {
-	Name   string
-	Health string // path of the health endpoint
+	Name       string
+	HealthPath string // path of the health endpoint
 	// WarmupTime is how long a target is cold after its start, and WarmupRate the
 	// requests per second that it can serve while it is cold; 0 means unspecified.
-	Warmup   time.Duration
-	WarmRate float64
+	WarmupTime time.Duration
+	WarmupRate float64
 }
 
 // Limits bound the size of a caller's requests and the time that a connection may idle.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	IdleTime    time.Duration // callers reuse connections for up to four fifths of it
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	IdleTimeout    time.Duration // callers reuse connections for up to four fifths of it
 }
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -7,13 +7,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func one(service string) []Part { return []Part{{Service: service, Weight: 1}} }
+func one(service string) []WeightedService { return []WeightedService{{Service: service, Weight: 1}} }
 
 func TestFind(t *testing.T) {
 	table := New(Config{Routes: []Route{
-		{Name: "short", Host: "veil.example", Prefix: "/a/", Parts: one("s")},
-		{Name: "long", Host: "veil.example", Prefix: "/a/b/", Parts: one("s")},
-		{Name: "other", Host: "gown.example", Prefix: "/", Parts: one("s")},
+		{Name: "short", Host: "veil.example", Prefix: "/a/", Services: one("s")},
+		{Name: "long", Host: "veil.example", Prefix: "/a/b/", Services: one("s")},
+		{Name: "other", Host: "gown.example", Prefix: "/", Services: one("s")},
 	}}, nil)
 	tests := []struct {
 		name, host, path, want string
@@ -41,8 +41,8 @@
 // configuration that keep the split.
 func TestSplit(t *testing.T) {
 	c := qt.New(t)
-	services := []Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
-	cfg := Config{Version: 1, Routes: []Route{{Name: "r", Host: "h", Prefix: "/", Parts: services}}}
+	services := []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
+	cfg := Config{Version: 1, Routes: []Route{{Name: "r", Host: "h", Prefix: "/", Services: services}}}
 	table := New(cfg, nil)
 	count := map[string]int{}
 	for i := 1; i <= 500; i++ {
@@ -58,9 +58,9 @@
 
 func TestHosts(t *testing.T) {
 	table := New(Config{Routes: []Route{
-		{Name: "a", Host: "H.example", Prefix: "/a/", Parts: one("s1")},
-		{Name: "b", Host: "h.example:80", Prefix: "/b/", Parts: one("s1")},
-		{Name: "c", Host: "g", Prefix: "/", Parts: one("s2")},
+		{Name: "a", Host: "H.example", Prefix: "/a/", Services: one("s1")},
+		{Name: "b", Host: "h.example:80", Prefix: "/b/", Services: one("s1")},
+		{Name: "c", Host: "g", Prefix: "/", Services: one("s2")},
 	}}, nil)
 	hosts := table.Hosts()
 	slices.Sort(hosts)
@@ -70,7 +70,7 @@
 		known      bool
 	}{{"h.EXAMPLE:8080", "h.example", true}, {"g", "g", true}, {"x", "x", false}}
 	for _, tt := range tests {
-		name, known := table.Host(tt.host)
+		name, known := table.LookupHost(tt.host)
 		qt.Assert(t, name, qt.Equals, tt.name)
 		qt.Assert(t, known, qt.Equals, tt.known)
 	}
--- a/pkg/route/split.go
+++ b/pkg/route/split.go
@@ -10,44 +10,44 @@
 // within one request of its share. With a random choice the error would be about the
 // square root of the number of requests, which is too much in a small sample.
 type Split struct {
-	mu     sync.Mutex
-	parts  []Part
-	credit []int
-	total  int
+	mu          sync.Mutex
+	services    []WeightedService
+	credit      []int
+	totalWeight int
 }
 
 // NewSplit returns a split among services.
-func NewSplit(services []Part) *Split {
-	s := &Split{parts: services, credit: make([]int, len(services))}
+func NewSplit(services []WeightedService) *Split {
+	s := &Split{services: services, credit: make([]int, len(services))}
 	for _, ws := range services {
-		s.total += ws.Weight
+		s.totalWeight += ws.Weight
 	}
 	return s
 }
 
 // same reports whether the split has the same services and weights.
-func (s *Split) same(services []Part) bool {
-	return slices.Equal(s.parts, services)
+func (s *Split) same(services []WeightedService) bool {
+	return slices.Equal(s.services, services)
 }
 
 // Next returns the name of the service for the next request, or an empty string if
 // there is none.
 func (s *Split) Next() string {
-	switch len(s.parts) {
+	switch len(s.services) {
 	case 0:
 		return ""
 	case 1:
-		return s.parts[0].Service
+		return s.services[0].Service
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	best := 0
-	for i, ws := range s.parts {
+	for i, ws := range s.services {
 		s.credit[i] += ws.Weight
 		if s.credit[i] > s.credit[best] {
 			best = i
 		}
 	}
-	s.credit[best] -= s.total
-	return s.parts[best].Service
+	s.credit[best] -= s.totalWeight
+	return s.services[best].Service
 }
--- a/pkg/route/table.go
+++ b/pkg/route/table.go
@@ -13,14 +13,14 @@
 // Table finds the route of a request. It is immutable and safe for concurrent use.
 type Table struct {
 	Config Config
-	hosts  map[string][]*Entry // longest prefix first
+	hosts  map[string][]*ActiveRoute // longest prefix first
 }
 
 // ActiveRoute is a route with the state that is kept across configurations.
-type Entry struct {
-	Route    // its host in lower case and without port
-	Split    *Split
-	Patience *call.WaitEstimator
+type ActiveRoute struct {
+	Route         // its host in lower case and without port
+	Split         *Split
+	WaitEstimator *call.WaitEstimator
 }
 
 // New builds the table of a configuration. A route that is in old keeps what was
@@ -28,14 +28,14 @@
 // split that restarted with each version would send the first request after each to
 // the same service.
 func New(cfg Config, old *Table) *Table {
-	t := &Table{Config: cfg, hosts: make(map[string][]*Entry)}
+	t := &Table{Config: cfg, hosts: make(map[string][]*ActiveRoute)}
 	active := old.routes()
 	for _, r := range cfg.Routes {
 		r.Host = canonical(r.Host)
-		e := &Entry{Route: r, Split: NewSplit(r.Parts), Patience: new(call.WaitEstimator)}
+		e := &ActiveRoute{Route: r, Split: NewSplit(r.Services), WaitEstimator: new(call.WaitEstimator)}
 		if previous := active[r.Name]; previous != nil {
-			e.Patience = previous.Patience
-			if previous.Split.same(r.Parts) {
+			e.WaitEstimator = previous.WaitEstimator
+			if previous.Split.same(r.Services) {
 				e.Split = previous.Split
 			}
 		}
@@ -47,8 +47,8 @@
 	return t
 }
 
-func (t *Table) routes() map[string]*Entry {
-	routes := make(map[string]*Entry)
+func (t *Table) routes() map[string]*ActiveRoute {
+	routes := make(map[string]*ActiveRoute)
 	if t == nil {
 		return routes
 	}
@@ -61,7 +61,7 @@
 }
 
 // Find returns the route of a host with the longest prefix that matches path, or nil.
-func (t *Table) Find(host, path string) *Entry {
+func (t *Table) Find(host, path string) *ActiveRoute {
 	for _, e := range t.hosts[canonical(host)] {
 		if strings.HasPrefix(path, e.Prefix) {
 			return e
@@ -74,19 +74,19 @@
 // without a restriction to regions are ignored; the result is empty if all are. If no
 // region serves all the routes, Regions returns the regions of any of them, since
 // callers look up a host and not a route.
-func (t *Table) Homes(host string) []string {
+func (t *Table) Regions(host string) []string {
 	var common, all []string
 	first := true
 	for _, e := range t.hosts[host] {
-		if len(e.Homes) == 0 {
+		if len(e.Regions) == 0 {
 			continue
 		}
-		all = append(all, e.Homes...)
+		all = append(all, e.Regions...)
 		if first {
-			common, first = slices.Clone(e.Homes), false
+			common, first = slices.Clone(e.Regions), false
 			continue
 		}
-		common = slices.DeleteFunc(common, func(r string) bool { return !slices.Contains(e.Homes, r) })
+		common = slices.DeleteFunc(common, func(r string) bool { return !slices.Contains(e.Regions, r) })
 	}
 	if len(common) > 0 {
 		return common
@@ -101,7 +101,7 @@
 
 // LookupHost returns the canonical name of a host, in lower case and without port, and
 // whether it has routes.
-func (t *Table) Host(host string) (name string, known bool) {
+func (t *Table) LookupHost(host string) (name string, known bool) {
 	name = canonical(host)
 	_, known = t.hosts[name]
 	return name, known
