--- a/gateway.go
+++ b/gateway.go
@@ -57,7 +57,7 @@
 	stdlog.SetFlags(0)
 	stdlog.SetOutput(handler.Writer("net/http"))
 	g, err := gateway.New(gateway.Config{
-		Settings: s, Boot: uint64(time.Now().UnixNano()), Metrics: port, Log: logger.WithField("entry", s.Name),
+		Settings: s, Boot: uint64(time.Now().UnixNano()), MetricsPort: port, Log: logger.WithField("entry", s.Name),
 	})
 	if err != nil {
 		return err
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -12,16 +12,16 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-var errImproper = errors.New("invalid response: no signature, wrong request ID or disallowed status")
+var errInvalidResponse = errors.New("invalid response: no signature, wrong request ID or disallowed status")
 
 // validResponse reports whether a response may be forwarded. A success needs the target's
 // signature and the ID of this request. A status that callers take to mean that the
 // request did not run needs the target's confirmation (platform.NotRun).
-func (q *request) proper(resp *forward.Answer) bool {
+func (q *request) validResponse(resp *forward.Answer) bool {
 	switch {
 	case platform.NotRun(resp.Status, resp.Header):
 		return true
-	case resp.Status < http.StatusOK || promises(resp.Status):
+	case resp.Status < http.StatusOK || impliesNotRun(resp.Status):
 		return false
 	case resp.Status < http.StatusMultipleChoices:
 		return platform.Signed(resp.Header) && platform.RequestID(resp.Header) == q.id
@@ -31,7 +31,7 @@
 
 // impliesNotRun reports whether callers take a status to mean that the request did not
 // run and never will.
-func promises(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -40,13 +40,13 @@
 }
 
 // forwardResponse sends the response of a dispatch to the caller.
-func (q *request) pass(i int) {
-	d := &q.tries[i]
-	resp := d.answer
-	d.answer = nil
-	q.service.counts.answered.Inc(1)
-	q.service.counts.latency.RecordDuration(time.Since(q.arrived))
-	q.logAnswer(d, resp.Status, resp.Connect)
+func (q *request) forwardResponse(i int) {
+	d := &q.dispatches[i]
+	resp := d.response
+	d.response = nil
+	q.service.instruments.forwarded.Inc(1)
+	q.service.instruments.latency.RecordDuration(time.Since(q.arrived))
+	q.logResponse(d, resp.Status, resp.Connect)
 	for _, name := range platform.TargetsOnly {
 		resp.Header.Del(name)
 	}
@@ -55,17 +55,17 @@
 	}
 	forward.Copy(q.w, resp, func(f *forward.Failure) {
 		if f != nil {
-			q.gateway.log.WithFields(q.fields()).WithError(f.Cause).Info("response to the caller broke off")
+			q.gateway.log.WithFields(q.logFields()).WithError(f.Cause).Info("response to the caller broke off")
 			return
 		}
 		if resp.Body != nil {
-			q.clear(time.Now(), d, resp.Status)
+			q.clearSuspicion(time.Now(), d, resp.Status)
 		}
 	})
 }
 
 // respondFailed sends the caller the final error when no target's response is forwarded.
-func (q *request) giveUp() {
+func (q *request) respondFailed() {
 	final := q.call.Final()
 	switch {
 	case q.r.Context().Err() != nil:
@@ -75,16 +75,16 @@
 		reason := string(final.Reason)
 		retry := final.RetryAfter
 		switch {
-		case q.refused.Kind != 0:
-			reason = q.refused.Reason.String()
+		case q.refusal.Kind != 0:
+			reason = q.refusal.Reason.String()
 		case final.Reason == call.ReasonShed:
-			retry = q.service.back(time.Now())
+			retry = q.service.retryAfter(time.Now())
 		}
 		q.refuse(reason, retry)
 	case final.Reason == call.ReasonTimeout || final.Reason == call.ReasonDeadline:
-		q.final(http.StatusGatewayTimeout, string(final.Reason))
+		q.respond(http.StatusGatewayTimeout, string(final.Reason))
 	default:
-		q.final(http.StatusBadGateway, string(final.Reason))
+		q.respond(http.StatusBadGateway, string(final.Reason))
 	}
 }
 
@@ -93,14 +93,14 @@
 	if retry > 0 {
 		platform.RetryAfter(q.w.Header(), retry)
 	}
-	q.final(http.StatusServiceUnavailable, reason)
+	q.respond(http.StatusServiceUnavailable, reason)
 }
 
 // respond sends an error response that comes from this entry and not from a target.
-func (q *request) final(status int, reason string) {
+func (q *request) respond(status int, reason string) {
 	q.logFinal(status, reason)
 	if q.service != nil {
-		q.service.counts.final(reason).Inc(1)
+		q.service.instruments.errorResponses(reason).Inc(1)
 	}
 	q.w.Header().Set(call.HeaderReason, reason)
 	q.w.Header().Set("Content-Length", "0")
--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/answer_test.go
@@ -63,7 +63,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			w := newWorld(t, site{targets: 2, kind: tt.kind, timeout: "600ms"})
 			e := w.entry("a").settled()
-			earn(e)
+			fillRetryBudget(e)
 			var first atomic.Bool
 			for _, k := range w.workers {
 				k.Fail(func(r *http.Request) worker.Fault {
@@ -85,7 +85,7 @@
 }
 
 // fillRetryBudget makes enough requests for the retry budget to allow a retry.
-func earn(e *entry) {
+func fillRetryBudget(e *entry) {
 	for range 30 {
 		e.call("GET", "/a/earn", "")
 	}
@@ -94,7 +94,7 @@
 // A target sends a second response to an earlier request. It arrives on the connection
 // when the response to the next request is due, and differs only by its request ID. No
 // caller may receive it.
-func TestSecondAnswerReachesNobody(t *testing.T) {
+func TestExtraResponseIsDiscarded(t *testing.T) {
 	for _, delay := range []time.Duration{0, 3 * time.Millisecond} {
 		w := newWorld(t, site{targets: 1})
 		e := w.entry("a").settled()
@@ -124,7 +124,7 @@
 
 // A caller closes its connection while the target processes its request. The connection
 // to the target must be closed too, or the request would keep its slot occupied.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnectClosesTargetConnection(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	e := w.entry("a").settled()
 	w.workers[0].Work(2 * time.Second)
@@ -159,15 +159,15 @@
 	c.Assert(err, qt.IsNil)
 	defer served.Close()
 	r := httptest.NewRequest("GET", "/a/x", nil)
-	r = r.WithContext(withConn(r.Context(), served))
-	c.Assert(gone(r), qt.IsFalse)
+	r = r.WithContext(withCallerConn(r.Context(), served))
+	c.Assert(callerClosed(r), qt.IsFalse)
 	_, err = caller.Write([]byte("GET /a/next"))
 	c.Assert(err, qt.IsNil)
-	c.Assert(gone(r), qt.IsFalse)
+	c.Assert(callerClosed(r), qt.IsFalse)
 	_, err = io.ReadFull(served, make([]byte, len("GET /a/next")))
 	c.Assert(err, qt.IsNil)
 	caller.Close()
-	for end := time.Now().Add(bound); !gone(r); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(bound); !callerClosed(r); time.Sleep(time.Millisecond) {
 		c.Assert(time.Now().Before(end), qt.IsTrue)
 	}
 }
@@ -207,7 +207,7 @@
 			near, far := net.Pipe()
 			defer far.Close()
 			defer near.Close()
-			i := newIdlers()
+			i := newIdleCloser()
 			for _, s := range tt.states {
 				i.track(near, s, limit)
 			}
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -15,21 +15,21 @@
 	// retryShareMargin scales down the share of retries and hedges that the platform
 	// allows, so that all entries together stay below it: requests at the edge of a
 	// window are counted late.
-	retryMargin = 0.85
+	retryShareMargin = 0.85
 	// burstDivisor divides an entry's part of the slack. The budget keeps two buckets,
 	// and half is reserved for entries that do not receive each other's reports and for
 	// entries whose callers have just moved to others.
-	burstParts = 4
+	burstDivisor = 4
 	// maxBurstShare is the largest share of the traffic on which an entry bases its
 	// burst. An entry that is cut off from all others sees itself as serving all of it.
-	burstShare = 0.5
+	maxBurstShare = 0.5
 )
 
 // retryBudget returns this entry's part of the budget that all entries share. Its own
 // requests fill it; shareRetries sets how much it may save up.
 func retryBudget(b platform.Bounds) *call.Budget {
 	budget := call.NewBudget(call.BudgetConfig{Burst: 1})
-	budget.SetRetryShare(b.RetryShare * retryMargin)
+	budget.SetRetryShare(b.RetryShare * retryShareMargin)
 	return budget
 }
 
@@ -39,7 +39,7 @@
 // part of it would go to entries without callers, and an entry that knows few others
 // would take too much. When 123 entries started together, they took seven times the slack.
 func retryBurst(b platform.Bounds, share float64) int {
-	return int(float64(b.RetrySlack) * min(share, burstShare) / burstParts)
+	return int(float64(b.RetrySlack) * min(share, maxBurstShare) / burstDivisor)
 }
 
 // shareRetries updates the retry budgets of all services: the ratio from the settings and
@@ -51,7 +51,7 @@
 	if aged {
 		c.aged = now
 	}
-	share := c.share()
+	share := c.trafficShare()
 	burst := retryBurst(b, share)
 	for _, s := range c.services {
 		s.shareRetries(b.RetryShare, burst, aged)
@@ -59,27 +59,27 @@
 	for _, s := range c.dropped {
 		s.shareRetries(b.RetryShare, burst, aged)
 	}
-	c.logRetries(retryShare{part: share, ratio: b.RetryShare, burst: burst})
+	c.logRetryShare(retryShare{trafficShare: share, ratio: b.RetryShare, burst: burst})
 }
 
 func (s *service) shareRetries(ratio float64, burst int, aged bool) {
 	if aged {
 		s.budget.StartPeriod()
 	}
-	s.budget.SetRetryShare(ratio * retryMargin)
+	s.budget.SetRetryShare(ratio * retryShareMargin)
 	s.budget.SetBurst(burst)
 }
 
 // retryShare is this entry's part of the budget that all entries share.
 type retryShare struct {
-	part  float64 // share of all requests that this entry gets
-	ratio float64 // retries and hedges per request
-	burst int     // retries and hedges that may be saved up in each bucket
+	trafficShare float64 // share of all requests that this entry gets
+	ratio        float64 // retries and hedges per request
+	burst        int     // retries and hedges that may be saved up in each bucket
 }
 
 // logRetryShare logs this entry's part of the budget if the ratio has changed or the burst
 // has changed by more than a factor of two.
-func (c *control) logRetries(r retryShare) {
+func (c *control) logRetryShare(r retryShare) {
 	const loggedFactor = 2
 	c.shared = r
 	old := c.believed.retries
@@ -88,13 +88,13 @@
 	}
 	c.believed.retries = r
 	c.gateway.log.WithFields(log.Fields{
-		"ratio": r.ratio, "burst": r.burst, "before": old.burst, "part": math.Round(100*r.part) / 100,
+		"ratio": r.ratio, "burst": r.burst, "before": old.burst, "part": math.Round(100*r.trafficShare) / 100,
 	}).Info("part of the retry budget changed")
 }
 
 // trafficShare returns this entry's share of all requests. For a host without a reported
 // rate it assumes that every live entry gets as many requests as this one.
-func (c *control) share() float64 {
+func (c *control) trafficShare() float64 {
 	var own, all float64
 	for host, r := range c.hosts.rates {
 		own += r.mean
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -59,7 +59,7 @@
 	fetched  time.Time
 	suspects map[uint64]int // crashes of each suspect, as announced to the other entries
 	said     uint64         // number of the last announcement of a suspect
-	runs     map[string]liveRun
+	runs     map[string]liveInstance
 	rolls    int // grows each time that the live entries are recomputed
 	rollTold int // liveVersion at which new runs were last sent the suspects
 
@@ -69,7 +69,7 @@
 	rank  [duties]int           // of this entry in the order of readers
 
 	numbers owner.Counts          // owner count of each host, as gossiped
-	loads   map[string]loadsHeard // request rates that other entries report, by entry
+	loads   map[string]rateReport // request rates that other entries report, by entry
 	recount bool                  // another entry has changed the number of a host's owners
 	deal    *owner.Assignment     // of hosts to owners; nil when the live entries have changed
 	dealt   *route.Table          // the table whose hosts are assigned
@@ -86,13 +86,13 @@
 	enrolling time.Duration // how long the enrolment took
 	ahead     int           // entries that started at the same time and enrolled earlier
 	services  map[string]*service
-	dropped   map[string]droppedService
+	dropped   map[string]removedService
 	hosts     hosts
 	told      bool      // requests are no longer held for the first view
 	dirty     bool      // services lack the latest configuration or targets
 	shut      bool      // the last call to the store failed
 	failing   time.Time // first failed call since the store last confirmed the targets; zero if none
-	strain    strain
+	strain    overloadDetector
 	believed  beliefs
 }
 
@@ -100,8 +100,8 @@
 	return &control{
 		gateway: g, inbox: make(chan message, maxInbox), started: g.started,
 		targets: roster.New(slot.Equivalent), lapses: roster.NewVanished[slot.Target](), evacuations: roster.New(slot.EquivalentEvacuations), marksAwaited: roster.NewVanished[slot.Evacuation](),
-		dropped: make(map[string]droppedService), waiting: make(map[string]bool), suspects: make(map[uint64]int),
-		numbers: owner.NewCounts(), loads: make(map[string]loadsHeard),
+		dropped: make(map[string]removedService), waiting: make(map[string]bool), suspects: make(map[uint64]int),
+		numbers: owner.NewCounts(), loads: make(map[string]rateReport),
 	}
 }
 
@@ -116,7 +116,7 @@
 // enqueuePacket sends a packet of another entry to the control loop. While the inbox is
 // full it drops the packet: the next one repeats its content.
 func (c *control) heard(p relay.Packet, from string) {
-	c.gateway.instruments.packets.Inc(1)
+	c.gateway.instruments.packetsReceived.Inc(1)
 	select {
 	case c.inbox <- packetHeard{p, from}:
 	default:
@@ -153,11 +153,11 @@
 	c.strain.tick(now, tickPeriod)
 	c.excuse(now)
 	c.feel(now)
-	c.tellStarted(now)
-	c.tellSuspects(now)
+	c.notifyStarted(now)
+	c.announceSuspects(now)
 	c.publish(now)
-	c.tellLoads(now)
-	c.report(now)
+	c.sendRateReports(now)
+	c.updateGauges(now)
 }
 
 // processMessages applies a message and all others in the inbox, then publishes once if
@@ -170,7 +170,7 @@
 		case m = <-c.inbox:
 		default:
 			c.refresh(now)
-			c.gateway.freshness.set(c.confirmed, c.shut || !c.failing.IsZero())
+			c.gateway.freshness.update(c.confirmed, c.shut || !c.failing.IsZero())
 			return
 		}
 	}
@@ -191,8 +191,8 @@
 	}
 	live := c.live()
 	c.hosts.configure(c.table)
-	assignment := c.dealing(live)
-	counts := c.counts(now, assignment)
+	assignment := c.currentAssignment(live)
+	counts := c.ownerCounts(now, assignment)
 	if assignment != c.ownedBy || !maps.Equal(counts, c.counted) {
 		c.owners, c.ownedBy, c.counted = assignment.Owners(counts), assignment, counts
 		c.unshared = true
@@ -201,7 +201,7 @@
 	c.recount = false
 	if isolated := c.isolated(now); isolated != c.apart || c.unshared {
 		c.apart, c.unshared = isolated, false
-		c.shareCold(now, owners)
+		c.updateSenders(now, owners)
 	}
 	c.shareRetries(now)
 	c.logBeliefs(now, live, owners)
@@ -211,7 +211,7 @@
 	})
 	if initialized && !c.told {
 		c.told = true
-		close(c.gateway.known)
+		close(c.gateway.initialized)
 	}
 }
 
@@ -234,12 +234,12 @@
 		}
 		c.unshared = c.unshared || sv != c.services[name]
 		sv.configure(now, s)
-		sv.take(now, byService[name])
+		sv.setTargets(now, byService[name])
 		services[name] = sv
 	}
-	c.drop(now, services)
+	c.updateRemoved(now, services)
 	for name, d := range c.dropped {
-		d.take(now, byService[name])
+		d.setTargets(now, byService[name])
 	}
 	c.services = services
 }
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -90,7 +90,7 @@
 	})
 	// The first gossip of the quarantine must be over, or the new entries could receive it
 	// that way and the transfer at their start would go untested.
-	time.Sleep(tellerTime + 2*time.Second)
+	time.Sleep(notifierMinUptime + 2*time.Second)
 	before := w.crashes()
 	for i, e := range entries {
 		e.stop()
@@ -98,7 +98,7 @@
 		next := w.entry(fmt.Sprint("next-", i), entries[(i+1)%len(entries)]).settled()
 		entries[i] = next
 		w.until("it is known to others", func() bool { return len(next.view.Load().live) == len(entries) })
-		time.Sleep(tellerTime)
+		time.Sleep(notifierMinUptime)
 		w.c.Assert(next.call("GET", crashPath, "").status, qt.Equals, http.StatusServiceUnavailable)
 	}
 	w.c.Assert(w.crashes(), qt.Equals, before)
--- a/internal/gateway/dropped.go
+++ b/internal/gateway/dropped.go
@@ -5,24 +5,24 @@
 const (
 	// removedServiceTTL is how long a service is kept after the configuration removed it.
 	// A rollback of the configuration brings it back with the same targets.
-	droppedKept = 10 * time.Minute
+	removedServiceTTL = 10 * time.Minute
 	// maxRemovedServices bounds the kept services that have no requests.
-	droppedMost = 256
+	maxRemovedServices = 256
 )
 
 // removedService is a service that the configuration no longer contains. It is kept so
 // that its targets' reports, such as leaving, still apply if the service comes back.
-type droppedService struct {
+type removedService struct {
 	*service
 	since time.Time
 }
 
 // updateRemoved keeps the current services that are not in next, and deletes kept ones
 // that are in next again or have expired. A service with requests does not expire.
-func (c *control) drop(now time.Time, next map[string]*service) {
+func (c *control) updateRemoved(now time.Time, next map[string]*service) {
 	for name, sv := range c.services {
 		if next[name] != sv {
-			c.dropped[name] = droppedService{sv, now}
+			c.dropped[name] = removedService{sv, now}
 		}
 	}
 	idle := 0
@@ -30,8 +30,8 @@
 		switch {
 		case next[name] == d.service:
 			delete(c.dropped, name)
-		case d.busy():
-		case now.Sub(d.since) > droppedKept || idle >= droppedMost:
+		case d.active():
+		case now.Sub(d.since) > removedServiceTTL || idle >= maxRemovedServices:
 			delete(c.dropped, name)
 		default:
 			idle++
--- a/internal/gateway/enroller.go
+++ b/internal/gateway/enroller.go
@@ -90,7 +90,7 @@
 	ctx, cancel := context.WithTimeout(ctx, listTime)
 	defer cancel()
 	if err = e.gateway.store.Enter(ctx, e.gateway.self); err == nil {
-		e.gateway.recorded.Store(true)
+		e.gateway.enrolled.Store(true)
 	}
 	return err
 }
@@ -113,7 +113,7 @@
 		// The copy that the store was restored from may lack the record. It is written
 		// again at once, since entries that start meanwhile find no other without it.
 		e.restores = n
-		e.gateway.recorded.Store(false)
+		e.gateway.enrolled.Store(false)
 		e.since = now.Add(-recordAfter)
 	}
 	switch {
@@ -121,7 +121,7 @@
 		e.since = time.Time{}
 	case e.since.IsZero():
 		e.since = now
-	case !e.gateway.recorded.Load() && now.Sub(e.since) >= recordAfter:
+	case !e.gateway.enrolled.Load() && now.Sub(e.since) >= recordAfter:
 		if err := e.enter(ctx); err != nil {
 			e.gateway.log.WithError(err).Info("entry record not written")
 		}
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -118,7 +118,7 @@
 // An entry starts among others of a release without evacuations, and pulls the targets from them.
 // It must not use these before it has read the evacuations from the store.
 func TestTargetsAloneAreNotEnough(t *testing.T) {
-	c := parked(t)
+	c := parkedControl(t)
 	b := *c.gateway.bounds.Load()
 	b.Evacuate = evacuateBound
 	c.gateway.bounds.Store(&b)
@@ -142,7 +142,7 @@
 // serviceTargetCount returns the number of targets that the services have.
 func (c *control) byServiceSize() (n int) {
 	for _, sv := range c.services {
-		n += sv.size()
+		n += sv.targetCount()
 	}
 	return n
 }
@@ -215,14 +215,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := parked(t)
+			c := parkedControl(t)
 			b := *c.gateway.bounds.Load()
 			b.Evacuate = 5 * time.Second
 			c.gateway.bounds.Store(&b)
 			now := c.started.Add(time.Minute)
 			c.confirm(now, dutyTargets, now.Add(-tt.targets))
 			c.confirm(now, dutyEvacuations, now.Add(-6*time.Second))
-			_, _ = c.gateway.freshness.use(now, c.gateway.stale())
+			_, _ = c.gateway.freshness.recordRequest(now, c.gateway.maxAges())
 			c.shut = tt.refused
 			q := turnAsked{duty: dutyEvacuations, answer: make(chan turn, 1)}
 			q.apply(now, c)
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -17,7 +17,7 @@
 // lines contain the inputs of each decision.
 
 // logFields returns the fields common to all log lines of the request.
-func (q *request) fields() log.Fields {
+func (q *request) logFields() log.Fields {
 	f := log.Fields{logs.FieldRequest: q.id, "ms": time.Since(q.arrived).Milliseconds()}
 	if q.route != nil {
 		f["route"], f["config"] = q.route.Name, uint64(q.version)
@@ -28,74 +28,74 @@
 // addDecision adds the inputs of the choice of a target: its requests in flight, its pace
 // and the age in ms of the load report if there is one, the expected response time, the
 // number of probed targets, the wait and the time left.
-func choice(f log.Fields, d *try) {
-	f["target"], f["inflight"], f["asked"] = d.target.ID, d.why.InFlight, d.why.Probed
-	if d.why.LoadKnown {
-		f["pace"], f["age"] = math.Round(100*d.why.Pace)/100, d.why.LoadAge.Milliseconds()
+func addDecision(f log.Fields, d *dispatch) {
+	f["target"], f["inflight"], f["asked"] = d.target.ID, d.decision.InFlight, d.decision.Probed
+	if d.decision.LoadKnown {
+		f["pace"], f["age"] = math.Round(100*d.decision.Pace)/100, d.decision.LoadAge.Milliseconds()
 	}
-	f["waited"], f["expected"], f["left"] = d.why.Waited.Milliseconds(), d.why.Expected.Milliseconds(), d.left.Milliseconds()
+	f["waited"], f["expected"], f["left"] = d.decision.Waited.Milliseconds(), d.decision.Expected.Milliseconds(), d.timeout.Milliseconds()
 }
 
 // logResponse logs that a target's response is forwarded.
-func (q *request) logAnswer(d *try, status int, connect time.Duration) {
-	f := q.fields()
-	choice(f, d)
-	f["status"], f["tries"], f["connect"] = status, q.next(), connect.Milliseconds()
-	q.logSpent(f)
+func (q *request) logResponse(d *dispatch, status int, connect time.Duration) {
+	f := q.logFields()
+	addDecision(f, d)
+	f["status"], f["tries"], f["connect"] = status, q.dispatchCount(), connect.Milliseconds()
+	q.addBudgetDenied(f)
 	q.gateway.log.WithFields(f).Info("answered by its target")
 }
 
 // logExtraDispatch logs why a request is retried or hedged, and how many more retries and
 // hedges the budget allows.
-func (q *request) logRepeat(d *try, why call.Reason) {
-	f := q.fields()
-	choice(f, d)
+func (q *request) logExtraDispatch(d *dispatch, why call.Reason) {
+	f := q.logFields()
+	addDecision(f, d)
 	f["why"], f["saved"] = string(why), math.Round(10*q.service.budget.Available())/10
 	q.gateway.log.WithFields(f).Warn("sent again")
 }
 
 // logCleared logs that a request is no longer suspected of crashing targets.
-func (q *request) logCleared(d *try, status int) {
-	f := q.fields()
-	choice(f, d)
-	f["status"], f["print"] = status, strconv.FormatUint(q.digest, 36)
+func (q *request) logCleared(d *dispatch, status int) {
+	f := q.logFields()
+	addDecision(f, d)
+	f["status"], f["print"] = status, strconv.FormatUint(q.fingerprint, 36)
 	q.gateway.log.WithFields(f).Warn("request is cleared, its target answered")
 }
 
 // addBudgetDenied adds a field if the budget denied a retry or hedge of the request.
-func (q *request) logSpent(f log.Fields) {
+func (q *request) addBudgetDenied(f log.Fields) {
 	if q.call.BudgetDenied() {
 		f["spent"] = true
 	}
 }
 
 // logFailure logs a failed dispatch.
-func (q *request) logFailure(d *try, fail *forward.Failure) {
-	f := q.fields()
-	choice(f, d)
-	f["stage"], f["ran"], f["connect"] = fail.Stage.String(), ran(fail.Ran), fail.Connect.Milliseconds()
+func (q *request) logFailure(d *dispatch, fail *forward.Failure) {
+	f := q.logFields()
+	addDecision(f, d)
+	f["stage"], f["ran"], f["connect"] = fail.Stage.String(), executionText(fail.Ran), fail.Connect.Milliseconds()
 	if fail.Stage.MayBeCrash() {
-		f["print"], f["crashes"] = strconv.FormatUint(q.digest, 36), q.gateway.suspects.CrashCount(q.digest)
+		f["print"], f["crashes"] = strconv.FormatUint(q.fingerprint, 36), q.gateway.suspects.CrashCount(q.fingerprint)
 	}
 	q.gateway.log.WithFields(f).WithError(fail.Cause).Warn("dispatch failed")
 }
 
 // logFinal logs an error response of this entry.
 func (q *request) logFinal(status int, reason string) {
-	f := q.fields()
-	f["status"], f["reason"], f["tries"] = status, reason, q.next()
-	q.logSpent(f)
+	f := q.logFields()
+	f["status"], f["reason"], f["tries"] = status, reason, q.dispatchCount()
+	q.addBudgetDenied(f)
 	if reason == string(call.ReasonQuarantined) {
-		f["print"] = strconv.FormatUint(q.digest, 36)
+		f["print"] = strconv.FormatUint(q.fingerprint, 36)
 	}
-	if q.refused.Kind == slot.Refuse {
-		f["retry"] = q.refused.RetryAfter.Milliseconds()
+	if q.refusal.Kind == slot.Refuse {
+		f["retry"] = q.refusal.RetryAfter.Milliseconds()
 	}
 	q.gateway.log.WithFields(f).Warn("answered in place of a target")
 }
 
 // executionText returns the log value of an execution: "yes", "no" or "maybe".
-func ran(e call.Execution) string {
+func executionText(e call.Execution) string {
 	switch e {
 	case call.DidRun:
 		return "yes"
--- a/internal/gateway/fresh.go
+++ b/internal/gateway/fresh.go
@@ -24,95 +24,95 @@
 	// stalenessReserve is subtracted from a bound for the delays after the age check: a
 	// reader's tick of 50 ms, its call of up to 20 ms, a new connection to the target of
 	// up to 250 ms, and packets in transit for longer than their reported age includes.
-	staleReserve = 500 * time.Millisecond
+	stalenessReserve = 500 * time.Millisecond
 	// recentRequestWindow is how long after a request an entry counts as having callers.
-	servingTime = time.Second
+	recentRequestWindow = time.Second
 	// maxRefreshWait bounds the wait of all requests for one read, from the first one that
 	// waits. The store responds within 4 ms, and the shortest objective is 150 ms. When
 	// each request had its own limit, a store that stopped responding delayed 93 of 255
 	// requests in two seconds; with a common limit it delays 12.
-	refreshWait = 50 * time.Millisecond
+	maxRefreshWait = 50 * time.Millisecond
 	// refreshPollInterval is how often a waiting request checks the age again.
-	refreshLook = 5 * time.Millisecond
+	refreshPollInterval = 5 * time.Millisecond
 )
 
 // resourceAges is an age for each resource.
-type ages [duties]time.Duration
+type resourceAges [duties]time.Duration
 
 // maxAges returns the ages at which store data is too old to serve requests.
-func (g *Gateway) stale() ages {
+func (g *Gateway) maxAges() resourceAges {
 	b := g.bounds.Load()
-	return ages{dutyConfig: staleAt(b.Apply), dutyTargets: staleAt(b.Drain), dutyEvacuations: staleAt(b.Evacuate)}
+	return resourceAges{dutyConfig: maxAge(b.Apply), dutyTargets: maxAge(b.Drain), dutyEvacuations: maxAge(b.Evacuate)}
 }
 
 // maxAge returns the bound less the reserve, but at least half of the bound.
-func staleAt(bound time.Duration) time.Duration { return max(bound-staleReserve, bound/2) }
+func maxAge(bound time.Duration) time.Duration { return max(bound-stalenessReserve, bound/2) }
 
 // freshness connects request handlers, which need recent store data, with the control
 // loop and the readers, which provide it. It is safe for concurrent use.
 type freshness struct {
-	mu        sync.Mutex
-	confirmed [duties]time.Time     // when the store confirmed the data in force
-	away      bool                  // the store doesn't respond; requests don't wait for it
-	moved     chan struct{}         // closed and replaced when one of the two above changes
-	used      time.Time             // arrival of the last request
-	asked     [duties]time.Time     // when the first request began to wait for a confirmation
-	wanted    [duties]chan struct{} // wake the readers
+	mu               sync.Mutex
+	confirmed        [duties]time.Time     // when the store confirmed the data in force
+	storeUnavailable bool                  // the store doesn't respond; requests don't wait for it
+	changed          chan struct{}         // closed and replaced when one of the two above changes
+	lastRequest      time.Time             // arrival of the last request
+	waitStart        [duties]time.Time     // when the first request began to wait for a confirmation
+	wakeups          [duties]chan struct{} // wake the readers
 }
 
 func newFreshness() *freshness {
-	f := &freshness{moved: make(chan struct{})}
-	for d := range f.wanted {
-		f.wanted[d] = make(chan struct{}, 1)
+	f := &freshness{changed: make(chan struct{})}
+	for d := range f.wakeups {
+		f.wakeups[d] = make(chan struct{}, 1)
 	}
 	return f
 }
 
 // update sets the control loop's state and wakes waiting requests if it has changed.
-func (f *freshness) set(confirmed [duties]time.Time, storeUnavailable bool) {
+func (f *freshness) update(confirmed [duties]time.Time, storeUnavailable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.confirmed == confirmed && f.away == storeUnavailable {
+	if f.confirmed == confirmed && f.storeUnavailable == storeUnavailable {
 		return
 	}
-	f.confirmed, f.away = confirmed, storeUnavailable
-	close(f.moved)
-	f.moved = make(chan struct{})
+	f.confirmed, f.storeUnavailable = confirmed, storeUnavailable
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
 // recordRequest records a request. It returns the resources that the request should wait
 // for, and a channel that is closed at the next change.
-func (f *freshness) use(now time.Time, maxAges ages) (wait []duty, changed <-chan struct{}) {
+func (f *freshness) recordRequest(now time.Time, maxAges resourceAges) (wait []duty, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.used = now
+	f.lastRequest = now
 	for d, confirmed := range f.confirmed {
-		if f.away || confirmed.IsZero() || now.Sub(confirmed) < maxAges[d] {
-			f.asked[d] = time.Time{}
+		if f.storeUnavailable || confirmed.IsZero() || now.Sub(confirmed) < maxAges[d] {
+			f.waitStart[d] = time.Time{}
 			continue
 		}
-		if f.asked[d].IsZero() {
-			f.asked[d] = now
+		if f.waitStart[d].IsZero() {
+			f.waitStart[d] = now
 		}
-		if now.Sub(f.asked[d]) < refreshWait {
+		if now.Sub(f.waitStart[d]) < maxRefreshWait {
 			wait = append(wait, duty(d))
 		}
 	}
-	return wait, f.moved
+	return wait, f.changed
 }
 
 // hasCallers reports whether a request arrived within recentRequestWindow.
-func (f *freshness) serving(now time.Time) bool {
+func (f *freshness) hasCallers(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.used.IsZero() && now.Sub(f.used) < servingTime
+	return !f.lastRequest.IsZero() && now.Sub(f.lastRequest) < recentRequestWindow
 }
 
 // wakeReaders makes the readers of these resources read now.
-func (f *freshness) wake(resources []duty) {
+func (f *freshness) wakeReaders(resources []duty) {
 	for _, d := range resources {
 		select {
-		case f.wanted[d] <- struct{}{}:
+		case f.wakeups[d] <- struct{}{}:
 		default:
 		}
 	}
@@ -120,35 +120,35 @@
 
 // awaitFresh makes a request wait until the store data is recent enough to serve it, for
 // maxRefreshWait at the most.
-func (g *Gateway) await(ctx context.Context, arrived time.Time, id string) {
-	maxAges := g.stale()
-	wait, changed := g.freshness.use(arrived, maxAges)
+func (g *Gateway) awaitFresh(ctx context.Context, arrived time.Time, id string) {
+	maxAges := g.maxAges()
+	wait, changed := g.freshness.recordRequest(arrived, maxAges)
 	if len(wait) == 0 {
 		return
 	}
-	g.instruments.waits.Inc(1)
+	g.instruments.freshnessWaits.Inc(1)
 	awaited := wait
 	defer func() {
 		g.log.WithFields(log.Fields{
-			logs.FieldRequest: id, "for": dutiesText(awaited), "ms": time.Since(arrived).Milliseconds(),
+			logs.FieldRequest: id, "for": resourceNames(awaited), "ms": time.Since(arrived).Milliseconds(),
 		}).Info("request waited for newer knowledge")
 	}()
-	ticker := time.NewTicker(refreshLook)
+	ticker := time.NewTicker(refreshPollInterval)
 	defer ticker.Stop()
 	for len(wait) > 0 {
-		g.freshness.wake(wait)
+		g.freshness.wakeReaders(wait)
 		select {
 		case <-changed:
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		wait, changed = g.freshness.use(time.Now(), maxAges)
+		wait, changed = g.freshness.recordRequest(time.Now(), maxAges)
 	}
 }
 
 // resourceNames joins the names of resources for a log line.
-func dutiesText(resources []duty) string {
+func resourceNames(resources []duty) string {
 	var names []string
 	for _, d := range resources {
 		names = append(names, dutyNames[d])
--- a/internal/gateway/fresh_test.go
+++ b/internal/gateway/fresh_test.go
@@ -14,7 +14,7 @@
 // An entry's store data is too old because it received nothing newer. A request then waits
 // for the store, but only if waiting can help: not while the store is unavailable, not
 // before there is any data, and not after another request has waited without success.
-func TestWhoWaitsForNewerKnowledge(t *testing.T) {
+func TestWaitForFreshData(t *testing.T) {
 	const stale = 1500 * time.Millisecond
 	at := time.Unix(100, 0)
 	tests := []struct {
@@ -29,14 +29,14 @@
 		{"nothing known yet", time.Time{}, false, nil},
 	}
 	expired := newFreshness()
-	expired.set([duties]time.Time{at, at}, false)
-	_, _ = expired.use(at.Add(stale), ages{stale, stale})
-	wait, _ := expired.use(at.Add(stale+refreshWait), ages{stale, stale})
+	expired.update([duties]time.Time{at, at}, false)
+	_, _ = expired.recordRequest(at.Add(stale), resourceAges{stale, stale})
+	wait, _ := expired.recordRequest(at.Add(stale+maxRefreshWait), resourceAges{stale, stale})
 	qt.Check(t, wait, qt.HasLen, 0, qt.Commentf("another request has waited without success"))
 	for _, tt := range tests {
 		f := newFreshness()
-		f.set([duties]time.Time{dutyConfig: at, dutyTargets: tt.confirmed}, tt.away)
-		wait, _ := f.use(at, ages{stale, stale})
+		f.update([duties]time.Time{dutyConfig: at, dutyTargets: tt.confirmed}, tt.away)
+		wait, _ := f.recordRequest(at, resourceAges{stale, stale})
 		qt.Check(t, wait, qt.DeepEquals, tt.want, qt.Commentf("%s", tt.name))
 	}
 }
@@ -44,7 +44,7 @@
 // Many entries rank before an entry as readers, but it receives none of their results. If
 // it has callers, it must read for itself early enough to stop sending requests to a
 // leaving target within the bound. Without callers it must leave the reads to the others.
-func TestTurnOfAServingEntry(t *testing.T) {
+func TestEntryWithCallersReadsInTime(t *testing.T) {
 	tests := []struct {
 		name  string
 		used  time.Duration // time since the last request; 0 for none
@@ -57,11 +57,11 @@
 		{"callers, old", 100 * time.Millisecond, 2 * time.Second, 1500 * time.Millisecond, true},
 		{"callers, a longer bound", 100 * time.Millisecond, 3 * time.Second, 2400 * time.Millisecond, false},
 		{"callers, old by a longer bound", 100 * time.Millisecond, 3 * time.Second, 2500 * time.Millisecond, true},
-		{"callers long ago", 2 * servingTime, 2 * time.Second, 1900 * time.Millisecond, false},
+		{"callers long ago", 2 * recentRequestWindow, 2 * time.Second, 1900 * time.Millisecond, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := parked(t)
+			c := parkedControl(t)
 			b := *c.gateway.bounds.Load()
 			b.Drain = tt.drain
 			c.gateway.bounds.Store(&b)
@@ -69,12 +69,12 @@
 			for i := range 40 {
 				names = append(names, fmt.Sprint("e", i))
 			}
-			c.others(c.started, names...)
+			c.addLive(c.started, names...)
 			targetsListed{at: 1, asked: c.started}.apply(c.started, c)
 			now := c.started.Add(tt.age)
-			c.members.Handle(now, heardFrom("e0"))
+			c.members.Handle(now, messageFrom("e0"))
 			if tt.used > 0 {
-				c.gateway.freshness.use(now.Add(-tt.used), c.gateway.stale())
+				c.gateway.freshness.recordRequest(now.Add(-tt.used), c.gateway.maxAges())
 			}
 			q := turnAsked{duty: dutyTargets, answer: make(chan turn, 1)}
 			q.apply(now, c)
@@ -88,7 +88,7 @@
 // The store stops responding. The entry's data becomes too old before a call to the store
 // has failed, so requests start to wait for newer data. Only few may wait, since each wait
 // delays a response, and a healthy store would have responded within milliseconds.
-func TestSilentStoreHoldsUpFewRequests(t *testing.T) {
+func TestUnresponsiveStoreDelaysFewRequests(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	e := w.entry("a").settled()
 	w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
@@ -97,10 +97,10 @@
 	for began := time.Now(); time.Since(began) < 3*time.Second; time.Sleep(5 * time.Millisecond) {
 		a := e.call("GET", "/a/x", "")
 		w.c.Assert(a.status, qt.Equals, http.StatusOK)
-		if a.took > refreshWait/2 {
+		if a.took > maxRefreshWait/2 {
 			delayed += a.took
 		}
 	}
 	// At most one wait for each resource.
-	w.c.Assert(delayed < 5*refreshWait/2, qt.IsTrue, qt.Commentf("delayed by %v", delayed))
+	w.c.Assert(delayed < 5*maxRefreshWait/2, qt.IsTrue, qt.Commentf("delayed by %v", delayed))
 }
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -17,9 +17,9 @@
 // resolve the host again within it.
 const directoryTTL = time.Second
 
-// sideHandler serves readiness checks and the directory, which tells callers where to
+// auxHandler serves readiness checks and the directory, which tells callers where to
 // connect.
-func (g *Gateway) sideHandler() http.Handler {
+func (g *Gateway) auxHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(platform.PathReady, func(w http.ResponseWriter, _ *http.Request) {
 		if g.leaving.Load() || g.view.Load().table == nil {
@@ -47,8 +47,8 @@
 		w.Header().Set("Connection", "close")
 	}
 	q := &request{gateway: g, w: w, r: r, arrived: now, id: platform.RequestID(r.Header)}
-	g.await(r.Context(), now, q.id)
-	v := g.settled(r.Context(), now)
+	g.awaitFresh(r.Context(), now, q.id)
+	v := g.viewAfterStart(r.Context(), now)
 	if v.table == nil {
 		q.refuse("noconfig", noConfigRetry)
 		return
@@ -56,7 +56,7 @@
 	q.version = v.table.Config.Version
 	q.route = v.table.Find(r.Host, r.URL.EscapedPath())
 	if q.route == nil {
-		q.final(http.StatusNotFound, "noroute")
+		q.respond(http.StatusNotFound, "noroute")
 		return
 	}
 	if rate := v.rates[q.route.Host]; rate != nil {
@@ -64,13 +64,13 @@
 	}
 	limits := v.table.Config.Limits
 	if headerBytes(r) > limits.MaxHeaderBytes {
-		q.final(http.StatusRequestHeaderFieldsTooLarge, "longheader")
+		q.respond(http.StatusRequestHeaderFieldsTooLarge, "longheader")
 		return
 	}
 	body, err := readBody(r, limits)
 	switch {
-	case errors.Is(err, errLong):
-		q.final(http.StatusRequestEntityTooLarge, "toolong")
+	case errors.Is(err, errBodyTooLong):
+		q.respond(http.StatusRequestEntityTooLarge, "toolong")
 		return
 	case err != nil:
 		g.log.WithError(err).WithField(logs.FieldRequest, q.id).Info("could not read the request body")
@@ -85,24 +85,24 @@
 	// startupWindow is how long after its start an entry holds requests until it has a
 	// configuration and targets. Entries that start together have both within 0.1 s;
 	// a refused caller would retry only 0.2 s later.
-	startTime = 250 * time.Millisecond
+	startupWindow = 250 * time.Millisecond
 	// maxStartupWait bounds the wait of one request. It is shorter than the shortest
 	// objective, 150 ms.
-	startWait = 100 * time.Millisecond
+	maxStartupWait = 100 * time.Millisecond
 )
 
 // viewAfterStart returns the current view. If the entry has just started and has no
 // targets yet, it waits for them first.
-func (g *Gateway) settled(ctx context.Context, now time.Time) *view {
+func (g *Gateway) viewAfterStart(ctx context.Context, now time.Time) *view {
 	v := g.view.Load()
-	wait := min(startWait, startTime-now.Sub(g.started))
+	wait := min(maxStartupWait, startupWindow-now.Sub(g.started))
 	if v.targets || wait <= 0 {
 		return v
 	}
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
-	case <-g.known:
+	case <-g.initialized:
 	case <-t.C:
 	case <-ctx.Done():
 	}
@@ -124,7 +124,7 @@
 	return n
 }
 
-var errLong = errors.New("request body is too long")
+var errBodyTooLong = errors.New("request body is too long")
 
 // readBody reads the complete body. The request is dispatched only after that, so that it
 // can be sent to another target if the first one certainly did not run it.
@@ -133,11 +133,11 @@
 		return nil, nil
 	}
 	if r.ContentLength > l.MaxBodyBytes {
-		return nil, errLong
+		return nil, errBodyTooLong
 	}
 	body, err = io.ReadAll(io.LimitReader(r.Body, l.MaxBodyBytes+1))
 	if err == nil && int64(len(body)) > l.MaxBodyBytes {
-		return nil, errLong
+		return nil, errBodyTooLong
 	}
 	return body, err
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,38 +23,38 @@
 
 // Config configures a Gateway.
 type Config struct {
-	Settings platform.Settings
-	Boot     uint64 // incarnation; grows with each start
-	Metrics  int    // port of the metrics and the status; 0 takes a free one
-	Log      log.Interface
+	Settings    platform.Settings
+	Boot        uint64 // incarnation; grows with each start
+	MetricsPort int    // port of the metrics and the status; 0 takes a free one
+	Log         log.Interface
 }
 
 // Gateway is one entry process.
 type Gateway struct {
-	cfg      Config
-	log      log.Interface
-	self     owner.Entry
-	store    *platform.Store
-	forward  *forward.Forwarder
-	relay    *relay.Relay
-	control  *control
-	suspects *call.Suspects
-	refused  *refusals
-	leaving  atomic.Bool
-	run      atomic.Pointer[member.ID] // this incarnation's name in the membership
-	recorded atomic.Bool               // this entry has a record in the store
-	restores atomic.Uint64             // restores of the store from a copy since the start
-	started  time.Time
-	known    chan struct{} // closed once the entry has a configuration and targets
-	ending   chan struct{} // closed when a stop gives up the unfinished requests
-	bounds   atomic.Pointer[platform.Bounds]
-	view     atomic.Pointer[view]
+	cfg         Config
+	log         log.Interface
+	self        owner.Entry
+	store       *platform.Store
+	forward     *forward.Forwarder
+	relay       *relay.Relay
+	control     *control
+	suspects    *call.Suspects
+	parseErrors *parseErrorLog
+	leaving     atomic.Bool
+	selfID      atomic.Pointer[member.ID] // this incarnation's name in the membership
+	enrolled    atomic.Bool               // this entry has a record in the store
+	restores    atomic.Uint64             // restores of the store from a copy since the start
+	started     time.Time
+	initialized chan struct{} // closed once the entry has a configuration and targets
+	giveUp      chan struct{} // closed when a stop gives up the unfinished requests
+	bounds      atomic.Pointer[platform.Bounds]
+	view        atomic.Pointer[view]
 
 	freshness *freshness
 
 	instruments instruments
 
-	front, ready, directory, scrapes net.Listener
+	frontListener, readyListener, directoryListener, metricsListener net.Listener
 }
 
 // Limits of connections to targets.
@@ -62,16 +62,16 @@
 	// targetAckTimeout is how long sent bytes may stay unacknowledged before the
 	// connection counts as broken. It covers several round trips and the first
 	// retransmission of a lost packet, and is shorter than the shortest deadline.
-	targetSilence = 500 * time.Millisecond
+	targetAckTimeout = 500 * time.Millisecond
 	// targetConnectTimeout is how long connecting may take: a hundred round trips. A
 	// request without a connection was not sent and goes to another target.
-	targetConnect = 250 * time.Millisecond
+	targetConnectTimeout = 250 * time.Millisecond
 	// targetIdleTimeout is shorter than the 10 s after which targets close idle
 	// connections, so that requests seldom use a connection that is about to close.
-	targetIdle = 8 * time.Second
+	targetIdleTimeout = 8 * time.Second
 	// maxBufferedResponse is the largest response, in bytes, that is read completely
 	// before it is forwarded.
-	wholeAnswer = 1 << 20
+	maxBufferedResponse = 1 << 20
 )
 
 // New creates a gateway and opens its listeners, so that an address in use is reported
@@ -80,12 +80,12 @@
 	defer func() { err = errors.WithMessage(err, "gateway "+cfg.Settings.Name) }()
 	s := cfg.Settings
 	g = &Gateway{
-		cfg: cfg, log: cfg.Log, started: time.Now(), known: make(chan struct{}), ending: make(chan struct{}),
+		cfg: cfg, log: cfg.Log, started: time.Now(), initialized: make(chan struct{}), giveUp: make(chan struct{}),
 		forward: forward.New(forward.Config{
-			Echo: platform.HeaderRequest, Silence: targetSilence, Connect: targetConnect, Idle: targetIdle, Whole: wholeAnswer,
+			Echo: platform.HeaderRequest, Silence: targetAckTimeout, Connect: targetConnectTimeout, Idle: targetIdleTimeout, Whole: maxBufferedResponse,
 		}),
 		suspects:    call.NewSuspects(call.SuspectsConfig{CrashLimit: crashLimit}),
-		refused:     newRefusals(cfg.Log),
+		parseErrors: newParseErrorLog(cfg.Log),
 		instruments: newInstruments(cfg.Settings.Name),
 		freshness:   newFreshness(),
 	}
@@ -96,20 +96,20 @@
 	g.bounds.Store(&s.Bounds)
 	g.store = platform.NewStore(platform.StoreConfig{
 		Address: s.Store, Name: s.Name, HTTP: storeClient(),
-		Refused: func(kind, name string, err error) { g.refused.note(time.Now(), kind, name, err) },
+		Refused: func(kind, name string, err error) { g.parseErrors.logObject(time.Now(), kind, name, err) },
 	})
 	g.control = newControl(g)
 	if g.relay, err = relay.New(relay.Config{
 		Address: net.JoinHostPort(s.Address, strconv.Itoa(s.Ports[0])),
 		Source:  g.control, Heard: g.control.heard, Log: g.log,
-		Self: func() member.ID { return *g.run.Load() },
-		Sent: func(bytes int) { g.instruments.sent.Inc(int64(bytes)) },
+		Self: func() member.ID { return *g.selfID.Load() },
+		Sent: func(bytes int) { g.instruments.bytesSent.Inc(int64(bytes)) },
 	}); err != nil {
-		g.unlisten()
+		g.closeListeners()
 		return nil, err
 	}
 	g.self = owner.Entry{
-		Name: s.Name, Boot: cfg.Boot, CallerAddress: g.front.Addr().String(), PeerAddress: g.relay.Address(),
+		Name: s.Name, Boot: cfg.Boot, CallerAddress: g.frontListener.Addr().String(), PeerAddress: g.relay.Address(),
 		Place: s.Place, Region: s.Region, Capacity: capacity(s),
 	}
 	g.control.members = member.New(g.memberConfig())
@@ -124,17 +124,17 @@
 	// means more owners per host, each of which knows less about the load of the targets.
 	// With owner counts by real traffic, the mean score over five days on three sites was
 	// 0.747, 0.700 and 0.626 at 800, and 0.752, 0.691 and 0.609 at 300.
-	coreRate = 800
+	requestsPerCore = 800
 	// requestsPerMbps is the capacity of 1 Mbit/s in requests per second: each request
 	// transfers up to 5 KB in each direction, twice.
-	linkRate = 10
+	requestsPerMbps = 10
 )
 
 // capacity returns an entry's capacity in requests per second.
 func capacity(s platform.Settings) float64 {
-	c := s.Cores * coreRate
+	c := s.Cores * requestsPerCore
 	if s.Link > 0 {
-		c = min(c, s.Link*linkRate)
+		c = min(c, s.Link*requestsPerMbps)
 	}
 	return c
 }
@@ -151,13 +151,13 @@
 		listener *net.Listener
 		addr     string
 	}{
-		{"front", &g.front, s.Front},
-		{"ready", &g.ready, s.Ready},
-		{"directory", &g.directory, s.Directory},
-		{"metrics", &g.scrapes, net.JoinHostPort(s.Address, strconv.Itoa(cfg.Metrics))},
+		{"front", &g.frontListener, s.Front},
+		{"ready", &g.readyListener, s.Ready},
+		{"directory", &g.directoryListener, s.Directory},
+		{"metrics", &g.metricsListener, net.JoinHostPort(s.Address, strconv.Itoa(cfg.MetricsPort))},
 	} {
 		if *l.listener, err = net.Listen("tcp", l.addr); err != nil {
-			g.unlisten()
+			g.closeListeners()
 			return errors.WithMessage(err, l.name)
 		}
 	}
@@ -165,8 +165,8 @@
 }
 
 // closeListeners closes the listeners that are open.
-func (g *Gateway) unlisten() {
-	for _, l := range []net.Listener{g.front, g.ready, g.directory, g.scrapes} {
+func (g *Gateway) closeListeners() {
+	for _, l := range []net.Listener{g.frontListener, g.readyListener, g.directoryListener, g.metricsListener} {
 		if l != nil {
 			l.Close()
 		}
@@ -188,40 +188,40 @@
 	s.Add(newEvacuationReader(g))
 	supervisor := s.ServeBackground(traffic)
 	front := g.frontServer()
-	aux := &http.Server{Handler: g.sideHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: callerIdle}
+	aux := &http.Server{Handler: g.auxHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: callerTimeout}
 	failed := make(chan error, 4)
-	go func() { failed <- front.Serve(g.front) }()
-	go func() { failed <- aux.Serve(g.ready) }()
-	go func() { failed <- aux.Serve(g.directory) }()
-	operator := &http.Server{Handler: g.operatorHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: callerIdle}
-	go func() { failed <- operator.Serve(g.scrapes) }()
+	go func() { failed <- front.Serve(g.frontListener) }()
+	go func() { failed <- aux.Serve(g.readyListener) }()
+	go func() { failed <- aux.Serve(g.directoryListener) }()
+	operator := &http.Server{Handler: g.operatorHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: callerTimeout}
+	go func() { failed <- operator.Serve(g.metricsListener) }()
 	defer g.instruments.Close()
 	g.log.WithFields(log.Fields{
-		"front": g.self.CallerAddress, "peer": g.self.PeerAddress, "metrics": g.scrapes.Addr().String(), "capacity": g.self.Capacity,
+		"front": g.self.CallerAddress, "peer": g.self.PeerAddress, "metrics": g.metricsListener.Addr().String(), "capacity": g.self.Capacity,
 	}).Info(logs.MessageStarted)
 	select {
 	case <-ctx.Done():
-		g.leave(front)
+		g.stop(front)
 	case err = <-failed:
 		err = errors.WithMessage(err, "listener")
 	case err = <-supervisor:
 		err = errors.WithMessage(err, "control")
 	}
-	g.log.WithField("cause", cause(err)).Info("gateway stopped")
+	g.log.WithField("cause", stopCause(err)).Info("gateway stopped")
 	return err
 }
 
 // frontServer returns the server for callers' requests.
 func (g *Gateway) frontServer() *http.Server {
-	idle := newIdlers()
+	idle := newIdleCloser()
 	return &http.Server{
-		Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: headerTime, ReadTimeout: callerIdle, IdleTimeout: callerIdle,
-		ConnContext: withConn, ConnState: func(c net.Conn, s http.ConnState) { idle.track(c, s, g.idleLimit()) },
+		Handler: http.HandlerFunc(g.serve), ReadHeaderTimeout: headerTimeout, ReadTimeout: callerTimeout, IdleTimeout: callerTimeout,
+		ConnContext: withCallerConn, ConnState: func(c net.Conn, s http.ConnState) { idle.track(c, s, g.idleTimeout()) },
 	}
 }
 
 // stopCause returns the log text for the reason of a stop.
-func cause(err error) string {
+func stopCause(err error) string {
 	if err == nil {
 		return "asked to stop"
 	}
@@ -231,8 +231,8 @@
 // Timeouts of callers' connections.
 const (
 	// headerTimeout bounds the reading of a request header.
-	headerTime = 10 * time.Second
+	headerTimeout = 10 * time.Second
 	// callerTimeout bounds an idle connection and the reading of a request. The
 	// configuration may set a shorter idle timeout.
-	callerIdle = 2 * time.Minute
+	callerTimeout = 2 * time.Minute
 )
--- a/internal/gateway/gone.go
+++ b/internal/gateway/gone.go
@@ -8,21 +8,21 @@
 )
 
 // callerConnKey is the context key of a request's connection.
-type connKey struct{}
+type callerConnKey struct{}
 
 // withCallerConn stores a caller's connection in the context for callerClosed.
-func withConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+func withCallerConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
 // callerClosed reports whether the caller of a request has closed its connection. The
 // server detects this by a background read, which is late on a busy VM. Without this
 // check, a request whose connection is already closed would still be sent to a target.
-func gone(r *http.Request) bool {
+func callerClosed(r *http.Request) bool {
 	if r.Context().Err() != nil {
 		return true
 	}
-	sc, ok := r.Context().Value(connKey{}).(syscall.Conn)
+	sc, ok := r.Context().Value(callerConnKey{}).(syscall.Conn)
 	if !ok {
 		return false
 	}
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -161,7 +161,7 @@
 	if sv == nil {
 		return 0
 	}
-	return sv.size()
+	return sv.targetCount()
 }
 
 func (e *entry) hasTarget(id string) bool {
@@ -171,7 +171,7 @@
 	}
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	return sv.book.HasTarget(id)
+	return sv.balancer.HasTarget(id)
 }
 
 func (w *world) until(what string, ok func() bool) {
--- a/internal/gateway/homes_test.go
+++ b/internal/gateway/homes_test.go
@@ -12,7 +12,7 @@
 // A route of a host is restricted to regions (homes). The directory must send its callers
 // to entries in these regions or in the caller's own region, even if the host's owners are
 // elsewhere: the request body must not be read in any other region.
-func TestCallersAreSentHome(t *testing.T) {
+func TestDirectoryKeepsCallersInAllowedRegions(t *testing.T) {
 	at := func(name, region string) owner.Candidate {
 		return owner.Candidate{Entry: owner.Entry{Name: name, CallerAddress: name, Region: region}}
 	}
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -13,9 +13,9 @@
 
 // hosts holds the control loop's request rate and owner count of each host.
 type hosts struct {
-	table *route.Table
-	rates map[string]*rate // at this entry; the map is not modified once it is published
-	sizes map[string]*owner.Sizer
+	table       *route.Table
+	rates       map[string]*rate // at this entry; the map is not modified once it is published
+	ownerSizers map[string]*owner.Sizer
 }
 
 // configure sets the hosts of a configuration. Hosts that were in the previous one keep
@@ -25,11 +25,11 @@
 		return
 	}
 	old := *h
-	*h = hosts{table: t, rates: make(map[string]*rate), sizes: make(map[string]*owner.Sizer)}
+	*h = hosts{table: t, rates: make(map[string]*rate), ownerSizers: make(map[string]*owner.Sizer)}
 	for _, host := range t.Hosts() {
-		h.rates[host], h.sizes[host] = old.rates[host], old.sizes[host]
+		h.rates[host], h.ownerSizers[host] = old.rates[host], old.ownerSizers[host]
 		if h.rates[host] == nil {
-			h.rates[host], h.sizes[host] = &rate{}, &owner.Sizer{}
+			h.rates[host], h.ownerSizers[host] = &rate{}, &owner.Sizer{}
 		}
 	}
 }
@@ -51,24 +51,24 @@
 
 // minReportedRate is the rate in requests per second from which a host is reported to its
 // first owners.
-const leastRate = 0.5
+const minReportedRate = 0.5
 
 // rateReport is another entry's report of its request rate for each host.
-type loadsHeard struct {
-	at   time.Time
-	list []relay.Load
+type rateReport struct {
+	receivedAt time.Time
+	rates      []relay.Load
 }
 
 // rateReportTTL is how long a report counts: several ticks, since datagrams may be lost.
-const loadsHold = 4 * tickPeriod
+const rateReportTTL = 4 * tickPeriod
 
 // sendRateReports reports this entry's request rate for each host to the host's first
 // owners. The first owner decides the owner count by the sum of all reports; the others
 // receive them as well since they may have to take over.
-func (c *control) tellLoads(now time.Time) {
+func (c *control) sendRateReports(now time.Time) {
 	reports := make(map[string][]relay.Load)
 	for host, r := range c.hosts.rates {
-		if r.mean < leastRate || c.deal == nil {
+		if r.mean < minReportedRate || c.deal == nil {
 			continue
 		}
 		for _, e := range c.deal.FirstOwners(host) {
@@ -82,24 +82,24 @@
 			Kind: relay.Loads, Loads: list, ID: c.members.Self(),
 		})
 	}
-	maps.DeleteFunc(c.loads, func(_ string, l loadsHeard) bool { return now.Sub(l.at) > loadsHold })
+	maps.DeleteFunc(c.loads, func(_ string, l rateReport) bool { return now.Sub(l.receivedAt) > rateReportTTL })
 }
 
 // currentAssignment returns the assignment of hosts to the live entries. It is computed
 // again only if either has changed: that takes 0.1 ms with 472 entries, and each tick
 // needs the assignment.
-func (c *control) dealing(live []owner.Candidate) *owner.Assignment {
+func (c *control) currentAssignment(live []owner.Candidate) *owner.Assignment {
 	if c.deal == nil || c.dealt != c.hosts.table {
-		c.deal, c.dealt = owner.New(live, slices.Collect(maps.Keys(c.hosts.sizes))), c.hosts.table
+		c.deal, c.dealt = owner.New(live, slices.Collect(maps.Keys(c.hosts.ownerSizers))), c.hosts.table
 	}
 	return c.deal
 }
 
 // ownerCounts returns the owner count of each host. This entry decides it for hosts of
 // which it is the first owner; for others it uses the count that the first owner announced.
-func (c *control) counts(now time.Time, assignment *owner.Assignment) map[string]int {
-	counts := make(map[string]int, len(c.hosts.sizes))
-	for host, size := range c.hosts.sizes {
+func (c *control) ownerCounts(now time.Time, assignment *owner.Assignment) map[string]int {
+	counts := make(map[string]int, len(c.hosts.ownerSizers))
+	for host, size := range c.hosts.ownerSizers {
 		counts[host] = owner.MinOwners
 		firstOwners := assignment.FirstOwners(host)
 		if len(firstOwners) == 0 {
@@ -111,7 +111,7 @@
 			counts[host] = size.Adopt(n.Owners)
 			continue
 		}
-		rate := c.load(host)
+		rate := c.totalRate(host)
 		counts[host] = size.Decide(now, rate, assignment.CapacityShares(host))
 		if c.numbers.Update(id, counts[host], rate) {
 			c.drive(now, member.PushNow{})
@@ -122,11 +122,11 @@
 
 // totalRate returns the requests per second for a host over all entries, from the rate
 // reports that this entry has received.
-func (c *control) load(host string) (sum float64) {
+func (c *control) totalRate(host string) (sum float64) {
 	id := owner.HostID(host)
 	sum = c.hosts.rates[host].mean
 	for _, report := range c.loads {
-		for _, hostRate := range report.list {
+		for _, hostRate := range report.rates {
 			if hostRate.Host == id {
 				sum += hostRate.Rate
 			}
--- a/internal/gateway/hosts_test.go
+++ b/internal/gateway/hosts_test.go
@@ -13,19 +13,19 @@
 // Entries exchange messages all the time, most of them without a change. Publishing a view
 // for each would take most of a small VM's CPU time among hundreds of entries and delay
 // requests. A message that an entry is leaving must still take effect at once.
-func TestWordsThatChangeNothing(t *testing.T) {
+func TestUnchangedMessagesPublishFewViews(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	entries := several(w, fanOut+1)
 	time.Sleep(4 * roundPeriod)
 	a := entries[0]
 	views, last := 0, a.view.Load()
-	lastHeard := a.heardAt()
+	lastHeard := a.lastHeard()
 	for began := time.Now(); time.Since(began) < 4*tickPeriod; time.Sleep(time.Millisecond) {
 		if v := a.view.Load(); v != last {
 			views, last = views+1, v
 		}
 	}
-	w.c.Assert(a.heardAt().After(lastHeard), qt.IsTrue)
+	w.c.Assert(a.lastHeard().After(lastHeard), qt.IsTrue)
 	w.c.Assert(views <= 6, qt.IsTrue, qt.Commentf("%d views in four periods", views))
 	entries[1].control.tell(t.Context(), leaves{})
 	left := time.Now()
@@ -34,20 +34,20 @@
 }
 
 // lastHeard returns when the entry last received a message from another one.
-func (e *entry) heardAt() time.Time {
-	request := heardAsked{make(chan time.Time, 1)}
+func (e *entry) lastHeard() time.Time {
+	request := lastHeardRequest{make(chan time.Time, 1)}
 	e.control.tell(e.w.c.Context(), request)
 	return <-request.answer
 }
 
-type heardAsked struct{ answer chan time.Time }
+type lastHeardRequest struct{ answer chan time.Time }
 
-func (m heardAsked) apply(_ time.Time, c *control) { m.answer <- c.members.LastReceived() }
+func (m lastHeardRequest) apply(_ time.Time, c *control) { m.answer <- c.members.LastReceived() }
 
 // New configuration versions add routes with hardly any traffic, some of them to another
 // service. The owners must not change: a new owner has no load data of the targets, and
 // each moved caller needs a new connection.
-func TestOwnersStayWhenRoutesCome(t *testing.T) {
+func TestNewRoutesKeepOwners(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	entries := several(w, 6)
 	hosts := []string{"veil.example", "gown.example"}
@@ -84,12 +84,12 @@
 
 // A host's request rate grows beyond the capacity of two owners. The first owner must
 // raise the owner count, and all entries must arrive at the same owners.
-func TestFirstOwnerDecidesTheNumber(t *testing.T) {
+func TestFirstOwnerDecidesOwnerCount(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	entries := several(w, 5)
 	first := func() string { return entries[0].view.Load().owners["veil.example"][0].Name }
 	for _, e := range entries {
-		e.control.tell(t.Context(), busy{first: first(), capacity: e.self.Capacity})
+		e.control.tell(t.Context(), simulateLoad{first: first(), capacity: e.self.Capacity})
 	}
 	w.until("more owners everywhere", func() bool {
 		for _, e := range entries {
@@ -106,12 +106,12 @@
 
 // simulateLoad sets the host's rate at the first owner to four times an entry's capacity,
 // and changes nothing at other entries.
-type busy struct {
+type simulateLoad struct {
 	first    string
 	capacity float64
 }
 
-func (b busy) apply(_ time.Time, c *control) {
+func (b simulateLoad) apply(_ time.Time, c *control) {
 	if c.gateway.self.Name == b.first {
 		// The moving average then decays to the real rate.
 		c.hosts.rates["veil.example"].mean = 4 * b.capacity
--- a/internal/gateway/idle.go
+++ b/internal/gateway/idle.go
@@ -11,19 +11,19 @@
 // allows. It replaces http.Server's idle timeout, which cannot change while the server
 // runs. Without a limit, abandoned connections would use up the file descriptors of a
 // small VM.
-type idlers struct {
+type idleCloser struct {
 	mu     sync.Mutex
 	timers map[net.Conn]*time.Timer
 }
 
-func newIdlers() *idlers {
-	return &idlers{timers: make(map[net.Conn]*time.Timer)}
+func newIdleCloser() *idleCloser {
+	return &idleCloser{timers: make(map[net.Conn]*time.Timer)}
 }
 
 // track handles a state change of a connection (http.Server.ConnState). Callers reuse a
 // connection only if it has been idle for at most four fifths of limit, so none is closed
 // while a caller sends a request on it.
-func (i *idlers) track(c net.Conn, s http.ConnState, limit time.Duration) {
+func (i *idleCloser) track(c net.Conn, s http.ConnState, limit time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if t := i.timers[c]; t != nil {
@@ -33,11 +33,11 @@
 	if limit <= 0 || s != http.StateNew && s != http.StateIdle {
 		return
 	}
-	i.timers[c] = time.AfterFunc(limit, func() { i.end(c) })
+	i.timers[c] = time.AfterFunc(limit, func() { i.close(c) })
 }
 
 // close closes a connection unless a request has arrived on it in the meantime.
-func (i *idlers) end(c net.Conn) {
+func (i *idleCloser) close(c net.Conn) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.timers[c] == nil {
@@ -49,7 +49,7 @@
 
 // idleTimeout returns the idle timeout of callers' connections from the configuration in
 // force, or 0 without one.
-func (g *Gateway) idleLimit() time.Duration {
+func (g *Gateway) idleTimeout() time.Duration {
 	table := g.view.Load().table
 	if table == nil {
 		return 0
--- a/internal/gateway/knowledge_test.go
+++ b/internal/gateway/knowledge_test.go
@@ -36,7 +36,7 @@
 	w.c.Assert(a.status, qt.Equals, http.StatusServiceUnavailable)
 	w.c.Assert(a.header.Get("Retry-After"), qt.Not(qt.Equals), "")
 	rec := httptest.NewRecorder()
-	e.sideHandler().ServeHTTP(rec, httptest.NewRequest("GET", "/readiness", nil))
+	e.auxHandler().ServeHTTP(rec, httptest.NewRequest("GET", "/readiness", nil))
 	w.c.Assert(rec.Code, qt.Equals, http.StatusServiceUnavailable)
 	w.store.Fail(nil)
 	e.settled()
@@ -227,14 +227,14 @@
 			e := w.entry("a")
 			a := e.call("GET", "/a/x", "")
 			w.c.Assert(a.status, qt.Equals, tt.status)
-			w.c.Assert(a.took < 2*startWait, qt.IsTrue, qt.Commentf("%v", a.took))
+			w.c.Assert(a.took < 2*maxStartupWait, qt.IsTrue, qt.Commentf("%v", a.took))
 			if tt.status == http.StatusOK {
 				return
 			}
-			time.Sleep(startTime)
+			time.Sleep(startupWindow)
 			a = e.call("GET", "/a/x", "")
 			w.c.Assert(a.status, qt.Equals, tt.status)
-			w.c.Assert(a.took < startWait/2, qt.IsTrue, qt.Commentf("%v", a.took))
+			w.c.Assert(a.took < maxStartupWait/2, qt.IsTrue, qt.Commentf("%v", a.took))
 		})
 	}
 }
--- a/internal/gateway/leaving_response_test.go
+++ b/internal/gateway/leaving_response_test.go
@@ -21,7 +21,7 @@
 // respond, or the target's record still says ready. The entry must stop using the target
 // within the bound all the same.
 func TestLeavingByAResponse(t *testing.T) {
-	playLeaving(t, []leaveCase{
+	checkLeaving(t, []leaveCase{
 		{"store silent", func(w *world, _ *entry) {
 			w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Silent: true} })
 		}},
@@ -34,12 +34,12 @@
 
 // A target announces in a response that it is leaving. Then its record or its service is
 // removed and comes back. The entry must remember the announcement and send no requests.
-func TestLeavingOutlivesItsRecord(t *testing.T) {
-	playLeaving(t, []leaveCase{
+func TestLeavingIsRememberedWithoutRecord(t *testing.T) {
+	checkLeaving(t, []leaveCase{
 		{"record removed and back", func(w *world, e *entry) {
 			w.store.Delete("servers", w.workers[0].ID)
 			w.until("the target is gone", func() bool { return !e.hasTarget(w.workers[0].ID) })
-			time.Sleep(drain)
+			time.Sleep(drainBound)
 			w.record(w.workers[0], "gowns", "ready")
 			w.until("the target is back", func() bool { return e.hasTarget(w.workers[0].ID) })
 		}},
@@ -49,7 +49,7 @@
 				Name: "r-a", Host: "veil.example", Prefix: "/a/", Timeout: "2s", Goal: "1s", Attempts: 3, Service: "veils",
 			}}, []string{"veils"})
 			w.until("the service dropped", func() bool { return int(e.version()) == w.version })
-			time.Sleep(drain)
+			time.Sleep(drainBound)
 			w.configure(site{})
 			w.until("the service back", func() bool { return int(e.version()) == w.version && e.size("gowns") == 2 })
 		}},
@@ -58,7 +58,7 @@
 
 // checkLeaving checks that a target gets no request later than the bound after it has
 // announced that it is leaving.
-func playLeaving(t *testing.T, tests []leaveCase) {
+func checkLeaving(t *testing.T, tests []leaveCase) {
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
@@ -75,15 +75,15 @@
 				e.call("GET", "/a/x", "")
 				s, err := e.Status(t.Context())
 				w.c.Assert(err, qt.IsNil)
-				return s.Services[0].Targets[0].Leaves != nil
+				return s.Services[0].Targets[0].LeavingFor != nil
 			})
 			announced := time.Now()
 			tt.begin(w, e)
-			for end := time.Now().Add(drain + time.Second); time.Now().Before(end); {
+			for end := time.Now().Add(drainBound + time.Second); time.Now().Before(end); {
 				w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 			}
 			for _, r := range w.workers[0].Runs() {
-				w.c.Assert(r.At.Sub(announced) < drain, qt.IsTrue, qt.Commentf("%v", r.At.Sub(announced)))
+				w.c.Assert(r.At.Sub(announced) < drainBound, qt.IsTrue, qt.Commentf("%v", r.At.Sub(announced)))
 			}
 		})
 	}
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -13,19 +13,19 @@
 
 // drainBound is how long after the change in the store a leaving target may still get
 // requests.
-const drain = 2 * time.Second
+const drainBound = 2 * time.Second
 
 // Nine of ten entries, among them all that read the store for the others, get no more
 // responses from the store. A target's record is removed at that moment. The tenth entry
 // has callers and still reaches the store, so it must stop using the target within the
 // bound.
-func TestServingEntryIsInTime(t *testing.T) {
+func TestEntryWithCallersStopsUsingRemovedTarget(t *testing.T) {
 	tests := []struct {
 		name string
 		idle time.Duration // until the first request
 	}{
 		{"serving all the while", 0},
-		{"first request just after the bound", drain + 50*time.Millisecond},
+		{"first request just after the bound", drainBound + 50*time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -35,11 +35,11 @@
 			w.store.Delete("servers", w.workers[0].ID)
 			left := time.Now()
 			time.Sleep(tt.idle)
-			for time.Since(left) < drain+time.Second {
+			for time.Since(left) < drainBound+time.Second {
 				w.c.Assert(last.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 			}
 			for _, r := range w.workers[0].Runs() {
-				w.c.Assert(r.At.Sub(left) < drain, qt.IsTrue, qt.Commentf("%v", r.At.Sub(left)))
+				w.c.Assert(r.At.Sub(left) < drainBound, qt.IsTrue, qt.Commentf("%v", r.At.Sub(left)))
 			}
 			w.c.Assert(len(w.workers[1].Runs()) > 0, qt.IsTrue)
 		})
@@ -61,7 +61,7 @@
 	hasPending := func() bool {
 		sv.mu.Lock()
 		defer sv.mu.Unlock()
-		pending, _ := sv.book.RequestCounts()
+		pending, _ := sv.balancer.RequestCounts()
 		return pending > 0
 	}
 	w.until("a pending request", hasPending)
@@ -75,14 +75,14 @@
 	w.until("the target is removed from the balancer", func() bool {
 		sv.mu.Lock()
 		defer sv.mu.Unlock()
-		return !sv.book.HasTarget(w.workers[0].ID)
+		return !sv.balancer.HasTarget(w.workers[0].ID)
 	})
 }
 
 // A stopping entry serves requests for three more seconds, and a target is removed in that
 // time. The entry no longer reads the store for the others and the directory no longer
 // lists it, but it must still stop using the target within the bound.
-func TestStoppingEntryIsInTime(t *testing.T) {
+func TestStoppingEntryStopsUsingRemovedTarget(t *testing.T) {
 	w := newWorld(t, site{targets: 2})
 	for _, e := range several(w, 3) {
 		b := *e.bounds.Load()
@@ -95,11 +95,11 @@
 		time.Sleep(100 * time.Millisecond)
 		w.store.Delete("servers", w.workers[0].ID)
 		left := time.Now()
-		for time.Since(left) < drain+500*time.Millisecond {
+		for time.Since(left) < drainBound+500*time.Millisecond {
 			w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 		}
 		for _, r := range w.workers[0].Runs() {
-			w.c.Assert(r.At.Sub(left) < drain, qt.IsTrue, qt.Commentf("%v", r.At.Sub(left)))
+			w.c.Assert(r.At.Sub(left) < drainBound, qt.IsTrue, qt.Commentf("%v", r.At.Sub(left)))
 		}
 		w.c.Assert(<-e.done, qt.IsNil)
 	}
@@ -121,7 +121,7 @@
 // Nine of ten entries get no more responses from the store, and then a new configuration
 // moves a route. The tenth entry has callers and still reaches the store, so it must apply
 // the configuration within the bound.
-func TestServingEntryHasTheConfigurationInTime(t *testing.T) {
+func TestEntryWithCallersAppliesConfigurationInTime(t *testing.T) {
 	w := newWorld(t, site{targets: 1})
 	last := w.lastReader(several(w, 10), dutyConfig)
 	time.Sleep(patience[dutyConfig].wait) // until no watch is open
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -13,12 +13,12 @@
 
 const (
 	// limitDelay is how long after a target has reported a limit all entries must obey it.
-	limitTold = 500 * time.Millisecond
-	limitSpan = 4 * time.Second
+	limitDelay  = 500 * time.Millisecond
+	limitWindow = 4 * time.Second
 )
 
 // maxLimited returns how many requests may reach a target within limitWindow.
-func mostOfLimit(rate float64) int { return int(1.5*rate*limitSpan.Seconds() + 5) }
+func maxLimited(rate float64) int { return int(1.5*rate*limitWindow.Seconds() + 5) }
 
 // A target reports a limit. All entries together must keep to it, still use the target, and
 // refuse requests only if all targets are limited, with a Retry-After header.
@@ -47,7 +47,7 @@
 				w.record(k, "gowns", "ready")
 			}
 			entries := several(w, tt.entries)
-			stop := w.press(t.Context(), entries, 2)
+			stop := w.callContinuously(t.Context(), entries, 2)
 			time.Sleep(time.Second)
 			named := time.Now()
 			for _, k := range w.workers[:tt.limited] {
@@ -56,8 +56,8 @@
 			time.Sleep(load)
 			replies := stop()
 			for i, k := range w.workers[:tt.limited] {
-				n := densest(k.Runs(), named.Add(limitTold), limitSpan)
-				w.c.Check(n <= mostOfLimit(tt.rate), qt.IsTrue, qt.Commentf("target %d got %d in %v, allowed %d", i, n, limitSpan, mostOfLimit(tt.rate)))
+				n := densest(k.Runs(), named.Add(limitDelay), limitWindow)
+				w.c.Check(n <= maxLimited(tt.rate), qt.IsTrue, qt.Commentf("target %d got %d in %v, allowed %d", i, n, limitWindow, maxLimited(tt.rate)))
 				used := runsSince(k.Runs(), named)
 				w.c.Check(float64(used) >= tt.rate*load.Seconds()/4, qt.IsTrue, qt.Commentf("target %d got %d in %v", i, used, load))
 			}
@@ -87,7 +87,7 @@
 	entries := several(w, 6)
 	one, other := w.workers[0], w.workers[1]
 	one.Limit("0.5")
-	stop := w.press(t.Context(), entries, 2)
+	stop := w.callContinuously(t.Context(), entries, 2)
 	time.Sleep(2 * time.Second)
 	one.Limit("")
 	time.Sleep(2 * time.Second) // the target must be in full use by then
@@ -105,7 +105,7 @@
 
 // callContinuously runs a number of callers at each entry, each with one request after the
 // other, until stop is called. stop returns all responses.
-func (w *world) press(ctx context.Context, entries []*entry, callers int) (stop func() []reply) {
+func (w *world) callContinuously(ctx context.Context, entries []*entry, callers int) (stop func() []reply) {
 	ctx, cancel := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	var mu sync.Mutex
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -115,7 +115,7 @@
 	case member.Fetch:
 		c.fetch(now, a.From.Address)
 	case member.RumoursReceived:
-		c.learned(now, a.Rumours)
+		c.receiveRumours(now, a.Rumours)
 	case member.Reply, member.RevisionsChanged, member.PeerAhead, member.Superseded:
 		// None needs an action: a reply occurs only in handleRequest, revisions are
 		// compared when a packet is received, and names are exclusive, so that no
@@ -218,10 +218,10 @@
 		c.drive(now, member.IndirectAck{ExchangeID: p.Exchange, ID: p.ID})
 		return
 	case relay.Loads:
-		c.loads[p.ID.Name] = loadsHeard{now, p.Loads}
+		c.loads[p.ID.Name] = rateReport{now, p.Loads}
 		return
 	case relay.Suspects:
-		c.hearSuspects(now, p.ID.Name, p.Suspects)
+		c.receiveSuspects(now, p.ID.Name, p.Suspects)
 		return
 	}
 	for _, n := range p.Numbers {
@@ -234,7 +234,7 @@
 
 // reportCondition advertises whether this entry is overloaded or the store is unavailable.
 func (c *control) feel(now time.Time) {
-	c.drive(now, member.SetCondition{Condition: member.Condition{Overloaded: c.strain.strained(now), StoreUnavailable: c.shut}})
+	c.drive(now, member.SetCondition{Condition: member.Condition{Overloaded: c.strain.overloaded(now), StoreUnavailable: c.shut}})
 }
 
 // leaveStarted is sent when this entry begins to stop.
@@ -251,5 +251,5 @@
 // start of this entry, from before its clock went back.
 func (c *control) named() {
 	id := c.members.Self()
-	c.gateway.run.Store(&id)
+	c.gateway.selfID.Store(&id)
 }
--- a/internal/gateway/net.go
+++ b/internal/gateway/net.go
@@ -11,18 +11,18 @@
 // data and storeKeepAliveProbes unanswered probes, one per interval, and the entry opens
 // its watch again on a new connection.
 const (
-	storeDial   = time.Second
-	storeProbe  = time.Second
-	storeProbes = 2
-	storeIdle   = 30 * time.Second
+	storeDialTimeout       = time.Second
+	storeKeepAliveInterval = time.Second
+	storeKeepAliveProbes   = 2
+	storeIdleTimeout       = 30 * time.Second
 )
 
 // storeClient returns the HTTP client for the store.
 func storeClient() *http.Client {
-	dialer := net.Dialer{Timeout: storeDial, KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: storeProbe, Interval: storeProbe, Count: storeProbes,
+	dialer := net.Dialer{Timeout: storeDialTimeout, KeepAliveConfig: net.KeepAliveConfig{
+		Enable: true, Idle: storeKeepAliveInterval, Interval: storeKeepAliveInterval, Count: storeKeepAliveProbes,
 	}}
 	return &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: storeIdle, DisableCompression: true,
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: storeIdleTimeout, DisableCompression: true,
 	}}
 }
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -47,7 +47,7 @@
 			failed.apply(from.Add(time.Second), c)
 		}, pulled, true},
 		{"others report that the store doesn't serve them", func(c *control, from time.Time) {
-			unserved := other("unserved")
+			unserved := peerEntry("unserved")
 			unserved.StoreUnavailable = true
 			c.drive(from.Add(time.Second), member.Fetched{Entries: []member.Entry{unserved}})
 			c.live()
@@ -69,13 +69,13 @@
 			c.knows(from.Add(late-200*time.Millisecond), "127.0.0.1:2", relay.Knowledge{Targets: 10})
 		}, read, true},
 		{"cut off from the store and from all others", func(c *control, from time.Time) {
-			c.others(from, "unheard")
+			c.addLive(from, "unheard")
 			failed.apply(from.Add(400*time.Millisecond), c)
 			c.tick(from.Add(aloneAfter + tickPeriod))
 			failed.apply(from.Add(2*time.Second), c)
 		}, pulled, false},
 		{"cut off until all others count as dead", func(c *control, from time.Time) {
-			c.others(from, "unheard")
+			c.addLive(from, "unheard")
 			for at := from; at.Before(from.Add(late)); at = at.Add(roundPeriod) {
 				c.rounds(at)
 				c.tick(at)
@@ -83,23 +83,23 @@
 			failed.apply(from.Add(late-failTime), c)
 		}, pulled, false},
 		{"cut off, a call from then fails when the connection is back", func(c *control, from time.Time) {
-			c.others(from, "unheard")
+			c.addLive(from, "unheard")
 			c.tick(from.Add(aloneAfter + tickPeriod))
-			c.drive(from.Add(back), heardFrom("unheard"))
+			c.drive(from.Add(back), messageFrom("unheard"))
 			failed.apply(from.Add(back), c)
 		}, pulled, false},
 		{"cut off, others that were too report failed calls when the connection is back", func(c *control, from time.Time) {
-			c.others(from, "unheard")
+			c.addLive(from, "unheard")
 			c.tick(from.Add(aloneAfter + tickPeriod))
-			c.drive(from.Add(back), heardFrom("unheard"))
-			unserved := other("unserved")
+			c.drive(from.Add(back), messageFrom("unheard"))
+			unserved := peerEntry("unserved")
 			unserved.StoreUnavailable = true
 			c.drive(from.Add(back), member.Fetched{Entries: []member.Entry{unserved}})
 		}, pulled, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := parked(t)
+			c := parkedControl(t)
 			from := c.started
 			targetsListed{items: []roster.Item[slot.Target]{item("gone", 9), item("stays", 10)}, at: 10, asked: from}.apply(from, c)
 			if tt.since != nil {
@@ -117,7 +117,7 @@
 // get no requests during the outage. After it, the target must not be kept, unlike targets whose
 // records only expired.
 func TestLeavingTargetIsNotAwaited(t *testing.T) {
-	c := parked(t)
+	c := parkedControl(t)
 	from := c.started
 	leaving := item("leaving", 9)
 	leaving.Value.Leaving = true
@@ -144,7 +144,7 @@
 	w.until("the store unavailable", func() bool {
 		e.freshness.mu.Lock()
 		defer e.freshness.mu.Unlock()
-		return e.freshness.away
+		return e.freshness.storeUnavailable
 	})
 	w.c.Assert(time.Since(began) < roster.OutageAge, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
--- a/internal/gateway/parked_test.go
+++ b/internal/gateway/parked_test.go
@@ -11,24 +11,24 @@
 
 // parkedControl returns the control loop of an entry that does not run, so that the test
 // controls which messages it receives and when.
-func parked(t *testing.T) *control {
+func parkedControl(t *testing.T) *control {
 	w := newWorld(t, site{})
 	g := w.gateway("parked", 1)
 	t.Cleanup(g.relay.Close)
-	t.Cleanup(g.unlisten)
+	t.Cleanup(g.closeListeners)
 	return g.control
 }
 
 // addLive adds live entries to the control loop's membership.
-func (c *control) others(now time.Time, names ...string) {
+func (c *control) addLive(now time.Time, names ...string) {
 	var list []member.Entry
 	for _, name := range names {
-		list = append(list, other(name))
+		list = append(list, peerEntry(name))
 	}
 	c.drive(now, member.Fetched{Entries: list})
 }
 
-func other(name string) member.Entry {
+func peerEntry(name string) member.Entry {
 	return member.Entry{
 		ID: member.ID{Name: name, Boot: 1}, CallerAddress: "127.0.0.1:1", PeerAddress: "127.0.0.1:2", Place: "hall", Region: "metro",
 		State: member.Alive, Sequence: 1,
@@ -36,7 +36,7 @@
 }
 
 // messageFrom returns a message of a live entry.
-func heardFrom(name string) member.Event {
+func messageFrom(name string) member.Event {
 	return member.Request{Message: member.Message{From: member.ID{Name: name, Boot: 1}}}
 }
 
--- a/internal/gateway/pull_test.go
+++ b/internal/gateway/pull_test.go
@@ -17,7 +17,7 @@
 // took them for as old as its own start, it would not read the store for longer than a leaving
 // target may get requests.
 func TestAgeAtAStartIsThatOfTheWord(t *testing.T) {
-	c := parked(t)
+	c := parkedControl(t)
 	now := c.started.Add(100 * time.Millisecond)
 	newsPulled{asked: now, news: relay.News{
 		Targets: relay.Listed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, At: 5, Moved: 5, Age: 3 * time.Second,
@@ -30,7 +30,7 @@
 // younger than it is.
 func TestAgeOfAnAnswerThatTookLong(t *testing.T) {
 	const held = 400 * time.Millisecond
-	c := parked(t)
+	c := parkedControl(t)
 	asked := c.started.Add(time.Second)
 	now := asked.Add(held)
 	newsPulled{asked: asked, news: relay.News{
@@ -99,7 +99,7 @@
 		{"a watch that began before", targetsChanged{changes: older, at: 12}},
 	}
 	for _, tt := range tests {
-		c := parked(t)
+		c := parkedControl(t)
 		now := c.started.Add(100 * time.Millisecond)
 		targetsListed{items: []roster.Item[slot.Target]{item("stays", 20)}, at: 21, asked: now}.apply(now, c)
 		tt.late.apply(now.Add(time.Millisecond), c)
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -141,7 +141,7 @@
 	}
 	// A watch without changes confirms the known revision only when it ends. If that
 	// is old already, requests would wait for the end of the watch.
-	t.brief = c.gateway.freshness.serving(now) && t.age >= patience[m.duty].wait+tickPeriod
+	t.brief = c.gateway.freshness.hasCallers(now) && t.age >= patience[m.duty].wait+tickPeriod
 	m.answer <- t
 }
 
@@ -153,12 +153,12 @@
 		rank = 0
 	}
 	age := c.age(now, r)
-	serving := c.gateway.freshness.serving(now)
+	serving := c.gateway.freshness.hasCallers(now)
 	t := turn{due: r.due(age, rank), rank: rank, age: age, at: c.at(r), distant: rank > fastReaders && !serving}
 	if c.confirmed[r].IsZero() {
 		t.due, t.fresh = c.begins(now, rank), true
 	}
-	t.due = t.due || serving && !t.fresh && age >= c.gateway.stale()[r]
+	t.due = t.due || serving && !t.fresh && age >= c.gateway.maxAges()[r]
 	return t
 }
 
@@ -253,15 +253,15 @@
 	for ctx.Err() == nil {
 		t := r.gateway.control.turn(ctx, r.duty)
 		if !t.due {
-			doze(ctx, t.pause(), r.gateway.freshness.wanted[r.duty])
+			doze(ctx, t.pause(), r.gateway.freshness.wakeups[r.duty])
 			continue
 		}
 		err := r.read(ctx, t)
 		r.gateway.log.WithFields(log.Fields{"duty": r.String(), "rank": t.rank, "age": t.age.Milliseconds(), "from": t.at.String()}).Debug("store read")
 		r.gateway.control.tell(ctx, storeAnswered{err})
-		r.gateway.instruments.reads[r.duty].Inc(1)
+		r.gateway.instruments.storeReads[r.duty].Inc(1)
 		if err != nil {
-			r.gateway.instruments.failed[r.duty].Inc(1)
+			r.gateway.instruments.failedStoreReads[r.duty].Inc(1)
 			sleep(ctx, rest(t.rank))
 		}
 	}
--- a/internal/gateway/refused.go
+++ b/internal/gateway/refused.go
@@ -13,53 +13,53 @@
 // than once a second, and a header with each response.
 const (
 	// parseErrorInterval is the time between two lines about the same object or target.
-	refusedEvery = time.Minute
+	parseErrorInterval = time.Minute
 	// parseErrorsPerSecond and parseErrorBurst limit the lines about all of them.
-	refusedLines = 1
-	refusedBurst = 50
+	parseErrorsPerSecond = 1
+	parseErrorBurst      = 50
 	// maxParseErrors bounds the objects and targets that are remembered.
-	refusedKept = 1024
+	maxParseErrors = 1024
 )
 
 // parseErrorLog logs parse errors at a limited rate. It is safe for concurrent use.
-type refusals struct {
-	log   log.Interface
-	lines *limiter.Limiter
+type parseErrorLog struct {
+	log     log.Interface
+	limiter *limiter.Limiter
 
-	mu   sync.Mutex
-	told map[string]time.Time
+	mu         sync.Mutex
+	lastLogged map[string]time.Time
 }
 
-func newRefusals(l log.Interface) *refusals {
-	return &refusals{log: l, lines: limiter.NewLimiter(refusedLines, refusedBurst), told: make(map[string]time.Time)}
+func newParseErrorLog(l log.Interface) *parseErrorLog {
+	return &parseErrorLog{log: l, limiter: limiter.NewLimiter(parseErrorsPerSecond, parseErrorBurst), lastLogged: make(map[string]time.Time)}
 }
 
 // logObject logs that an object of the store could not be parsed.
-func (r *refusals) note(now time.Time, kind, name string, err error) {
-	if !r.due(now, kind+"/"+name) {
+func (r *parseErrorLog) logObject(now time.Time, kind, name string, err error) {
+	if !r.allow(now, kind+"/"+name) {
 		return
 	}
 	r.log.WithError(err).WithFields(log.Fields{"kind": kind, "name": name}).Warn("store: object not understood")
 }
 
 // logHeader logs that a response header of a target could not be parsed.
-func (r *refusals) response(now time.Time, target string, err error) {
-	if !r.due(now, "response/"+target) {
+func (r *parseErrorLog) logHeader(now time.Time, target string, err error) {
+	if !r.allow(now, "response/"+target) {
 		return
 	}
 	r.log.WithError(err).WithField("target", target).Warn("target: header not understood")
 }
 
 // allow reports whether a line about key may be logged now.
-func (r *refusals) due(now time.Time, key string) bool {
+func (r *parseErrorLog) allow(now time.Time, key string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if last, ok := r.told[key]; ok && now.Sub(last) < refusedEvery || !r.lines.AllowN(now, 1) {
+	if last, ok := r.lastLogged[key]; ok && now.Sub(last) < parseErrorInterval || !r.limiter.AllowN(now, 1) {
 		return false
 	}
-	if len(r.told) >= refusedKept {
-		clear(r.told)
+	if len(r.lastLogged) >= maxParseErrors {
+		clear(r.lastLogged)
 	}
-	r.told[key] = now
+	r.lastLogged[key] = now
 	return true
 }
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -10,21 +10,21 @@
 
 // resultReport returns the load report in the response of a dispatch. It is also read
 // from a response that is not forwarded.
-func (g *Gateway) reported(target string, res result) slot.Report {
+func (g *Gateway) resultReport(target string, res result) slot.Report {
 	switch {
-	case res.answer != nil:
-		return g.report(target, res.answer.Status, res.answer.Header)
-	case res.fail != nil && res.fail.Header != nil:
-		return g.report(target, res.fail.Status, res.fail.Header)
+	case res.response != nil:
+		return g.parseReport(target, res.response.Status, res.response.Header)
+	case res.failure != nil && res.failure.Header != nil:
+		return g.parseReport(target, res.failure.Status, res.failure.Header)
 	}
 	return slot.Report{}
 }
 
 // parseReport returns the load report in a target's response.
-func (g *Gateway) report(target string, status int, h http.Header) slot.Report {
+func (g *Gateway) parseReport(target string, status int, h http.Header) slot.Report {
 	report, err := platform.Report(status, h)
 	if err != nil {
-		g.refused.response(time.Now(), target, err)
+		g.parseErrors.logHeader(time.Now(), target, err)
 	}
 	return report
 }
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -182,7 +182,7 @@
 	sv := e.view.Load().services["gowns"]
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	for _, r := range sv.book.Explain(time.Now()) {
+	for _, r := range sv.balancer.Explain(time.Now()) {
 		counts[r.ID+" "+string(r.State)]++
 	}
 }
--- a/internal/gateway/senders.go
+++ b/internal/gateway/senders.go
@@ -15,13 +15,13 @@
 // An entry that receives nothing from the others sends to no cold target. Each entry that
 // is cut off assumes that it owns all hosts, so together their shares would exceed what a
 // cold target can take.
-func (c *control) shareCold(now time.Time, owners map[string][]owner.Entry) {
+func (c *control) updateSenders(now time.Time, owners map[string][]owner.Entry) {
 	senders := c.senders(owners)
 	if c.isolated(now) {
 		senders = nil
 	}
 	for name, sv := range c.services {
-		sv.share(now, senders[name], c.gateway.self.Name)
+		sv.setSenders(now, senders[name], c.gateway.self.Name)
 	}
 }
 
@@ -45,12 +45,12 @@
 }
 
 // setSenders sets the names of the entries that send requests to the service.
-func (s *service) share(now time.Time, names []string, self string) {
+func (s *service) setSenders(now time.Time, names []string, self string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if slices.Equal(names, s.senders) {
 		return
 	}
 	s.senders = names
-	s.book.SetSenders(now, quota.NewSenders(names, self))
+	s.balancer.SetSenders(now, quota.NewSenders(names, self))
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -19,28 +19,28 @@
 
 // service owns the balancer of one service and executes its decisions.
 type service struct {
-	gateway *Gateway
-	budget  *call.Budget
-	counts  serviceInstruments
-
-	mu      sync.Mutex
-	is      route.Service
-	book    *slot.Balancer
-	waiting map[uint64]chan<- slot.Action
-	last    uint64
-	senders []string     // names of the entries that send requests to this service
-	alarm   *alarm.Alarm // for the balancer's next timer
+	gateway     *Gateway
+	budget      *call.Budget
+	instruments serviceInstruments
+
+	mu       sync.Mutex
+	config   route.Service
+	balancer *slot.Balancer
+	pending  map[uint64]chan<- slot.Action
+	lastID   uint64
+	senders  []string     // names of the entries that send requests to this service
+	alarm    *alarm.Alarm // for the balancer's next timer
 }
 
 // probeTimeout bounds a load probe. The choice of a target does not wait that long for
 // it, but aborting the probe earlier would close its connection.
-const askGrace = time.Second
+const probeTimeout = time.Second
 
 func newService(g *Gateway, s route.Service) *service {
 	sv := &service{
-		gateway: g, is: s, counts: g.instruments.service(s.Name), waiting: make(map[uint64]chan<- slot.Action),
-		book:   slot.New(slot.Config{Place: g.self.Place}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		budget: retryBudget(*g.bounds.Load()),
+		gateway: g, config: s, instruments: g.instruments.service(s.Name), pending: make(map[uint64]chan<- slot.Action),
+		balancer: slot.New(slot.Config{Place: g.self.Place}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		budget:   retryBudget(*g.bounds.Load()),
 	}
 	sv.alarm = alarm.New(sv.tick)
 	return sv
@@ -48,24 +48,24 @@
 
 // hedgeTimeFactor is the time reserved for a hedge, as a multiple of the baseline service
 // time.
-const hedgeReserve = 1.4
+const hedgeTimeFactor = 1.4
 
 // hedgeDelay returns how long a request of a class waits for a response before it is also
 // sent to a second target. It is the latest time at which a target that is not slow can
 // still respond within the time left for the objective, and never earlier than the
 // baseline service time.
-func (s *service) hedge(class string, left time.Duration) time.Duration {
+func (s *service) hedgeDelay(class string, left time.Duration) time.Duration {
 	s.mu.Lock()
-	baseline := s.book.ServiceTime(class)
+	baseline := s.balancer.ServiceTime(class)
 	s.mu.Unlock()
-	return max(left-time.Duration(hedgeReserve*float64(baseline)), baseline)
+	return max(left-time.Duration(hedgeTimeFactor*float64(baseline)), baseline)
 }
 
 // retryAfter returns when a caller may retry a request that its targets refused.
-func (s *service) back(now time.Time) time.Duration {
+func (s *service) retryAfter(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.RetryAfter(now)
+	return s.balancer.RetryAfter(now)
 }
 
 // configure applies the service's configuration and the bounds in force.
@@ -73,42 +73,42 @@
 	b := s.gateway.bounds.Load()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.is = cfg
-	s.book.SetWarmup(now, slot.Warmup{Bound: quota.NewColdBound(cfg.WarmupRate, b.WarmFactor, b.WarmSlack), Duration: cfg.WarmupTime})
+	s.config = cfg
+	s.balancer.SetWarmup(now, slot.Warmup{Bound: quota.NewColdBound(cfg.WarmupRate, b.WarmFactor, b.WarmSlack), Duration: cfg.WarmupTime})
 }
 
 // setTargets replaces the list of targets.
-func (s *service) take(now time.Time, list []slot.Target) {
+func (s *service) setTargets(now time.Time, list []slot.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, s.book.SetTargets(now, list, nil))
+	s.perform(now, s.balancer.SetTargets(now, list, nil))
 }
 
 // active reports whether any request is pending or in flight. A request in flight may
 // still need another target.
-func (s *service) busy() bool {
+func (s *service) active() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pending, inFlight := s.book.RequestCounts()
+	pending, inFlight := s.balancer.RequestCounts()
 	return pending+inFlight > 0
 }
 
 // targetCount returns the number of targets.
-func (s *service) size() int {
+func (s *service) targetCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.NumTargets()
+	return s.balancer.NumTargets()
 }
 
 // acquire asks the balancer for a target. The decision, a target or a refusal, is sent to
 // the decision channel, which must have room for it.
-func (s *service) arrive(now time.Time, r slot.Request, decision chan<- slot.Action) (id uint64) {
+func (s *service) acquire(now time.Time, r slot.Request, decision chan<- slot.Action) (id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last++
-	r.ID = s.last
-	s.waiting[r.ID] = decision
-	s.act(now, s.book.Submit(now, r, nil))
+	s.lastID++
+	r.ID = s.lastID
+	s.pending[r.ID] = decision
+	s.perform(now, s.balancer.Submit(now, r, nil))
 	return r.ID
 }
 
@@ -116,53 +116,53 @@
 func (s *service) cancel(now time.Time, id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.waiting, id)
-	s.act(now, s.book.Cancel(now, id, nil))
+	delete(s.pending, id)
+	s.perform(now, s.balancer.Cancel(now, id, nil))
 }
 
 // complete records how a dispatched request ended.
-func (s *service) done(now time.Time, completion slot.Completion) {
+func (s *service) complete(now time.Time, completion slot.Completion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, s.book.Done(now, completion, nil))
+	s.perform(now, s.balancer.Done(now, completion, nil))
 }
 
 // perform executes the balancer's actions. The caller holds the lock, so perform must not
 // block.
-func (s *service) act(now time.Time, actions []slot.Action) {
+func (s *service) perform(now time.Time, actions []slot.Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case slot.Send, slot.Refuse:
 			if a.Kind == slot.Refuse {
-				s.counts.refused[a.Reason].Inc(1)
+				s.instruments.refusals[a.Reason].Inc(1)
 			}
-			if decision, ok := s.waiting[a.ID]; ok {
-				delete(s.waiting, a.ID)
+			if decision, ok := s.pending[a.ID]; ok {
+				delete(s.pending, a.ID)
 				decision <- a
 			}
 		case slot.SendProbe:
-			s.counts.asked.Inc(1)
-			go s.ask(a, s.is.HealthPath)
+			s.instruments.loadProbes.Inc(1)
+			go s.probe(a, s.config.HealthPath)
 		case slot.NoteEjected:
-			s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID}).Warn("target is out, it fails what it is sent")
+			s.gateway.log.WithFields(log.Fields{"service": s.config.Name, "target": a.Target.ID}).Warn("target is out, it fails what it is sent")
 		case slot.NoteReadmitted:
-			s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID}).Info("target readmitted")
+			s.gateway.log.WithFields(log.Fields{"service": s.config.Name, "target": a.Target.ID}).Info("target readmitted")
 		case slot.NoteLeaving:
-			s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID}).Info("target says that it leaves")
+			s.gateway.log.WithFields(log.Fields{"service": s.config.Name, "target": a.Target.ID}).Info("target says that it leaves")
 		case slot.NoteLimit:
 			s.logLimit(a)
 		case slot.NotePause:
-			s.counts.pauses.Inc(1)
+			s.instruments.pauses.Inc(1)
 			s.gateway.log.WithFields(log.Fields{
-				"service": s.is.Name, "target": a.Target.ID, "for": a.RetryAfter.Milliseconds(),
+				"service": s.config.Name, "target": a.Target.ID, "for": a.RetryAfter.Milliseconds(),
 			}).Info("target wants nothing")
 		}
 	}
-	s.alarm.Set(now, s.book.NextTick())
+	s.alarm.Set(now, s.balancer.NextTick())
 }
 
 func (s *service) logLimit(a slot.Action) {
-	logger := s.gateway.log.WithFields(log.Fields{"service": s.is.Name, "target": a.Target.ID})
+	logger := s.gateway.log.WithFields(log.Fields{"service": s.config.Name, "target": a.Target.ID})
 	if !a.HasLimit {
 		logger.Info("target names no limit any more")
 		return
@@ -176,22 +176,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.alarm.Rang()
-	s.act(now, s.book.Tick(now, nil))
+	s.perform(now, s.balancer.Tick(now, nil))
 }
 
 // probe asks a target for its load and passes the result to the balancer.
-func (s *service) ask(a slot.Action, path string) {
-	ctx, cancel := context.WithTimeout(context.Background(), askGrace)
+func (s *service) probe(a slot.Action, path string) {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	status, header, err := s.gateway.forward.Ask(ctx, a.Target.Address, path)
 	result := slot.ProbeResult{Target: a.Target.ID}
 	if err == nil && platform.Instance(header) == a.Target.ID {
 		result.Healthy = status == http.StatusOK
-		result.Report = s.gateway.report(a.Target.ID, status, header)
+		result.Report = s.gateway.parseReport(a.Target.ID, status, header)
 		result.ColdFor, result.ColdKnown = platform.Cold(header)
 	}
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, s.book.ProbeDone(now, result, nil))
+	s.perform(now, s.balancer.ProbeDone(now, result, nil))
 }
--- a/internal/gateway/several_test.go
+++ b/internal/gateway/several_test.go
@@ -200,8 +200,8 @@
 		return s.Services[0].Targets[1].State == "leaving"
 	})
 	w.c.Assert(s.Entry, qt.Equals, "e0")
-	w.c.Assert(s.Version, qt.Equals, uint64(1))
-	w.c.Assert(s.Age < 5 && s.Fresh < 5, qt.IsTrue)
+	w.c.Assert(s.ConfigVersion, qt.Equals, uint64(1))
+	w.c.Assert(s.ConfigAge < 5 && s.TargetsAge < 5, qt.IsTrue)
 	w.c.Assert(s.Entries, qt.HasLen, 1)
 	w.c.Assert(s.Entries[0].Live, qt.IsTrue)
 	w.c.Assert(s.Services[0].Name, qt.Equals, "gowns")
@@ -221,7 +221,7 @@
 	refused := func() bool {
 		s, err := first.Status(t.Context())
 		w.c.Assert(err, qt.IsNil)
-		return s.Shut
+		return s.StoreUnavailable
 	}
 	w.store.Fail(turnAway(first))
 	w.until("the reader is refused", refused)
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -21,20 +21,20 @@
 
 // Status is the current state of a gateway, for operators.
 type Status struct {
-	Entry    string          `json:"entry"`
-	Boot     uint64          `json:"boot"`
-	Version  uint64          `json:"version"`  // of the configuration in force, 0 for none
-	Age      float64         `json:"age"`      // seconds since the store confirmed that version
-	Epoch    uint64          `json:"epoch"`    // of the store: how often it was restored from a copy
-	Revision uint64          `json:"revision"` // of the last change of the targets
-	Fresh    float64         `json:"fresh"`    // seconds since the store confirmed the targets
-	Marked   float64         `json:"marked"`   // seconds since the store confirmed the evacuations
-	Shut     bool            `json:"shut"`     // the store doesn't serve this entry
-	Leaving  bool            `json:"leaving"`
-	Strained bool            `json:"strained"`
-	Entries  []EntryStatus   `json:"entries"`
-	Hosts    []HostStatus    `json:"hosts"`
-	Services []ServiceStatus `json:"services"`
+	Entry            string          `json:"entry"`
+	Boot             uint64          `json:"boot"`
+	ConfigVersion    uint64          `json:"version"`  // of the configuration in force, 0 for none
+	ConfigAge        float64         `json:"age"`      // seconds since the store confirmed that version
+	Epoch            uint64          `json:"epoch"`    // of the store: how often it was restored from a copy
+	TargetsRevision  uint64          `json:"revision"` // of the last change of the targets
+	TargetsAge       float64         `json:"fresh"`    // seconds since the store confirmed the targets
+	EvacuationsAge   float64         `json:"marked"`   // seconds since the store confirmed the evacuations
+	StoreUnavailable bool            `json:"shut"`     // the store doesn't serve this entry
+	Leaving          bool            `json:"leaving"`
+	Overloaded       bool            `json:"strained"`
+	Entries          []EntryStatus   `json:"entries"`
+	Hosts            []HostStatus    `json:"hosts"`
+	Services         []ServiceStatus `json:"services"`
 	// Evacuations are the failure domains that get no requests.
 	Evacuations []EvacuationStatus `json:"evacuations"`
 }
@@ -45,7 +45,7 @@
 	Revision uint64  `json:"revision"` // of the evacuation in the store
 	Since    float64 `json:"since"`    // seconds since this entry received the evacuation
 	Targets  int     `json:"targets"`  // in the domain
-	Flying   int     `json:"flying"`   // requests of this entry still in flight there
+	InFlight int     `json:"flying"`   // requests of this entry still in flight there
 }
 
 // HostStatus is a host with its owners, the entries that its callers are sent to.
@@ -57,42 +57,42 @@
 
 // EntryStatus is another entry.
 type EntryStatus struct {
-	Name     string  `json:"name"`
-	Place    string  `json:"place"`
-	Front    string  `json:"front"`
-	Live     bool    `json:"live"`
-	State    string  `json:"state"`
-	Since    float64 `json:"since"`    // seconds since this entry received the state
-	Version  uint64  `json:"version"`  // of its configuration as it last reported it to this entry, 0 if never
-	Revision uint64  `json:"revision"` // of its targets, reported likewise
-	Strained bool    `json:"strained"`
-	Shut     bool    `json:"shut"`
-	Rate     float64 `json:"rate"` // requests per second, for hosts whose rates it reports to this entry
+	Name             string  `json:"name"`
+	Place            string  `json:"place"`
+	Front            string  `json:"front"`
+	Live             bool    `json:"live"`
+	State            string  `json:"state"`
+	StateAge         float64 `json:"since"`    // seconds since this entry received the state
+	ConfigVersion    uint64  `json:"version"`  // of its configuration as it last reported it to this entry, 0 if never
+	TargetsRevision  uint64  `json:"revision"` // of its targets, reported likewise
+	Overloaded       bool    `json:"strained"`
+	StoreUnavailable bool    `json:"shut"`
+	Rate             float64 `json:"rate"` // requests per second, for hosts whose rates it reports to this entry
 }
 
 // ServiceStatus is a service with its targets.
 type ServiceStatus struct {
-	Name    string         `json:"name"`
-	Seeking int            `json:"seeking"` // pending requests, without a target
-	Flying  int            `json:"flying"`  // requests in flight
-	Saved   float64        `json:"saved"`   // retries and hedges that the budget has saved up
-	Targets []TargetStatus `json:"targets"`
+	Name            string         `json:"name"`
+	Pending         int            `json:"seeking"` // pending requests, without a target
+	InFlight        int            `json:"flying"`  // requests in flight
+	SavedDispatches float64        `json:"saved"`   // retries and hedges that the budget has saved up
+	Targets         []TargetStatus `json:"targets"`
 }
 
 // TargetStatus is the state of a target as this entry sees it.
 type TargetStatus struct {
-	ID       string  `json:"id"`
-	Address  string  `json:"address"`
-	Place    string  `json:"place"`
-	State    string  `json:"state"`
-	Until    float64 `json:"until"` // minimum seconds until the state ends
-	InFlight int     `json:"inflight"`
-	Foreign  int     `json:"foreign"` // requests of other entries in flight, by the last load report
-	Pace     float64 `json:"pace"`    // 0 without a load report
-	Age      float64 `json:"age"`     // seconds since the load report
+	ID            string  `json:"id"`
+	Address       string  `json:"address"`
+	Place         string  `json:"place"`
+	State         string  `json:"state"`
+	Until         float64 `json:"until"` // minimum seconds until the state ends
+	InFlight      int     `json:"inflight"`
+	OtherInFlight int     `json:"foreign"` // requests of other entries in flight, by the last load report
+	Pace          float64 `json:"pace"`    // 0 without a load report
+	LoadAge       float64 `json:"age"`     // seconds since the load report
 	// Leaves is the time in seconds since this entry learned from a response that the
 	// target is leaving; nil if it has not.
-	Leaves *float64 `json:"leaves,omitempty"`
+	LeavingFor *float64 `json:"leaves,omitempty"`
 	// Limit is the request rate that the target accepts from all entries together; nil if
 	// it reports no limit.
 	Limit *LimitStatus `json:"limit,omitempty"`
@@ -105,17 +105,17 @@
 }
 
 // statusRequest asks the control loop for the status.
-type statusAsked struct{ answer chan Status }
+type statusRequest struct{ reply chan Status }
 
-func (m statusAsked) apply(now time.Time, c *control) { m.answer <- c.status(now) }
+func (m statusRequest) apply(now time.Time, c *control) { m.reply <- c.status(now) }
 
 func (c *control) status(now time.Time) Status {
 	s := Status{
 		Entry: c.gateway.self.Name, Boot: c.gateway.self.Boot,
-		Version: uint64(c.config.Version), Age: c.age(now, dutyConfig).Seconds(),
-		Epoch: c.targets.Revision().Epoch(), Revision: c.targets.LastChange().Position(), Fresh: c.age(now, dutyTargets).Seconds(),
-		Marked: c.age(now, dutyEvacuations).Seconds(), Evacuations: []EvacuationStatus{},
-		Shut: c.shut, Leaving: c.gateway.leaving.Load(), Strained: c.strain.strained(now),
+		ConfigVersion: uint64(c.config.Version), ConfigAge: c.age(now, dutyConfig).Seconds(),
+		Epoch: c.targets.Revision().Epoch(), TargetsRevision: c.targets.LastChange().Position(), TargetsAge: c.age(now, dutyTargets).Seconds(),
+		EvacuationsAge: c.age(now, dutyEvacuations).Seconds(), Evacuations: []EvacuationStatus{},
+		StoreUnavailable: c.shut, Leaving: c.gateway.leaving.Load(), Overloaded: c.strain.overloaded(now),
 		Entries: []EntryStatus{}, Hosts: []HostStatus{}, Services: []ServiceStatus{},
 	}
 	for e := range c.members.Entries() {
@@ -152,7 +152,7 @@
 		for _, t := range s.Targets {
 			if t.Place == e.Place {
 				e.Targets++
-				e.Flying += t.InFlight
+				e.InFlight += t.InFlight
 			}
 		}
 	}
@@ -162,9 +162,9 @@
 func (c *control) entryStatus(now time.Time, e member.Entry) EntryStatus {
 	s := EntryStatus{
 		Name: e.ID.Name, Place: e.Place, Front: e.CallerAddress, Live: e.State == member.Alive, State: e.State.String(),
-		Since: now.Sub(e.Since).Seconds(), Version: e.Revisions.Settings, Revision: roster.Revision(e.Revisions.Targets).Position(), Strained: e.Overloaded, Shut: e.StoreUnavailable,
+		StateAge: now.Sub(e.Since).Seconds(), ConfigVersion: e.Revisions.Settings, TargetsRevision: roster.Revision(e.Revisions.Targets).Position(), Overloaded: e.Overloaded, StoreUnavailable: e.StoreUnavailable,
 	}
-	for _, l := range c.loads[s.Name].list {
+	for _, l := range c.loads[s.Name].rates {
 		s.Rate += l.Rate
 	}
 	return s
@@ -173,9 +173,9 @@
 func (s *service) status(now time.Time, name string) ServiceStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := ServiceStatus{Name: name, Saved: s.budget.Available(), Targets: []TargetStatus{}}
-	out.Seeking, out.Flying = s.book.RequestCounts()
-	for _, r := range s.book.Explain(now) {
+	out := ServiceStatus{Name: name, SavedDispatches: s.budget.Available(), Targets: []TargetStatus{}}
+	out.Pending, out.InFlight = s.balancer.RequestCounts()
+	for _, r := range s.balancer.Explain(now) {
 		out.Targets = append(out.Targets, targetStatus(now, r))
 	}
 	return out
@@ -183,30 +183,30 @@
 
 func targetStatus(now time.Time, r slot.TargetStatus) TargetStatus {
 	t := TargetStatus{
-		ID: r.ID, Address: r.Address, Place: r.Place, State: string(r.State), InFlight: r.InFlight, Foreign: r.OtherInFlight,
+		ID: r.ID, Address: r.Address, Place: r.Place, State: string(r.State), InFlight: r.InFlight, OtherInFlight: r.OtherInFlight,
 	}
 	if !r.Until.IsZero() {
 		t.Until = max(r.Until.Sub(now).Seconds(), 0)
 	}
 	if !r.LeavingSince.IsZero() {
 		leavingFor := now.Sub(r.LeavingSince).Seconds()
-		t.Leaves = &leavingFor
+		t.LeavingFor = &leavingFor
 	}
 	if r.HasLimit {
 		t.Limit = &LimitStatus{Rate: r.Limit, Since: now.Sub(r.LimitedSince).Seconds()}
 	}
 	if r.LoadKnown {
-		t.Pace, t.Age = r.Pace, r.LoadAge.Seconds()
+		t.Pace, t.LoadAge = r.Pace, r.LoadAge.Seconds()
 	}
 	return t
 }
 
 // Status returns the state of this gateway.
 func (g *Gateway) Status(ctx context.Context) (s Status, err error) {
-	request := statusAsked{answer: make(chan Status, 1)}
+	request := statusRequest{reply: make(chan Status, 1)}
 	g.control.tell(ctx, request)
 	select {
-	case s = <-request.answer:
+	case s = <-request.reply:
 		return s, nil
 	case <-ctx.Done():
 		return s, errors.WithMessage(ctx.Err(), "control")
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -12,22 +12,22 @@
 const (
 	// drainTime is how long a stopping entry still accepts requests: callers may use a
 	// directory response for up to three times its TTL.
-	serveOn = 3 * directoryTTL
+	drainTime = 3 * directoryTTL
 	// lastRequestWait is how long the entry waits for requests on connections that were
 	// accepted just before the listener closed: a round trip to callers and the delay of a
 	// busy VM. An http.Server drops requests that it reads after its shutdown has begun,
 	// and such a caller would see its connection close without a response.
-	acceptTime = 100 * time.Millisecond
+	lastRequestWait = 100 * time.Millisecond
 	// stopReserve is the part of the grace period reserved for the exit of the process.
 	stopReserve = 500 * time.Millisecond
 	// responseReserve is how long before the shutdown deadline unfinished requests are
 	// given up, so that callers get a response before their connections close.
-	answerTime = 100 * time.Millisecond
+	responseReserve = 100 * time.Millisecond
 )
 
 // stop stops the entry gracefully. It reports not ready and leaves the directory at once,
 // serves requests until callers no longer use its address, and then shuts down.
-func (g *Gateway) leave(front *http.Server) {
+func (g *Gateway) stop(front *http.Server) {
 	grace := g.bounds.Load().Grace
 	deadline := time.Now().Add(grace - stopReserve)
 	g.leaving.Store(true)
@@ -35,19 +35,19 @@
 	g.log.Info(logs.MessageStops)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	giveUp := time.AfterFunc(time.Until(deadline)-answerTime, func() { close(g.ending) })
+	giveUp := time.AfterFunc(time.Until(deadline)-responseReserve, func() { close(g.giveUp) })
 	defer giveUp.Stop()
 	go func() {
-		if !g.recorded.Load() {
+		if !g.enrolled.Load() {
 			return
 		}
 		if err := g.store.Leave(ctx, g.self.Name, 0); err != nil {
 			g.log.WithError(err).Warn("could not remove this entry's record from the store")
 		}
 	}()
-	sleep(ctx, min(serveOn, grace/2))
-	g.front.Close()
-	sleep(ctx, acceptTime)
+	sleep(ctx, min(drainTime, grace/2))
+	g.frontListener.Close()
+	sleep(ctx, lastRequestWait)
 	if err := front.Shutdown(ctx); err != nil {
 		g.log.WithError(err).Warn("shutdown deadline passed with requests unfinished")
 	}
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -28,7 +28,7 @@
 	e.stop()
 	w.until("not ready", func() bool {
 		rec := httptest.NewRecorder()
-		e.sideHandler().ServeHTTP(rec, httptest.NewRequest("GET", "/readiness", nil))
+		e.auxHandler().ServeHTTP(rec, httptest.NewRequest("GET", "/readiness", nil))
 		return rec.Code == http.StatusServiceUnavailable
 	})
 	w.c.Assert(e.callWith(t.Context(), "late", "POST", "/a/x", "veil").status, qt.Equals, http.StatusOK)
@@ -61,7 +61,7 @@
 
 // The grace period of a stop ends while a request waits for its target. The caller must get
 // an error response and not just a closed connection.
-func TestStopAnswersWhatItGivesUp(t *testing.T) {
+func TestStopRespondsToUnfinishedRequests(t *testing.T) {
 	tests := []struct {
 		name  string
 		route site
--- a/internal/gateway/strain.go
+++ b/internal/gateway/strain.go
@@ -4,39 +4,39 @@
 
 // overloadDetector detects that this entry is overloaded. It measures how late the control
 // loop's ticks are, since requests are delayed by as much.
-type strain struct {
-	last  time.Time
-	late  int       // consecutive late ticks
-	until time.Time // end of the overloaded state
+type overloadDetector struct {
+	lastTick        time.Time
+	lateTicks       int       // consecutive late ticks
+	overloadedUntil time.Time // end of the overloaded state
 }
 
 const (
 	// maxTickDelay is how late a tick may be. A request and its response that are each
 	// delayed by that much have used half of the shortest objective.
-	strainLate = 40 * time.Millisecond
+	maxTickDelay = 40 * time.Millisecond
 	// overloadTicks is how many consecutive late ticks mean overload.
-	strainTicks = 2
+	overloadTicks = 2
 	// overloadHold is how long an entry stays overloaded after the last detection. A slow
 	// VM without callers appears healthy, so without this time it would get them back at
 	// once.
-	strainHold = 6 * time.Second
+	overloadHold = 6 * time.Second
 )
 
 // tick records a tick that was due one period after the previous one.
-func (s *strain) tick(now time.Time, period time.Duration) {
-	late := !s.last.IsZero() && now.Sub(s.last) > period+strainLate
-	s.last = now
+func (s *overloadDetector) tick(now time.Time, period time.Duration) {
+	late := !s.lastTick.IsZero() && now.Sub(s.lastTick) > period+maxTickDelay
+	s.lastTick = now
 	if !late {
-		s.late = 0
+		s.lateTicks = 0
 		return
 	}
-	s.late++
-	if s.late >= strainTicks {
-		s.until = now.Add(strainHold)
+	s.lateTicks++
+	if s.lateTicks >= overloadTicks {
+		s.overloadedUntil = now.Add(overloadHold)
 	}
 }
 
 // overloaded reports whether callers should be sent to other entries.
-func (s *strain) strained(now time.Time) bool {
-	return now.Before(s.until)
+func (s *overloadDetector) overloaded(now time.Time) bool {
+	return now.Before(s.overloadedUntil)
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -17,44 +17,44 @@
 	maxSuspects = 16
 	// maxAnnounced bounds the suspects that are remembered as announced. When it is
 	// exceeded, all are forgotten and announced once more.
-	maxTold = 4096
+	maxAnnounced = 4096
 )
 
 const (
 	// notifierMinUptime is how long an entry must have been live before it sends its
 	// quarantine to entries that start: by then it has received the quarantine itself.
-	tellerTime = 2 * time.Second
+	notifierMinUptime = 2 * time.Second
 	// maxNotifiers is how many entries notify one that starts; several, since datagrams
 	// may be lost.
-	mostTellers = 3
+	maxNotifiers = 3
 )
 
 // liveInstance is a live incarnation of an entry.
-type liveRun struct {
+type liveInstance struct {
 	boot  uint64
 	since time.Time // when this entry first saw it live
 }
 
 // notifyStarted sends the quarantined requests to entries that have started or are live
 // again. Entries that were live when a quarantine began received it then.
-func (c *control) tellStarted(now time.Time) {
+func (c *control) notifyStarted(now time.Time) {
 	live := c.live()
 	if c.rolls == c.rollTold {
 		return
 	}
 	c.rollTold = c.rolls
 	var started []owner.Candidate
-	instances := make(map[string]liveRun, len(live))
+	instances := make(map[string]liveInstance, len(live))
 	for _, e := range live {
 		instance, ok := c.runs[e.Name]
 		if !ok || instance.boot != e.Boot {
-			instance = liveRun{e.Boot, now}
+			instance = liveInstance{e.Boot, now}
 			started = append(started, e)
 		}
 		instances[e.Name] = instance
 	}
 	c.runs = instances
-	if !c.tells(now) {
+	if !c.isNotifier(now) {
 		return
 	}
 	quarantined := c.quarantined(now)
@@ -68,16 +68,16 @@
 
 // isNotifier reports whether this entry notifies entries that start. The notifiers are
 // the first maxNotifiers entries, by name, that have been live for notifierMinUptime.
-func (c *control) tells(now time.Time) bool {
+func (c *control) isNotifier(now time.Time) bool {
 	n := 0
 	for _, e := range c.live() {
-		if now.Sub(c.runs[e.Name].since) < tellerTime {
+		if now.Sub(c.runs[e.Name].since) < notifierMinUptime {
 			continue
 		}
 		if e.Name == c.gateway.self.Name {
 			return true
 		}
-		if n++; n == mostTellers {
+		if n++; n == maxNotifiers {
 			return false
 		}
 	}
@@ -96,9 +96,9 @@
 
 // receiveSuspects merges another entry's report of requests that crash targets. That entry
 // has announced the quarantined ones to all entries, so they are recorded as announced.
-func (c *control) hearSuspects(now time.Time, by string, list []call.Suspect) {
+func (c *control) receiveSuspects(now time.Time, by string, list []call.Suspect) {
 	for _, s := range list {
-		c.logTold(s.Fingerprint, uint32(s.Crashes), by)
+		c.logReceivedSuspect(s.Fingerprint, uint32(s.Crashes), by)
 		if s.Crashes >= crashLimit {
 			c.suspects[s.Fingerprint] = crashLimit
 		}
@@ -107,16 +107,16 @@
 }
 
 // receiveRumours merges quarantined requests that were received by gossip.
-func (c *control) learned(now time.Time, r member.Rumours) {
+func (c *control) receiveRumours(now time.Time, r member.Rumours) {
 	for _, s := range r.CrashReports {
-		c.logTold(s.Fingerprint, s.Crashes, s.Reporter)
+		c.logReceivedSuspect(s.Fingerprint, s.Crashes, s.Reporter)
 		suspect := call.Suspect{Fingerprint: s.Fingerprint, Crashes: int(s.Crashes), Age: now.Sub(s.Time)}
 		c.gateway.suspects.Merge(now, s.Reporter, []call.Suspect{suspect})
 	}
 }
 
 // logReceivedSuspect logs another entry's report of a request that crashes targets.
-func (c *control) logTold(fingerprint uint64, crashes uint32, by string) {
+func (c *control) logReceivedSuspect(fingerprint uint64, crashes uint32, by string) {
 	c.gateway.log.WithFields(log.Fields{
 		"print": strconv.FormatUint(fingerprint, 36), "crashes": crashes, "by": by,
 	}).Info("told of a request that crashes targets")
@@ -126,7 +126,7 @@
 // announcement. A crash goes to the owners only, since a caller sends its retry to an
 // owner; a quarantine goes to all entries. When each crash went to all 472 entries, a
 // fault of 105 targets caused half of all bytes sent between entries.
-func (c *control) tellSuspects(now time.Time) {
+func (c *control) announceSuspects(now time.Time) {
 	var rumours member.Rumours
 	var changed []call.Suspect
 	for _, s := range c.gateway.suspects.Export(now, maxSuspects) {
@@ -141,10 +141,10 @@
 		c.suspects[s.Fingerprint] = s.Crashes
 		changed = append(changed, s)
 		if quarantined || announced == crashLimit {
-			rumours.CrashReports = append(rumours.CrashReports, c.crasher(now, s))
+			rumours.CrashReports = append(rumours.CrashReports, c.suspectRumour(now, s))
 		}
 	}
-	if len(c.suspects) > maxTold {
+	if len(c.suspects) > maxAnnounced {
 		clear(c.suspects)
 	}
 	if len(rumours.CrashReports) > 0 {
@@ -159,7 +159,7 @@
 }
 
 // suspectRumour returns the gossip record of a suspect.
-func (c *control) crasher(now time.Time, s call.Suspect) member.CrashReport {
+func (c *control) suspectRumour(now time.Time, s call.Suspect) member.CrashReport {
 	c.said++
 	return member.CrashReport{
 		Fingerprint: s.Fingerprint, Crashes: uint32(s.Crashes), Time: now.Add(-s.Age), Reporter: c.gateway.self.Name, Sequence: c.gateway.self.Boot + c.said,
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -70,7 +70,7 @@
 // Addresses returns the addresses that the gateway listens on. They differ from the settings
 // if those have port 0.
 func (g *Gateway) Addresses() Addresses {
-	return Addresses{g.front.Addr().String(), g.directory.Addr().String(), g.scrapes.Addr().String()}
+	return Addresses{g.frontListener.Addr().String(), g.directoryListener.Addr().String(), g.metricsListener.Addr().String()}
 }
 
 // Ready reports whether a configuration is in force and each of its services
@@ -82,7 +82,7 @@
 	}
 	for name := range v.table.Config.Services {
 		sv := v.services[name]
-		if sv == nil || sv.size() == 0 {
+		if sv == nil || sv.targetCount() == 0 {
 			return false
 		}
 	}
--- a/internal/gateway/writers_test.go
+++ b/internal/gateway/writers_test.go
@@ -74,18 +74,18 @@
 // and all of them together at a limited rate.
 func TestLinesAboutUnreadableRecords(t *testing.T) {
 	h := memory.New()
-	r := newRefusals(&log.Logger{Handler: h})
+	r := newParseErrorLog(&log.Logger{Handler: h})
 	now := time.Unix(1000, 0)
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
-		r.note(now, "servers", "other", errors.New("bad"))
+		r.logObject(now, "servers", "other", errors.New("bad"))
 	}
 	qt.Assert(t, h.Entries, qt.HasLen, 1)
 	for i := range 10000 {
 		now = now.Add(time.Millisecond)
-		r.note(now, "servers", fmt.Sprint(i), errors.New("bad"))
+		r.logObject(now, "servers", fmt.Sprint(i), errors.New("bad"))
 	}
-	qt.Assert(t, len(h.Entries) <= 1+refusedBurst+10*refusedLines+1, qt.IsTrue, qt.Commentf("%d lines", len(h.Entries)))
+	qt.Assert(t, len(h.Entries) <= 1+parseErrorBurst+10*parseErrorsPerSecond+1, qt.IsTrue, qt.Commentf("%d lines", len(h.Entries)))
 }
 
 // A request crashes the same target three times, which restarts with the same id each time. That
--- a/status_gateway.go
+++ b/status_gateway.go
@@ -22,13 +22,13 @@
 		return err
 	}
 	fmt.Printf("gateway %s, configuration %d confirmed %.1f s ago, targets %d confirmed %.1f s ago%s\n\n",
-		s.Entry, s.Version, s.Age, s.Revision, s.Fresh, marks(s.Leaving, s.Strained, s.Shut))
+		s.Entry, s.ConfigVersion, s.ConfigAge, s.TargetsRevision, s.TargetsAge, marks(s.Leaving, s.Overloaded, s.StoreUnavailable))
 	showEvacuations(s)
 	t := newTable("ENTRY", "STATE", "PLACE", "SINCE S", "CONFIG", "TARGETS", "RATE", "MARKS")
 	for _, e := range s.Entries {
 		t.Append([]string{
-			e.Name, e.State, e.Place, fmt.Sprintf("%.1f", e.Since), fmt.Sprint(e.Version), fmt.Sprint(e.Revision),
-			fmt.Sprintf("%.0f", e.Rate), strings.TrimPrefix(marks(false, e.Strained, e.Shut), ", "),
+			e.Name, e.State, e.Place, fmt.Sprintf("%.1f", e.StateAge), fmt.Sprint(e.ConfigVersion), fmt.Sprint(e.TargetsRevision),
+			fmt.Sprintf("%.0f", e.Rate), strings.TrimPrefix(marks(false, e.Overloaded, e.StoreUnavailable), ", "),
 		})
 	}
 	t.Render()
@@ -39,12 +39,12 @@
 	}
 	hosts.Render()
 	for _, sv := range s.Services {
-		fmt.Printf("\n%s: %d seek a target, %d at targets\n", sv.Name, sv.Seeking, sv.Flying)
+		fmt.Printf("\n%s: %d seek a target, %d at targets\n", sv.Name, sv.Pending, sv.InFlight)
 		t := newTable("TARGET", "STATE", "FOR S", "PLACE", "IN FLIGHT", "OTHERS'", "PACE", "AGE S")
 		for _, r := range sv.Targets {
 			t.Append([]string{
-				r.ID, r.State, fmt.Sprintf("%.1f", r.Until), r.Place, fmt.Sprint(r.InFlight), fmt.Sprint(r.Foreign),
-				fmt.Sprintf("%.2f", r.Pace), fmt.Sprintf("%.2f", r.Age),
+				r.ID, r.State, fmt.Sprintf("%.1f", r.Until), r.Place, fmt.Sprint(r.InFlight), fmt.Sprint(r.OtherInFlight),
+				fmt.Sprintf("%.2f", r.Pace), fmt.Sprintf("%.2f", r.LoadAge),
 			})
 		}
 		t.Render()
@@ -59,10 +59,10 @@
 	}
 	t := newTable("EVACUATED", "KNOWN S", "TARGETS", "IN FLIGHT")
 	for _, e := range s.Evacuations {
-		t.Append([]string{e.Place, fmt.Sprintf("%.1f", e.Since), fmt.Sprint(e.Targets), fmt.Sprint(e.Flying)})
+		t.Append([]string{e.Place, fmt.Sprintf("%.1f", e.Since), fmt.Sprint(e.Targets), fmt.Sprint(e.InFlight)})
 	}
 	t.Render()
-	fmt.Printf("confirmed %.1f s ago\n\n", s.Marked)
+	fmt.Printf("confirmed %.1f s ago\n\n", s.EvacuationsAge)
 }
 
 // conditionsText lists the abnormal conditions of a gateway, each after a comma.
