--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/answer_test.go
@@ -18,8 +18,8 @@
 )
 
 func TestRequestIsServed(t *testing.T) {
-	w := newWorld(t, site{targets: 2})
-	e := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 2})
+	e := w.startEntry("a").waitReady()
 	a := e.call("POST", "/a/x?y=1", "veil")
 	w.c.Assert(a.err, qt.IsNil)
 	w.c.Assert(a.status, qt.Equals, http.StatusOK)
@@ -61,8 +61,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, site{targets: 2, kind: tt.kind, timeout: "600ms"})
-			e := w.entry("a").settled()
+			w := newWorld(t, worldConfig{targets: 2, routeType: tt.kind, timeout: "600ms"})
+			e := w.startEntry("a").waitReady()
 			fillRetryBudget(e)
 			var first atomic.Bool
 			for _, k := range w.workers {
@@ -96,8 +96,8 @@
 // caller may receive it.
 func TestExtraResponseIsDiscarded(t *testing.T) {
 	for _, delay := range []time.Duration{0, 3 * time.Millisecond} {
-		w := newWorld(t, site{targets: 1})
-		e := w.entry("a").settled()
+		w := newWorld(t, worldConfig{targets: 1})
+		e := w.startEntry("a").waitReady()
 		w.workers[0].Fail(func(r *http.Request) worker.Fault {
 			return worker.Fault{Extra: r.URL.Path != "/health", ExtraIn: delay}
 		})
@@ -114,8 +114,8 @@
 // A target never responds. The caller gets a timeout at the route's timeout, even if its
 // own deadline is later.
 func TestRouteTimeout(t *testing.T) {
-	w := newWorld(t, site{targets: 1, kind: "non_idempotent", timeout: "300ms"})
-	e := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 1, routeType: "non_idempotent", timeout: "300ms"})
+	e := w.startEntry("a").waitReady()
 	w.workers[0].Fail(func(r *http.Request) worker.Fault { return worker.Fault{Mute: r.URL.Path != "/health"} })
 	a := e.call("POST", "/a/x", "veil")
 	w.c.Assert(a.status, qt.Equals, http.StatusGatewayTimeout)
@@ -125,24 +125,24 @@
 // A caller closes its connection while the target processes its request. The connection
 // to the target must be closed too, or the request would keep its slot occupied.
 func TestCallerDisconnectClosesTargetConnection(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	e := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 1})
+	e := w.startEntry("a").waitReady()
 	w.workers[0].Work(2 * time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		w.until("the run", func() bool { return len(w.workers[0].Runs()) == 1 })
+		w.waitFor("the run", func() bool { return len(w.workers[0].Runs()) == 1 })
 		cancel()
 	}()
 	a := e.callWith(ctx, "left", "GET", "/a/x", "")
 	w.c.Assert(a.err, qt.IsNotNil)
-	w.until("the end of the target's connection", func() bool { return !w.workers[0].Runs()[0].Gone.IsZero() })
+	w.waitFor("the end of the target's connection", func() bool { return !w.workers[0].Runs()[0].Gone.IsZero() })
 	run := w.workers[0].Runs()[0]
 	w.c.Assert(run.Gone.Sub(run.At) < time.Second, qt.IsTrue)
 }
 
 func TestNoRoute(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	e := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 1})
+	e := w.startEntry("a").waitReady()
 	w.c.Assert(e.call("GET", "/b/x", "").status, qt.Equals, http.StatusNotFound)
 }
 
@@ -167,7 +167,7 @@
 	_, err = io.ReadFull(served, make([]byte, len("GET /a/next")))
 	c.Assert(err, qt.IsNil)
 	caller.Close()
-	for end := time.Now().Add(bound); !callerClosed(r); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitLimit); !callerClosed(r); time.Sleep(time.Millisecond) {
 		c.Assert(time.Now().Before(end), qt.IsTrue)
 	}
 }
@@ -175,8 +175,8 @@
 // A request header exceeds the configured limit. The caller gets status 431, and no target
 // gets the request.
 func TestLongHeader(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	e := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 1})
+	e := w.startEntry("a").waitReady()
 	r, err := http.NewRequest("GET", "http://"+e.self.CallerAddress+"/a/x", nil)
 	w.c.Assert(err, qt.IsNil)
 	r.Host = "veil.example"
--- a/internal/gateway/begin.go
+++ b/internal/gateway/begin.go
@@ -14,37 +14,37 @@
 const (
 	// enrollTimeout is how long an entry waits for its enrolment, two calls of 4 ms.
 	// A failed enrolment is retried only after a longer time.
-	enrollTime = 150 * time.Millisecond
+	enrollTimeout = 150 * time.Millisecond
 	// seedReadDelay is how long an entry in contact with others waits for the data that
 	// the seeds read, and seedReadRankDelay is the additional wait per rank.
-	seedsReadTime = time.Second
-	beginRank     = 300 * time.Millisecond
+	seedReadDelay     = time.Second
+	seedReadRankDelay = 300 * time.Millisecond
 	// minStartStep is the least delay between the reads of two entries. A read, an
 	// exchange and a pull take less.
-	beginStep = 20 * time.Millisecond
+	minStartStep = 20 * time.Millisecond
 	// minStartDelay is the least delay of an entry that doesn't read at once: on a busy
 	// machine the first readers' announcement comes later than this entry's own
 	// enrolment suggests. In 27 of 72 starts of eight entries beside other work, there
 	// were more calls than two by each entry plus eight.
-	beginWait = 200 * time.Millisecond
+	minStartDelay = 200 * time.Millisecond
 	// startDelayFactor is that delay as a multiple of the enrolment's duration. The reads
 	// of the first entries, their announcement and a pull take a similar number of calls.
-	beginTimes = 6
+	startDelayFactor = 6
 	// maxStartStep bounds the delay between two entries if the enrolment took long.
-	beginStepMax = 100 * time.Millisecond
+	maxStartStep = 100 * time.Millisecond
 	// minFirstReaders and maxFirstReaders bound the number of entries that read at once,
 	// which is one in entriesPerReader of the live ones. All others would pull from a
 	// single reader, which takes 40 ms on a third of a core among 14 entries.
-	fewestReaders = 2
-	mostReaders   = 8
-	readersOf     = 4
+	minFirstReaders  = 2
+	maxFirstReaders  = 8
+	entriesPerReader = 4
 	// maxStartSteps bounds the delay, as the entries waited for may have died since.
-	beginSteps = 10
+	maxStartSteps = 10
 	// startWindow is the time within which entries count as started together; VMs start
 	// together within 0.5 s. With 5 s, all waited 0.35 s for entries that had been killed
 	// 3 s earlier and still had a record. An entry whose clock is off is not waited for,
 	// which costs two calls.
-	startSpan = time.Second
+	startWindow = time.Second
 )
 
 // firstReadDue reports whether an entry without data reads now. The first entries to enrol
@@ -55,34 +55,34 @@
 // announce the data (in 53 of 72 starts).
 //
 // If the settings name seeds, the seeds read at once and the others get the data from them.
-func (c *control) begins(now time.Time, rank int) bool {
-	if c.gateway.seed() {
+func (c *control) firstReadDue(now time.Time, rank int) bool {
+	if c.gateway.isSeed() {
 		return true
 	}
-	if c.enrolled.IsZero() && len(c.live()) > 1 {
-		return now.Sub(c.started) >= seedsReadTime+time.Duration(rank)*beginRank
+	if c.enrolledAt.IsZero() && len(c.live()) > 1 {
+		return now.Sub(c.started) >= seedReadDelay+time.Duration(rank)*seedReadRankDelay
 	}
-	if c.enrolled.IsZero() && len(c.gateway.otherSeeds()) > 0 {
+	if c.enrolledAt.IsZero() && len(c.gateway.otherSeeds()) > 0 {
 		return false
 	}
-	if c.enrolled.IsZero() {
-		return now.Sub(c.started) >= enrollTime
+	if c.enrolledAt.IsZero() {
+		return now.Sub(c.started) >= enrollTimeout
 	}
-	if c.pulling != "" && now.Sub(c.pullAt) < pullPatience {
+	if c.pullSource != "" && now.Sub(c.pullStarted) < pullExclusiveTime {
 		return false // another entry's data is being transferred
 	}
-	step := min(max(c.enrolling, beginStep), beginStepMax)
-	readers := min(max(len(c.live())/readersOf, fewestReaders), mostReaders)
-	steps := min(max(c.ahead+1-readers, 0), beginSteps)
+	step := min(max(c.enrollDuration, minStartStep), maxStartStep)
+	readers := min(max(len(c.live())/entriesPerReader, minFirstReaders), maxFirstReaders)
+	steps := min(max(c.enrolledBefore+1-readers, 0), maxStartSteps)
 	if steps == 0 {
 		return true
 	}
-	return now.Sub(c.enrolled) >= max(time.Duration(steps)*step, beginWait, beginTimes*c.enrolling)
+	return now.Sub(c.enrolledAt) >= max(time.Duration(steps)*step, minStartDelay, startDelayFactor*c.enrollDuration)
 }
 
 // countEnrolledBefore returns the number of entries that started together with self and
 // enrolled before it.
-func ahead(self owner.Entry, items []roster.Item[owner.Entry]) (n int) {
+func countEnrolledBefore(self owner.Entry, items []roster.Item[owner.Entry]) (n int) {
 	own := roster.Revision(math.MaxUint64)
 	for _, it := range items {
 		if it.Name == self.Name {
@@ -90,7 +90,7 @@
 		}
 	}
 	for _, it := range items {
-		together := time.Duration(max(it.Value.Boot, self.Boot)-min(it.Value.Boot, self.Boot)) < startSpan
+		together := time.Duration(max(it.Value.Boot, self.Boot)-min(it.Value.Boot, self.Boot)) < startWindow
 		if it.Revision < own && together {
 			n++
 		}
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -14,18 +14,18 @@
 )
 
 // loggedState is the part of the control loop's state that was last logged, to log changes.
-type beliefs struct {
-	live    map[string]bool // names, with a suffix for overloaded entries
-	owners  string
-	targets map[string]roster.Item[slot.Target]
-	newer   bool // the targets have changed since the last log line
-	retries retryShare
+type loggedState struct {
+	live           map[string]bool // names, with a suffix for overloaded entries
+	owners         string
+	targets        map[string]roster.Item[slot.Target]
+	targetsChanged bool // the targets have changed since the last log line
+	retryShare     retryShare
 }
 
 // logChanges logs changes of the live entries, of the owners of each host, and of the targets.
-func (c *control) logBeliefs(now time.Time, live []owner.Candidate, owners map[string][]owner.Entry) {
+func (c *control) logChanges(now time.Time, live []owner.Candidate, owners map[string][]owner.Entry) {
 	c.logLive(live)
-	b := &c.believed
+	b := &c.logged
 	if text := ownersText(owners); text != b.owners {
 		c.gateway.log.WithFields(log.Fields{"owners": text, "before": b.owners}).Info("owners changed")
 		b.owners = text
@@ -44,16 +44,16 @@
 			name += "(strained)"
 		}
 		current[name] = true
-		if !c.believed.live[name] {
+		if !c.logged.live[name] {
 			came = append(came, name)
 		}
 	}
-	for name := range c.believed.live {
+	for name := range c.logged.live {
 		if !current[name] {
 			went = append(went, name)
 		}
 	}
-	c.believed.live = current
+	c.logged.live = current
 	if len(came)+len(went) == 0 {
 		return
 	}
@@ -80,11 +80,11 @@
 // logTargets logs the targets added, removed and newly leaving, and the age of the store's last
 // confirmation.
 func (c *control) logTargets(now time.Time) {
-	if !c.believed.newer {
+	if !c.logged.targetsChanged {
 		return
 	}
-	c.believed.newer = false
-	before, items := c.believed.targets, c.targets.Items()
+	c.logged.targetsChanged = false
+	before, items := c.logged.targets, c.targets.Items()
 	var came, went, leaving []string
 	for id, it := range items {
 		old, known := before[id]
@@ -100,12 +100,12 @@
 			went = append(went, id)
 		}
 	}
-	c.believed.targets = items
+	c.logged.targets = items
 	if len(came)+len(went)+len(leaving) == 0 {
 		return
 	}
 	c.gateway.log.WithFields(log.Fields{
-		"revision": c.targets.LastChange().String(), "targets": len(items), "age": c.age(now, dutyTargets).Milliseconds(),
+		"revision": c.targets.LastChange().String(), "targets": len(items), "age": c.age(now, resourceTargets).Milliseconds(),
 		"came": strings.Join(came, " "), "went": strings.Join(went, " "), "leaving": strings.Join(leaving, " "),
 	}).Info("targets changed")
 }
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -47,16 +47,16 @@
 // what the budgets have saved up.
 func (c *control) shareRetries(now time.Time) {
 	b := *c.gateway.bounds.Load()
-	aged := now.Sub(c.aged) >= b.RetryWindow
+	aged := now.Sub(c.retryAgedAt) >= b.RetryWindow
 	if aged {
-		c.aged = now
+		c.retryAgedAt = now
 	}
 	share := c.trafficShare()
 	burst := retryBurst(b, share)
 	for _, s := range c.services {
 		s.shareRetries(b.RetryShare, burst, aged)
 	}
-	for _, s := range c.dropped {
+	for _, s := range c.removedServices {
 		s.shareRetries(b.RetryShare, burst, aged)
 	}
 	c.logRetryShare(retryShare{trafficShare: share, ratio: b.RetryShare, burst: burst})
@@ -81,12 +81,12 @@
 // has changed by more than a factor of two.
 func (c *control) logRetryShare(r retryShare) {
 	const loggedFactor = 2
-	c.shared = r
-	old := c.believed.retries
+	c.retryShare = r
+	old := c.logged.retryShare
 	if r.ratio == old.ratio && r.burst <= loggedFactor*max(old.burst, 1) && old.burst <= loggedFactor*max(r.burst, 1) {
 		return
 	}
-	c.believed.retries = r
+	c.logged.retryShare = r
 	c.gateway.log.WithFields(log.Fields{
 		"ratio": r.ratio, "burst": r.burst, "before": old.burst, "part": math.Round(100*r.trafficShare) / 100,
 	}).Info("part of the retry budget changed")
@@ -98,7 +98,7 @@
 	var own, all float64
 	for host, r := range c.hosts.rates {
 		own += r.mean
-		if n, ok := c.numbers.Get(owner.HostID(host)); ok {
+		if n, ok := c.gossipedCounts.Get(owner.HostID(host)); ok {
 			all += max(n.Rate, r.mean)
 		} else {
 			all += r.mean * float64(len(c.live()))
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -79,9 +79,9 @@
 		requests = 300
 		slack    = 20
 	)
-	w := newWorld(t, site{targets: 4})
+	w := newWorld(t, worldConfig{targets: 4})
 	w.retryShare = 1
-	e := w.entry("a").settled()
+	e := w.startEntry("a").waitReady()
 	s := e.cfg.Settings
 	for _, k := range w.workers {
 		k.Fail(func(*http.Request) worker.Fault { return worker.Fault{Fail: true} })
@@ -91,7 +91,7 @@
 	}
 	s.Bounds.RetryShare, s.Bounds.RetrySlack = 0.2, slack
 	e.Reload(s, nil)
-	time.Sleep(2 * tickPeriod)
+	time.Sleep(2 * tickInterval)
 	before := w.arrivals()
 	for range requests {
 		e.call("GET", "/a/x", "")
--- a/internal/gateway/budget_views_test.go
+++ b/internal/gateway/budget_views_test.go
@@ -32,7 +32,7 @@
 	retries []int // retries, by tick
 }
 
-const ticksPerSecond = int(time.Second / tickPeriod)
+const ticksPerSecond = int(time.Second / tickInterval)
 
 func newBudgetSimulation(seed uint64) *budgetSimulation {
 	s := &budgetSimulation{rnd: rand.New(rand.NewPCG(seed, 7)), bounds: platform.Bounds{RetryShare: 0.2, RetrySlack: 56, RetryWindow: 10 * time.Second}}
@@ -105,7 +105,7 @@
 	if all > 0 {
 		e.budget.SetBurst(retryBurst(s.bounds, e.rate/all))
 	}
-	if tick-e.lastAged >= int(s.bounds.RetryWindow/tickPeriod) {
+	if tick-e.lastAged >= int(s.bounds.RetryWindow/tickInterval) {
 		e.budget.StartPeriod()
 		e.lastAged = tick
 	}
@@ -113,7 +113,7 @@
 
 // maxUsage returns the largest ratio of retries to allowed retries in any window.
 func (s *budgetSimulation) maxUsage() (part float64) {
-	window := int(s.bounds.RetryWindow / tickPeriod)
+	window := int(s.bounds.RetryWindow / tickInterval)
 	sum := func(counts []int, from int) (n int) {
 		for i := max(from, 0); i < min(from+window, len(counts)); i++ {
 			n += counts[i]
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -18,7 +18,7 @@
 // No target may crash, and each request must be served.
 func TestReturnOfColdTargets(t *testing.T) {
 	const maxRate, serviceTime, duration = 13, 5 * time.Millisecond, 3 * time.Second
-	w := halls(t, "hall", "hall", "annex")
+	w := newWorldIn(t, "hall", "hall", "annex")
 	for i, k := range w.workers {
 		k.Work(serviceTime)
 		k.Slots = []int{8, 8, 50}[i]
@@ -26,10 +26,10 @@
 			ID: k.ID, Address: k.Address(), Service: "gowns", Place: []string{"hall", "hall", "annex"}[i], Slots: k.Slots,
 		})
 	}
-	entries := several(w, 3)
+	entries := startEntries(w, 3)
 	w.store.Evacuate("hall")
 	for _, e := range entries {
-		w.until("the domain evacuated", func() bool {
+		w.waitFor("the domain evacuated", func() bool {
 			s, err := e.Status(t.Context())
 			return err == nil && len(s.Evacuations) == 1
 		})
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -17,16 +17,16 @@
 // An entry whose VM is gone doesn't delete its record. Another entry deletes it at the second
 // cleaning, but neither the record of an entry that has restarted meanwhile nor that of a live
 // one.
-func TestDeadEntryIsForgotten(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
+func TestDeadEntryRecordRemoved(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 1})
 	w.store.Put("entries", "dead", map[string]any{"front": "127.0.0.1:1", "peer": "127.0.0.1:2"})
 	w.store.Put("entries", "anew", map[string]any{"front": "127.0.0.1:1", "peer": "127.0.0.1:2"})
-	e := w.entry("a").settled()
+	e := w.startEntry("a").waitReady()
 	records := &enroller{gateway: e.Gateway}
-	records.clean(t.Context())
+	records.cleanRecords(t.Context())
 	w.c.Assert(w.store.Names("entries"), qt.HasLen, 3)
 	w.store.Put("entries", "anew", map[string]any{"front": "127.0.0.1:1", "peer": "127.0.0.1:2", "boot": 7})
-	records.clean(t.Context())
+	records.cleanRecords(t.Context())
 	names := w.store.Names("entries")
 	slices.Sort(names)
 	w.c.Assert(names, qt.DeepEquals, []string{"a", "anew"})
@@ -34,29 +34,29 @@
 
 // Most entries are found through the seeds and have no record in the store. A few have one, so
 // that an entry finds the others even if no seed of its settings is alive.
-func TestFewRecords(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	first := w.entry("a").settled()
+func TestFewEntriesHaveRecords(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 1})
+	first := w.startEntry("a").waitReady()
 	entries := []*entry{first}
 	for i := range 5 {
-		entries = append(entries, w.entry(fmt.Sprint("b", i), first).settled())
+		entries = append(entries, w.startEntry(fmt.Sprint("b", i), first).waitReady())
 	}
-	w.until("all live", func() bool { return len(first.view.Load().live) == 6 })
-	w.until("some records", func() bool { return len(w.store.Names("entries")) >= recorded })
-	time.Sleep(recordCheck)
-	w.c.Assert(len(w.store.Names("entries")) <= recorded+1, qt.IsTrue, qt.Commentf("%v", w.store.Names("entries")))
+	w.waitFor("all live", func() bool { return len(first.view.Load().live) == 6 })
+	w.waitFor("some records", func() bool { return len(w.store.Names("entries")) >= recordedEntries })
+	time.Sleep(recordCheckInterval)
+	w.c.Assert(len(w.store.Names("entries")) <= recordedEntries+1, qt.IsTrue, qt.Commentf("%v", w.store.Names("entries")))
 	for _, e := range entries {
 		e.stop()
 	}
-	w.until("no record left", func() bool { return len(w.store.Names("entries")) == 0 })
+	w.waitFor("no record left", func() bool { return len(w.store.Names("entries")) == 0 })
 }
 
 // One request crashes each target that runs it, and its caller retries it all the time. After
 // three crashes no entry sends it to a target.
 func TestRequestThatCrashesTargets(t *testing.T) {
-	w := newWorld(t, site{targets: 6})
-	entries := []*entry{w.entry("a").settled(), w.entry("b").settled()}
-	w.until("both live", func() bool {
+	w := newWorld(t, worldConfig{targets: 6})
+	entries := []*entry{w.startEntry("a").waitReady(), w.startEntry("b").waitReady()}
+	w.waitFor("both live", func() bool {
 		return len(entries[0].view.Load().live) == 2 && len(entries[1].view.Load().live) == 2
 	})
 	for _, k := range w.workers {
@@ -82,8 +82,8 @@
 // The settings change while the process runs: valid ones take effect, and invalid ones leave
 // the current ones in force.
 func TestReload(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	e := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 1})
+	e := w.startEntry("a").waitReady()
 	s := e.cfg.Settings
 	s.Bounds.Grace = 9 * time.Second
 	e.Reload(s, nil)
@@ -96,11 +96,11 @@
 
 // During an outage of the store each entry serves requests from its cached data, and the number
 // of calls to the store stays low for any number of entries.
-func TestStoreAway(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
+func TestStoreOutage(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 1})
 	var entries []*entry
 	for _, name := range []string{"a", "b", "c", "d"} {
-		entries = append(entries, w.entry(name).settled())
+		entries = append(entries, w.startEntry(name).waitReady())
 	}
 	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
 	before := w.store.Calls()
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -43,8 +43,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, site{targets: 8})
-			entries := several(w, 3)
+			w := newWorld(t, worldConfig{targets: 8})
+			entries := startEntries(w, 3)
 			var arrived atomic.Int64
 			for _, k := range w.workers {
 				k.Fail(func(r *http.Request) worker.Fault {
@@ -72,15 +72,15 @@
 // must receive the quarantine from the others and refuse the request.
 func TestQuarantineOutlivesRestarts(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, site{targets: 8, attempts: 1})
-	entries := several(w, 3)
+	w := newWorld(t, worldConfig{targets: 8, attempts: 1})
+	entries := startEntries(w, 3)
 	for _, k := range w.workers {
 		k.Fail(func(r *http.Request) worker.Fault { return worker.Fault{Lose: r.URL.Path == crashPath} })
 	}
 	for range 2 * crashLimit {
 		entries[0].call("GET", crashPath, "")
 	}
-	w.until("all refuse it", func() bool {
+	w.waitFor("all refuse it", func() bool {
 		for _, e := range entries {
 			if e.call("GET", crashPath, "").status != http.StatusServiceUnavailable {
 				return false
@@ -95,9 +95,9 @@
 	for i, e := range entries {
 		e.stop()
 		w.c.Assert(<-e.done, qt.IsNil)
-		next := w.entry(fmt.Sprint("next-", i), entries[(i+1)%len(entries)]).settled()
+		next := w.startEntry(fmt.Sprint("next-", i), entries[(i+1)%len(entries)]).waitReady()
 		entries[i] = next
-		w.until("it is known to others", func() bool { return len(next.view.Load().live) == len(entries) })
+		w.waitFor("it is known to others", func() bool { return len(next.view.Load().live) == len(entries) })
 		time.Sleep(notifierMinUptime)
 		w.c.Assert(next.call("GET", crashPath, "").status, qt.Equals, http.StatusServiceUnavailable)
 	}
@@ -109,8 +109,8 @@
 // targets are healthy again.
 func TestLostAnswersCondemnNoRequest(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, site{targets: 6})
-	e := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 6})
+	e := w.startEntry("a").waitReady()
 	for _, k := range w.workers {
 		k.Fail(func(*http.Request) worker.Fault { return worker.Fault{Lose: true} })
 	}
@@ -120,6 +120,6 @@
 	for _, k := range w.workers {
 		k.Fail(nil)
 	}
-	w.until("other requests are served", func() bool { return e.call("GET", "/a/other", "").status == http.StatusOK })
-	w.until("it is served", func() bool { return e.call("GET", "/a/popular", "").status == http.StatusOK })
+	w.waitFor("other requests are served", func() bool { return e.call("GET", "/a/other", "").status == http.StatusOK })
+	w.waitFor("it is served", func() bool { return e.call("GET", "/a/popular", "").status == http.StatusOK })
 }
--- a/internal/gateway/dropped.go
+++ b/internal/gateway/dropped.go
@@ -22,17 +22,17 @@
 func (c *control) updateRemoved(now time.Time, next map[string]*service) {
 	for name, sv := range c.services {
 		if next[name] != sv {
-			c.dropped[name] = removedService{sv, now}
+			c.removedServices[name] = removedService{sv, now}
 		}
 	}
 	idle := 0
-	for name, d := range c.dropped {
+	for name, d := range c.removedServices {
 		switch {
 		case next[name] == d.service:
-			delete(c.dropped, name)
+			delete(c.removedServices, name)
 		case d.active():
 		case now.Sub(d.since) > removedServiceTTL || idle >= maxRemovedServices:
-			delete(c.dropped, name)
+			delete(c.removedServices, name)
 		default:
 			idle++
 		}
--- a/internal/gateway/enroller.go
+++ b/internal/gateway/enroller.go
@@ -17,50 +17,50 @@
 const (
 	// seedTimeout is how long an entry waits for a seed before it asks the store: a few
 	// rounds.
-	seedTime = 3 * roundPeriod
+	seedTimeout = 3 * roundPeriod
 	// recordedEntries is the number of entries with a record, equal to the number of seeds
 	// in the settings.
-	recorded = 3
+	recordedEntries = 3
 	// recordCheckInterval is how often an entry checks whether it needs a record.
-	recordCheck = time.Second
+	recordCheckInterval = time.Second
 	// recordDelay is how long an entry has to need a record before it writes one:
 	// during a start, the entries that need one change all the time.
-	recordAfter = 3 * time.Second
+	recordDelay = 3 * time.Second
 	// cleanInterval is how often the records are checked for dead entries, and for
 	// entries that this part of the network has had no contact with.
-	cleanEvery = forgetAfter
+	cleanInterval = deadRetention
 )
 
 // enroller keeps the records of entries in the store.
 type enroller struct {
-	gateway  *Gateway
-	since    time.Time // when this entry began to need a record; zero if it doesn't
-	cleaned  time.Time
-	restores uint64                     // restores of the store that have been handled
-	silent   map[string]roster.Revision // records without a live entry at the last cleaning
+	gateway         *Gateway
+	neededSince     time.Time // when this entry began to need a record; zero if it doesn't
+	lastCleaned     time.Time
+	handledRestores uint64                     // restores of the store that have been handled
+	absent          map[string]roster.Revision // records without a live entry at the last cleaning
 }
 
 func (e *enroller) String() string { return "enroller" }
 
 // Serve runs until ctx ends.
 func (e *enroller) Serve(ctx context.Context) error {
-	e.cleaned = time.Now()
-	if e.unmet(ctx) {
+	e.lastCleaned = time.Now()
+	if e.noSeedAnswered(ctx) {
 		e.enroll(ctx)
 	}
 	for ctx.Err() == nil {
-		sleep(ctx, recordCheck)
-		e.check(ctx, time.Now())
+		sleep(ctx, recordCheckInterval)
+		e.checkRecord(ctx, time.Now())
 	}
 	return ctx.Err()
 }
 
 // noSeedAnswered reports whether no seed has answered in time.
-func (e *enroller) unmet(ctx context.Context) bool {
+func (e *enroller) noSeedAnswered(ctx context.Context) bool {
 	if len(e.gateway.otherSeeds()) == 0 {
 		return true
 	}
-	for end := time.Now().Add(seedTime); time.Now().Before(end); sleep(ctx, readerTick) {
+	for end := time.Now().Add(seedTimeout); time.Now().Before(end); sleep(ctx, turnCheckInterval) {
 		if len(e.gateway.view.Load().live) > 1 {
 			return false
 		}
@@ -74,20 +74,20 @@
 func (e *enroller) enroll(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := e.enter(ctx)
+		err := e.writeRecord(ctx)
 		if err == nil {
-			err = e.list(ctx, began)
+			err = e.listEntries(ctx, began)
 		}
 		if err == nil {
 			return
 		}
 		e.gateway.log.WithError(err).Warn("enrolment in the store failed")
-		sleep(ctx, storeRest)
+		sleep(ctx, storeRetryDelay)
 	}
 }
 
-func (e *enroller) enter(ctx context.Context) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, listTime)
+func (e *enroller) writeRecord(ctx context.Context) (err error) {
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	if err = e.gateway.store.Enter(ctx, e.gateway.self); err == nil {
 		e.gateway.enrolled.Store(true)
@@ -95,55 +95,55 @@
 	return err
 }
 
-func (e *enroller) list(ctx context.Context, began time.Time) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, listTime)
+func (e *enroller) listEntries(ctx context.Context, began time.Time) (err error) {
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	items, _, err := e.gateway.store.Entries().List(ctx)
 	if err == nil {
-		e.gateway.control.tell(ctx, entriesListed{items, time.Since(began)})
+		e.gateway.control.enqueue(ctx, entriesListed{items, time.Since(began)})
 	}
 	return err
 }
 
 // checkRecord writes this entry's record if it needs one and has none, and cleans the records if
 // this entry is the first in their order.
-func (e *enroller) check(ctx context.Context, now time.Time) {
-	rank := owner.Rank(e.gateway.view.Load().live, dutyRecord, e.gateway.self.Name)
-	if n := e.gateway.restores.Load(); n != e.restores {
+func (e *enroller) checkRecord(ctx context.Context, now time.Time) {
+	rank := owner.Rank(e.gateway.view.Load().live, recordOrder, e.gateway.self.Name)
+	if n := e.gateway.restores.Load(); n != e.handledRestores {
 		// The copy that the store was restored from may lack the record. It is written
 		// again at once, since entries that start meanwhile find no other without it.
-		e.restores = n
+		e.handledRestores = n
 		e.gateway.enrolled.Store(false)
-		e.since = now.Add(-recordAfter)
+		e.neededSince = now.Add(-recordDelay)
 	}
 	switch {
-	case rank >= recorded || e.gateway.leaving.Load():
-		e.since = time.Time{}
-	case e.since.IsZero():
-		e.since = now
-	case !e.gateway.enrolled.Load() && now.Sub(e.since) >= recordAfter:
-		if err := e.enter(ctx); err != nil {
+	case rank >= recordedEntries || e.gateway.leaving.Load():
+		e.neededSince = time.Time{}
+	case e.neededSince.IsZero():
+		e.neededSince = now
+	case !e.gateway.enrolled.Load() && now.Sub(e.neededSince) >= recordDelay:
+		if err := e.writeRecord(ctx); err != nil {
 			e.gateway.log.WithError(err).Info("entry record not written")
 		}
 	}
-	if rank == 0 && now.Sub(e.cleaned) >= cleanEvery {
-		e.cleaned = now
-		e.clean(ctx)
+	if rank == 0 && now.Sub(e.lastCleaned) >= cleanInterval {
+		e.lastCleaned = now
+		e.cleanRecords(ctx)
 	}
 }
 
 // cleanRecords removes the records of entries that were not live at two cleanings in a row, unless
 // the record has changed: an entry that restarted has written it again. The membership table
 // gets the addresses of all records, and contacts the entries that it doesn't know.
-func (e *enroller) clean(ctx context.Context) {
-	callCtx, cancel := context.WithTimeout(ctx, listTime)
+func (e *enroller) cleanRecords(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	items, _, err := e.gateway.store.Entries().List(callCtx)
 	if err != nil {
 		e.gateway.log.WithError(err).Info("entry records not listed")
 		return
 	}
-	e.gateway.control.tell(ctx, entriesListed{items: items})
+	e.gateway.control.enqueue(ctx, entriesListed{items: items})
 	live := make(map[string]bool)
 	for _, c := range e.gateway.view.Load().live {
 		live[c.Name] = true
@@ -153,7 +153,7 @@
 		if live[it.Name] {
 			continue
 		}
-		if rev, before := e.silent[it.Name]; !before || rev != it.Revision {
+		if rev, before := e.absent[it.Name]; !before || rev != it.Revision {
 			absent[it.Name] = it.Revision
 			continue
 		}
@@ -162,16 +162,16 @@
 			e.gateway.log.WithError(err).WithField("peer", it.Name).Info("entry record not removed")
 		}
 	}
-	e.silent = absent
+	e.absent = absent
 }
 
 // recordOrder names the order that selects the entries with a record.
-const dutyRecord = "record"
+const recordOrder = "record"
 
 // entriesListed holds the entries that have a record in the store.
 type entriesListed struct {
-	items []roster.Item[owner.Entry]
-	took  time.Duration // duration of the enrolment; 0 if the list isn't part of one
+	items          []roster.Item[owner.Entry]
+	enrollDuration time.Duration // duration of the enrolment; 0 if the list isn't part of one
 }
 
 func (m entriesListed) apply(now time.Time, c *control) {
@@ -181,8 +181,8 @@
 			seeds = append(seeds, it.Value.PeerAddress)
 		}
 	}
-	if m.took > 0 {
-		c.enrolled, c.enrolling, c.ahead = now, m.took, ahead(c.gateway.self, m.items)
+	if m.enrollDuration > 0 {
+		c.enrolledAt, c.enrollDuration, c.enrolledBefore = now, m.enrollDuration, countEnrolledBefore(c.gateway.self, m.items)
 	}
-	c.drive(now, member.SetSeeds{Addresses: seeds})
+	c.handleEvent(now, member.SetSeeds{Addresses: seeds})
 }
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -21,72 +21,72 @@
 
 // evacuationsListed is a full list of evacuations from the store.
 type evacuationsListed struct {
-	items []roster.Item[slot.Evacuation]
-	at    roster.Revision
-	asked time.Time
+	items    []roster.Item[slot.Evacuation]
+	revision roster.Revision
+	askedAt  time.Time
 }
 
 func (m evacuationsListed) apply(now time.Time, c *control) {
-	c.evacuationsRead(now, m.asked, func() bool { return c.evacuations.Replace(m.items, m.at) })
+	c.applyEvacuationsRead(now, m.askedAt, func() bool { return c.evacuations.Replace(m.items, m.revision) })
 }
 
 // evacuationsChanged holds changes of evacuations from a watch of the store.
 type evacuationsChanged struct {
-	changes []roster.Change[slot.Evacuation]
-	at      roster.Revision
-	asked   time.Time
+	changes  []roster.Change[slot.Evacuation]
+	revision roster.Revision
+	askedAt  time.Time
 }
 
 func (m evacuationsChanged) apply(now time.Time, c *control) {
-	c.evacuationsRead(now, m.asked, func() bool { return c.evacuations.Merge(m.changes, m.at) })
+	c.applyEvacuationsRead(now, m.askedAt, func() bool { return c.evacuations.Merge(m.changes, m.revision) })
 }
 
 // applyEvacuationsRead applies a list or changes from the store, and advertises a change to
 // the other entries at once.
-func (c *control) evacuationsRead(now, askedAt time.Time, apply func() (changed bool)) {
-	c.confirm(now, dutyEvacuations, askedAt)
-	changed := c.evacuate(now, apply, "store")
-	c.vouch(now, dutyEvacuations)
+func (c *control) applyEvacuationsRead(now, askedAt time.Time, apply func() (changed bool)) {
+	c.confirm(now, resourceEvacuations, askedAt)
+	changed := c.changeEvacuations(now, apply, "store")
+	c.announceConfirmation(now, resourceEvacuations)
 	if changed {
-		c.drive(now, member.PushNow{})
+		c.handleEvent(now, member.PushNow{})
 	}
 }
 
 // applyPulledEvacuations applies the evacuations in a pull's answer.
-func (c *control) evacuated(e relay.Evacuations) (changed bool) {
+func (c *control) applyPulledEvacuations(e relay.Evacuations) (changed bool) {
 	changed = c.evacuations.Replace(e.List, e.At)
 	c.evacuations.AdvanceLastChange(e.Moved)
 	return changed
 }
 
 // changeEvacuations applies a change of the evacuations, and logs it.
-func (c *control) evacuate(now time.Time, apply func() (changed bool), source string) (changed bool) {
+func (c *control) changeEvacuations(now time.Time, apply func() (changed bool), source string) (changed bool) {
 	before, revision := c.evacuations.Items(), c.evacuations.Revision()
 	if !apply() {
 		return false
 	}
-	c.dirty = true
+	c.servicesStale = true
 	c.evacuations.PruneDeletions()
 	if c.evacuations.Revision().Epoch() != revision.Epoch() && revision > 0 {
-		c.restore(now, revision, c.evacuations.Revision(), differences(before, c.evacuations.Items()))
+		c.noteRestore(now, revision, c.evacuations.Revision(), countDifferences(before, c.evacuations.Items()))
 		for place, it := range before {
 			if _, ok := c.evacuations.Get(place); !ok {
-				c.marksAwaited.MissingFromCopy(now, it)
+				c.vanishedEvacuations.MissingFromCopy(now, it)
 			}
 		}
 	}
-	after := c.marks(now)
-	c.evacuatedAt = since(now, c.evacuatedAt, after)
+	after := c.effectiveEvacuations(now)
+	c.evacuationSeen = firstSeen(now, c.evacuationSeen, after)
 	c.gateway.log.WithFields(log.Fields{
-		"revision": c.evacuations.LastChange().String(), "age": c.age(now, dutyEvacuations).Milliseconds(), "source": source,
-		"before": places(before), "now": places(after), "targets": c.within(after), "unknown": c.unknown(after),
+		"revision": c.evacuations.LastChange().String(), "age": c.age(now, resourceEvacuations).Milliseconds(), "source": source,
+		"before": placeNames(before), "now": placeNames(after), "targets": c.countTargetsIn(after), "unknown": c.placesWithoutTargets(after),
 	}).Warn("evacuations changed")
 	return true
 }
 
 // firstSeen returns when each evacuation was first seen: at the time in before, or now if it
 // isn't there.
-func since(now time.Time, before map[string]time.Time, evacuations map[string]roster.Item[slot.Evacuation]) map[string]time.Time {
+func firstSeen(now time.Time, before map[string]time.Time, evacuations map[string]roster.Item[slot.Evacuation]) map[string]time.Time {
 	seen := make(map[string]time.Time, len(evacuations))
 	for place := range evacuations {
 		seen[place] = now
@@ -98,12 +98,12 @@
 }
 
 // placeNames returns the names of the evacuated failure domains.
-func places(evacuations map[string]roster.Item[slot.Evacuation]) string {
+func placeNames(evacuations map[string]roster.Item[slot.Evacuation]) string {
 	return strings.Join(slices.Sorted(maps.Keys(evacuations)), " ")
 }
 
 // countTargetsIn returns the number of targets in evacuated failure domains.
-func (c *control) within(evacuations map[string]roster.Item[slot.Evacuation]) (n int) {
+func (c *control) countTargetsIn(evacuations map[string]roster.Item[slot.Evacuation]) (n int) {
 	for _, it := range c.targets.Items() {
 		if _, ok := evacuations[it.Value.Place]; ok {
 			n++
@@ -115,10 +115,10 @@
 // placesWithoutTargets returns the names of evacuated failure domains without targets, as
 // after an operator's typing error. Their evacuations stay in force, since a target may be
 // added there.
-func (c *control) unknown(evacuations map[string]roster.Item[slot.Evacuation]) string {
+func (c *control) placesWithoutTargets(evacuations map[string]roster.Item[slot.Evacuation]) string {
 	evacuations = maps.Clone(evacuations)
 	for _, it := range c.targets.Items() {
 		delete(evacuations, it.Value.Place)
 	}
-	return places(evacuations)
+	return placeNames(evacuations)
 }
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -20,8 +20,8 @@
 
 // newWorldIn returns a world with one target in each of these failure domains, in this order,
 // and with evacuations enabled.
-func halls(t *testing.T, places ...string) *world {
-	w := newWorld(t, site{targets: len(places)})
+func newWorldIn(t *testing.T, places ...string) *world {
+	w := newWorld(t, worldConfig{targets: len(places)})
 	w.evacuate = evacuateBound
 	for i, k := range w.workers {
 		w.store.PutTarget(objects.Target{ID: k.ID, Address: k.Address(), Service: "gowns", Place: places[i], Slots: k.Slots})
@@ -30,7 +30,7 @@
 }
 
 // runsAfter returns the number of runs of a target that began after a time.
-func (w *world) after(target int, at time.Time) (n int) {
+func (w *world) runsAfter(target int, at time.Time) (n int) {
 	for _, r := range w.workers[target].Runs() {
 		if r.At.After(at) {
 			n++
@@ -40,7 +40,7 @@
 }
 
 // callFor calls the entries in turn, some hundred times a second, and checks the status.
-func busyFor(d time.Duration, status int, entries ...*entry) {
+func callFor(d time.Duration, status int, entries ...*entry) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		for _, e := range entries {
 			e.w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, status)
@@ -54,26 +54,26 @@
 // record that can't be decoded, changes nothing.
 func TestEvacuation(t *testing.T) {
 	t.Parallel()
-	w := halls(t, "hall", "annex")
-	entries := several(w, 3)
+	w := newWorldIn(t, "hall", "annex")
+	entries := startEntries(w, 3)
 	w.store.Put("evacuations", "nowhere", []int{1})
 	w.store.Evacuate("hall")
 	at := time.Now()
-	busyFor(evacuateBound+time.Second, http.StatusOK, entries...)
-	w.c.Assert(w.after(0, at.Add(evacuateBound)), qt.Equals, 0)
+	callFor(evacuateBound+time.Second, http.StatusOK, entries...)
+	w.c.Assert(w.runsAfter(0, at.Add(evacuateBound)), qt.Equals, 0)
 	w.store.TakeBack("hall")
-	w.until("the domain in use again", func() bool {
+	w.waitFor("the domain in use again", func() bool {
 		for _, e := range entries {
 			e.call("GET", "/a/x", "")
 		}
-		return w.after(0, at.Add(evacuateBound)) > 0
+		return w.runsAfter(0, at.Add(evacuateBound)) > 0
 	})
 	w.store.Evacuate("hall")
 	w.store.TakeBack("hall")
 	w.store.Evacuate("hall")
 	at = time.Now()
-	busyFor(evacuateBound+500*time.Millisecond, http.StatusOK, entries...)
-	w.c.Assert(w.after(0, at.Add(evacuateBound)), qt.Equals, 0)
+	callFor(evacuateBound+500*time.Millisecond, http.StatusOK, entries...)
+	w.c.Assert(w.runsAfter(0, at.Add(evacuateBound)), qt.Equals, 0)
 	s, err := entries[0].Status(t.Context())
 	w.c.Assert(err, qt.IsNil)
 	w.c.Assert(s.Evacuations, qt.HasLen, 2)
@@ -83,11 +83,11 @@
 // All failure domains are evacuated. Requests are refused at once with a Retry-After, and none is
 // held until its deadline.
 func TestEvacuationOfAll(t *testing.T) {
-	w := halls(t, "hall", "annex")
-	e := several(w, 1)[0]
+	w := newWorldIn(t, "hall", "annex")
+	e := startEntries(w, 1)[0]
 	w.store.Evacuate("hall")
 	w.store.Evacuate("annex")
-	w.until("a refusal", func() bool { return e.call("GET", "/a/x", "").status == http.StatusServiceUnavailable })
+	w.waitFor("a refusal", func() bool { return e.call("GET", "/a/x", "").status == http.StatusServiceUnavailable })
 	a := e.call("GET", "/a/x", "")
 	w.c.Assert(a.status, qt.Equals, http.StatusServiceUnavailable)
 	w.c.Assert(a.took < 100*time.Millisecond, qt.IsTrue, qt.Commentf("%v", a.took))
@@ -97,50 +97,50 @@
 // An entry that starts during an evacuation knows the targets of the evacuated domain at once. It
 // must send them no request, also before it knows of the evacuation.
 func TestEntryThatStartsDuringAnEvacuation(t *testing.T) {
-	w := halls(t, "hall", "annex")
-	first := several(w, 1)[0]
+	w := newWorldIn(t, "hall", "annex")
+	first := startEntries(w, 1)[0]
 	w.store.Evacuate("hall")
-	w.until("the evacuation in force", func() bool {
+	w.waitFor("the evacuation in force", func() bool {
 		s, err := first.Status(t.Context())
 		return err == nil && len(s.Evacuations) == 1
 	})
 	at := time.Now()
 	for i := range 5 {
-		e := w.entry(fmt.Sprint("late", i), first)
+		e := w.startEntry(fmt.Sprint("late", i), first)
 		for range 50 {
 			e.call("GET", "/a/x", "")
 		}
 		w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 	}
-	w.c.Assert(w.after(0, at), qt.Equals, 0)
+	w.c.Assert(w.runsAfter(0, at), qt.Equals, 0)
 }
 
 // An entry starts among others of a release without evacuations, and pulls the targets from them.
 // It must not use these before it has read the evacuations from the store.
-func TestTargetsAloneAreNotEnough(t *testing.T) {
+func TestNoTargetsBeforeEvacuationsKnown(t *testing.T) {
 	c := parkedControl(t)
 	b := *c.gateway.bounds.Load()
 	b.Evacuate = evacuateBound
 	c.gateway.bounds.Store(&b)
 	now := c.started.Add(100 * time.Millisecond)
-	c.confirm(now, dutyConfig, now)
-	newsPulled{asked: now, news: relay.News{
+	c.confirm(now, resourceConfig, now)
+	pullResult{askedAt: now, news: relay.News{
 		Config: []byte(`{"version":"r1","routes":{},"services":{"gowns":{"healthPath":"/health"}},` +
 			`"limits":{"maxHeaderBytes":1,"maxBodyBytes":1,"headerTimeout":"1s","idleTimeout":"1s"}}`),
 		Targets: relay.Listed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, At: 5, Moved: 5,
 	}}.apply(now, c)
-	c.knows(now, "127.0.0.1:1", relay.Knowledge{Config: 1, Targets: 5, EvacuationsAge: neverAge})
-	c.refresh(now)
-	qt.Assert(t, c.gateway.view.Load().targets, qt.IsFalse)
-	qt.Assert(t, c.byServiceSize(), qt.Equals, 0)
-	evacuationsListed{at: 6, asked: now}.apply(now, c)
-	c.refresh(now)
-	qt.Assert(t, c.gateway.view.Load().targets, qt.IsTrue)
-	qt.Assert(t, c.byServiceSize(), qt.Equals, 1)
+	c.receiveKnowledge(now, "127.0.0.1:1", relay.Knowledge{Config: 1, Targets: 5, EvacuationsAge: unconfirmedAge})
+	c.publishIfChanged(now)
+	qt.Assert(t, c.gateway.view.Load().initialized, qt.IsFalse)
+	qt.Assert(t, c.serviceTargetCount(), qt.Equals, 0)
+	evacuationsListed{revision: 6, askedAt: now}.apply(now, c)
+	c.publishIfChanged(now)
+	qt.Assert(t, c.gateway.view.Load().initialized, qt.IsTrue)
+	qt.Assert(t, c.serviceTargetCount(), qt.Equals, 1)
 }
 
 // serviceTargetCount returns the number of targets that the services have.
-func (c *control) byServiceSize() (n int) {
+func (c *control) serviceTargetCount() (n int) {
 	for _, sv := range c.services {
 		n += sv.targetCount()
 	}
@@ -151,20 +151,20 @@
 // The domain must get no requests until the store is back, and gets requests again then.
 func TestEvacuationOutlastsAnOutage(t *testing.T) {
 	t.Parallel()
-	w := halls(t, "hall", "annex")
-	entries := several(w, 2)
+	w := newWorldIn(t, "hall", "annex")
+	entries := startEntries(w, 2)
 	w.store.Evacuate("hall")
 	at := time.Now()
-	busyFor(evacuateBound, http.StatusOK, entries...)
+	callFor(evacuateBound, http.StatusOK, entries...)
 	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
-	busyFor(patience[dutyEvacuations].wait+100*time.Millisecond, http.StatusOK, entries...) // until no watch is open any more
+	callFor(readSchedule[resourceEvacuations].wait+100*time.Millisecond, http.StatusOK, entries...) // until no watch is open any more
 	w.store.TakeBack("hall")
-	busyFor(evacuateBound, http.StatusOK, entries...)
-	w.c.Assert(w.after(0, at.Add(evacuateBound)), qt.Equals, 0)
+	callFor(evacuateBound, http.StatusOK, entries...)
+	w.c.Assert(w.runsAfter(0, at.Add(evacuateBound)), qt.Equals, 0)
 	w.store.Fail(nil)
-	w.until("the domain in use again", func() bool {
+	w.waitFor("the domain in use again", func() bool {
 		entries[0].call("GET", "/a/x", "")
-		return w.after(0, at.Add(evacuateBound)) > 0
+		return w.runsAfter(0, at.Add(evacuateBound)) > 0
 	})
 }
 
@@ -173,19 +173,19 @@
 // store, and must send the domain no requests after the bound.
 func TestServingEntryEvacuatesInTime(t *testing.T) {
 	t.Parallel()
-	w := halls(t, "hall", "annex")
-	last := w.lastReader(several(w, 10), dutyEvacuations)
-	busyFor(patience[dutyEvacuations].wait, http.StatusOK, last) // until no watch is open any more
+	w := newWorldIn(t, "hall", "annex")
+	last := w.lastReader(startEntries(w, 10), resourceEvacuations)
+	callFor(readSchedule[resourceEvacuations].wait, http.StatusOK, last) // until no watch is open any more
 	w.store.Evacuate("hall")
 	at := time.Now()
-	busyFor(evacuateBound+time.Second, http.StatusOK, last)
-	w.c.Assert(w.after(0, at.Add(evacuateBound)), qt.Equals, 0)
+	callFor(evacuateBound+time.Second, http.StatusOK, last)
+	w.c.Assert(w.runsAfter(0, at.Add(evacuateBound)), qt.Equals, 0)
 }
 
 // If the settings have no bound for evacuations, there are none, and the store isn't asked for
 // them: each call costs money.
-func TestNoEvacuationsNoCalls(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
+func TestEvacuationsNotReadWithoutBound(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 1})
 	asked := make(chan string, 100)
 	w.store.Fail(func(r *http.Request) objects.Fault {
 		if r.URL.Path == "/objects/evacuations" {
@@ -193,7 +193,7 @@
 		}
 		return objects.Fault{}
 	})
-	e := w.entry("a").settled()
+	e := w.startEntry("a").waitReady()
 	time.Sleep(500 * time.Millisecond)
 	w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 	w.c.Assert(asked, qt.HasLen, 0)
@@ -202,7 +202,7 @@
 // An entry that the store doesn't serve keeps trying to read the targets, and doesn't read the
 // evacuations meanwhile: if all entries did, a busy store would have to refuse a third more calls.
 // If it doesn't read the targets, it reads the evacuations.
-func TestBusyStoreIsAskedForMarksLast(t *testing.T) {
+func TestEvacuationReadsWhileStoreUnavailable(t *testing.T) {
 	tests := []struct {
 		name    string
 		refused bool          // the store doesn't serve the entry
@@ -220,13 +220,13 @@
 			b.Evacuate = 5 * time.Second
 			c.gateway.bounds.Store(&b)
 			now := c.started.Add(time.Minute)
-			c.confirm(now, dutyTargets, now.Add(-tt.targets))
-			c.confirm(now, dutyEvacuations, now.Add(-6*time.Second))
+			c.confirm(now, resourceTargets, now.Add(-tt.targets))
+			c.confirm(now, resourceEvacuations, now.Add(-6*time.Second))
 			_, _ = c.gateway.freshness.recordRequest(now, c.gateway.maxAges())
-			c.shut = tt.refused
-			q := turnAsked{duty: dutyEvacuations, answer: make(chan turn, 1)}
+			c.storeUnavailable = tt.refused
+			q := turnRequest{resource: resourceEvacuations, reply: make(chan readTurn, 1)}
 			q.apply(now, c)
-			qt.Assert(t, (<-q.answer).due, qt.Equals, tt.due)
+			qt.Assert(t, (<-q.reply).due, qt.Equals, tt.due)
 		})
 	}
 }
--- a/internal/gateway/fresh.go
+++ b/internal/gateway/fresh.go
@@ -37,12 +37,12 @@
 )
 
 // resourceAges is an age for each resource.
-type resourceAges [duties]time.Duration
+type resourceAges [resourceCount]time.Duration
 
 // maxAges returns the ages at which store data is too old to serve requests.
 func (g *Gateway) maxAges() resourceAges {
 	b := g.bounds.Load()
-	return resourceAges{dutyConfig: maxAge(b.Apply), dutyTargets: maxAge(b.Drain), dutyEvacuations: maxAge(b.Evacuate)}
+	return resourceAges{resourceConfig: maxAge(b.Apply), resourceTargets: maxAge(b.Drain), resourceEvacuations: maxAge(b.Evacuate)}
 }
 
 // maxAge returns the bound less the reserve, but at least half of the bound.
@@ -52,12 +52,12 @@
 // loop and the readers, which provide it. It is safe for concurrent use.
 type freshness struct {
 	mu               sync.Mutex
-	confirmed        [duties]time.Time     // when the store confirmed the data in force
-	storeUnavailable bool                  // the store doesn't respond; requests don't wait for it
-	changed          chan struct{}         // closed and replaced when one of the two above changes
-	lastRequest      time.Time             // arrival of the last request
-	waitStart        [duties]time.Time     // when the first request began to wait for a confirmation
-	wakeups          [duties]chan struct{} // wake the readers
+	confirmed        [resourceCount]time.Time     // when the store confirmed the data in force
+	storeUnavailable bool                         // the store doesn't respond; requests don't wait for it
+	changed          chan struct{}                // closed and replaced when one of the two above changes
+	lastRequest      time.Time                    // arrival of the last request
+	waitStart        [resourceCount]time.Time     // when the first request began to wait for a confirmation
+	wakeups          [resourceCount]chan struct{} // wake the readers
 }
 
 func newFreshness() *freshness {
@@ -69,7 +69,7 @@
 }
 
 // update sets the control loop's state and wakes waiting requests if it has changed.
-func (f *freshness) update(confirmed [duties]time.Time, storeUnavailable bool) {
+func (f *freshness) update(confirmed [resourceCount]time.Time, storeUnavailable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.confirmed == confirmed && f.storeUnavailable == storeUnavailable {
@@ -82,7 +82,7 @@
 
 // recordRequest records a request. It returns the resources that the request should wait
 // for, and a channel that is closed at the next change.
-func (f *freshness) recordRequest(now time.Time, maxAges resourceAges) (wait []duty, changed <-chan struct{}) {
+func (f *freshness) recordRequest(now time.Time, maxAges resourceAges) (wait []resource, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastRequest = now
@@ -95,7 +95,7 @@
 			f.waitStart[d] = now
 		}
 		if now.Sub(f.waitStart[d]) < maxRefreshWait {
-			wait = append(wait, duty(d))
+			wait = append(wait, resource(d))
 		}
 	}
 	return wait, f.changed
@@ -109,7 +109,7 @@
 }
 
 // wakeReaders makes the readers of these resources read now.
-func (f *freshness) wakeReaders(resources []duty) {
+func (f *freshness) wakeReaders(resources []resource) {
 	for _, d := range resources {
 		select {
 		case f.wakeups[d] <- struct{}{}:
@@ -148,10 +148,10 @@
 }
 
 // resourceNames joins the names of resources for a log line.
-func resourceNames(resources []duty) string {
+func resourceNames(resources []resource) string {
 	var names []string
 	for _, d := range resources {
-		names = append(names, dutyNames[d])
+		names = append(names, resourceLabels[d])
 	}
 	return strings.Join(names, " ")
 }
--- a/internal/gateway/fresh_test.go
+++ b/internal/gateway/fresh_test.go
@@ -21,21 +21,21 @@
 		name      string
 		confirmed time.Time
 		away      bool
-		want      []duty
+		want      []resource
 	}{
 		{"young", at.Add(-stale + time.Millisecond), false, nil},
-		{"old", at.Add(-stale), false, []duty{dutyTargets}},
+		{"old", at.Add(-stale), false, []resource{resourceTargets}},
 		{"old, the store doesn't answer", at.Add(-stale), true, nil},
 		{"nothing known yet", time.Time{}, false, nil},
 	}
 	expired := newFreshness()
-	expired.update([duties]time.Time{at, at}, false)
+	expired.update([resourceCount]time.Time{at, at}, false)
 	_, _ = expired.recordRequest(at.Add(stale), resourceAges{stale, stale})
 	wait, _ := expired.recordRequest(at.Add(stale+maxRefreshWait), resourceAges{stale, stale})
 	qt.Check(t, wait, qt.HasLen, 0, qt.Commentf("another request has waited without success"))
 	for _, tt := range tests {
 		f := newFreshness()
-		f.update([duties]time.Time{dutyConfig: at, dutyTargets: tt.confirmed}, tt.away)
+		f.update([resourceCount]time.Time{resourceConfig: at, resourceTargets: tt.confirmed}, tt.away)
 		wait, _ := f.recordRequest(at, resourceAges{stale, stale})
 		qt.Check(t, wait, qt.DeepEquals, tt.want, qt.Commentf("%s", tt.name))
 	}
@@ -70,16 +70,16 @@
 				names = append(names, fmt.Sprint("e", i))
 			}
 			c.addLive(c.started, names...)
-			targetsListed{at: 1, asked: c.started}.apply(c.started, c)
+			targetsListed{revision: 1, askedAt: c.started}.apply(c.started, c)
 			now := c.started.Add(tt.age)
 			c.members.Handle(now, messageFrom("e0"))
 			if tt.used > 0 {
 				c.gateway.freshness.recordRequest(now.Add(-tt.used), c.gateway.maxAges())
 			}
-			q := turnAsked{duty: dutyTargets, answer: make(chan turn, 1)}
+			q := turnRequest{resource: resourceTargets, reply: make(chan readTurn, 1)}
 			q.apply(now, c)
-			turn := <-q.answer
-			qt.Assert(t, turn.rank > fastReaders, qt.IsTrue, qt.Commentf("rank %d", turn.rank))
+			turn := <-q.reply
+			qt.Assert(t, turn.rank > notifiedReaders, qt.IsTrue, qt.Commentf("rank %d", turn.rank))
 			qt.Assert(t, turn.due, qt.Equals, tt.due)
 		})
 	}
@@ -89,8 +89,8 @@
 // has failed, so requests start to wait for newer data. Only few may wait, since each wait
 // delays a response, and a healthy store would have responded within milliseconds.
 func TestUnresponsiveStoreDelaysFewRequests(t *testing.T) {
-	w := newWorld(t, site{targets: 2})
-	e := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 2})
+	e := w.startEntry("a").waitReady()
 	w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Silent: true} })
 	var delayed time.Duration
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -28,7 +28,7 @@
 	})
 	mux.HandleFunc(platform.PathResolve, func(w http.ResponseWriter, r *http.Request) {
 		query := platform.ReadQuestion(r)
-		addresses := g.view.Load().addresses(query.Host, query.Region, g.self)
+		addresses := g.view.Load().callerAddresses(query.Host, query.Region, g.self)
 		if len(addresses) == 0 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -96,7 +96,7 @@
 func (g *Gateway) viewAfterStart(ctx context.Context, now time.Time) *view {
 	v := g.view.Load()
 	wait := min(maxStartupWait, startupWindow-now.Sub(g.started))
-	if v.targets || wait <= 0 {
+	if v.initialized || wait <= 0 {
 		return v
 	}
 	t := time.NewTimer(wait)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -101,7 +101,7 @@
 	g.control = newControl(g)
 	if g.relay, err = relay.New(relay.Config{
 		Address: net.JoinHostPort(s.Address, strconv.Itoa(s.Ports[0])),
-		Source:  g.control, Heard: g.control.heard, Log: g.log,
+		Source:  g.control, Heard: g.control.enqueuePacket, Log: g.log,
 		Self: func() member.ID { return *g.selfID.Load() },
 		Sent: func(bytes int) { g.instruments.bytesSent.Inc(int64(bytes)) },
 	}); err != nil {
@@ -113,7 +113,7 @@
 		Place: s.Place, Region: s.Region, Capacity: capacity(s),
 	}
 	g.control.members = member.New(g.memberConfig())
-	g.control.named()
+	g.control.updateIdentity()
 	return g, nil
 }
 
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -21,17 +21,17 @@
 )
 
 // waitLimit is the longest time that a test waits for a condition.
-const bound = 10 * time.Second
+const waitLimit = 10 * time.Second
 
 // world is a test environment on loopback: a store, targets and entries.
 type world struct {
-	c       *qt.C
-	store   *objects.Store
-	server  *httptest.Server
-	workers []*worker.Worker
-	version int
-	last    int
-	born    int64 // start time in target records, Unix ms
+	c           *qt.C
+	store       *objects.Store
+	server      *httptest.Server
+	workers     []*worker.Worker
+	version     int
+	lastRequest int
+	targetStart int64 // start time in target records, Unix ms
 	// evacuate is the bound on evacuations in the entries' settings; 0 for none.
 	evacuate time.Duration
 	// retryShare is the ratio of retries and hedges in the entries' settings; 0 keeps the
@@ -40,26 +40,26 @@
 }
 
 // worldConfig describes a world's targets and the route of its first configuration.
-type site struct {
-	targets  int
-	kind     string // type of the route; idempotent if empty
-	timeout  string // default 2s
-	attempts int    // default 3
+type worldConfig struct {
+	targets   int
+	routeType string // type of the route; idempotent if empty
+	timeout   string // default 2s
+	attempts  int    // default 3
 }
 
-func newWorld(t *testing.T, s site) *world {
+func newWorld(t *testing.T, s worldConfig) *world {
 	w := &world{c: qt.New(t), store: objects.New()}
 	w.server = httptest.NewServer(w.store)
 	t.Cleanup(w.server.CloseClientConnections)
 	for range s.targets {
-		w.target("gowns")
+		w.startTarget("gowns")
 	}
 	w.configure(s)
 	return w
 }
 
 // configure writes a newer configuration, with one route to the service gowns.
-func (w *world) configure(s site) {
+func (w *world) configure(s worldConfig) {
 	if s.timeout == "" {
 		s.timeout = "2s"
 	}
@@ -68,25 +68,25 @@
 	}
 	w.version++
 	w.store.PutConfig(w.version, []objects.Route{{
-		Name: "r-a", Host: "veil.example", Prefix: "/a/", Kind: s.kind, Timeout: s.timeout,
+		Name: "r-a", Host: "veil.example", Prefix: "/a/", Kind: s.routeType, Timeout: s.timeout,
 		Goal: "1s", Attempts: s.attempts, Service: "gowns",
 	}}, []string{"gowns", "veils"})
 }
 
 // startTarget starts a target and writes its record.
-func (w *world) target(service string) *worker.Worker {
+func (w *world) startTarget(service string) *worker.Worker {
 	k, err := worker.Start(fmt.Sprintf("i-%d", len(w.workers)))
 	w.c.Assert(err, qt.IsNil)
 	w.c.Cleanup(k.Close)
 	w.workers = append(w.workers, k)
-	w.record(k, service, "ready")
+	w.writeTarget(k, service, "ready")
 	return k
 }
 
 // writeTarget writes a target's record.
-func (w *world) record(k *worker.Worker, service, state string) {
+func (w *world) writeTarget(k *worker.Worker, service, state string) {
 	w.store.PutTarget(objects.Target{
-		ID: k.ID, Address: k.Address(), Service: service, Place: "hall", Slots: k.Slots, Leaving: state == "draining", Born: w.born,
+		ID: k.ID, Address: k.Address(), Service: service, Place: "hall", Slots: k.Slots, Leaving: state == "draining", Born: w.targetStart,
 	})
 }
 
@@ -98,13 +98,13 @@
 	done chan error
 }
 
-func (w *world) entry(name string, seeds ...*entry) *entry {
-	return w.entryAt(name, uint64(time.Now().UnixNano()), seeds...)
+func (w *world) startEntry(name string, seeds ...*entry) *entry {
+	return w.startEntryAt(name, uint64(time.Now().UnixNano()), seeds...)
 }
 
 // startEntryAt starts an entry with this number of its start.
-func (w *world) entryAt(name string, boot uint64, seeds ...*entry) *entry {
-	g := w.gateway(name, boot, seeds...)
+func (w *world) startEntryAt(name string, boot uint64, seeds ...*entry) *entry {
+	g := w.newGateway(name, boot, seeds...)
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &entry{Gateway: g, w: w, stop: cancel, done: make(chan error, 1)}
 	go func() { e.done <- g.Serve(ctx) }()
@@ -113,7 +113,7 @@
 }
 
 // newGateway returns an entry whose loops don't run yet.
-func (w *world) gateway(name string, boot uint64, seeds ...*entry) *Gateway {
+func (w *world) newGateway(name string, boot uint64, seeds ...*entry) *Gateway {
 	bounds, err := platform.ParseSettings([]byte(settingsText))
 	w.c.Assert(err, qt.IsNil)
 	s := platform.Settings{
@@ -143,20 +143,20 @@
 `
 
 // waitReady waits until the entry has the latest configuration and a target.
-func (e *entry) settled() *entry {
-	e.w.until("configuration and targets at the entry", func() bool {
+func (e *entry) waitReady() *entry {
+	e.w.waitFor("configuration and targets at the entry", func() bool {
 		v := e.view.Load()
-		return v.table != nil && int(v.table.Config.Version) == e.w.version && e.knows("gowns")
+		return v.table != nil && int(v.table.Config.Version) == e.w.version && e.hasTargets("gowns")
 	})
 	return e
 }
 
-func (e *entry) knows(service string) bool {
-	return e.size(service) > 0
+func (e *entry) hasTargets(service string) bool {
+	return e.targetCount(service) > 0
 }
 
 // targetCount returns the number of a service's targets that the entry knows.
-func (e *entry) size(service string) int {
+func (e *entry) targetCount(service string) int {
 	sv := e.view.Load().services[service]
 	if sv == nil {
 		return 0
@@ -174,18 +174,18 @@
 	return sv.balancer.HasTarget(id)
 }
 
-func (w *world) until(what string, ok func() bool) {
+func (w *world) waitFor(what string, ok func() bool) {
 	w.c.Helper()
-	for end := time.Now().Add(bound); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	w.c.Fatalf("not within %v: %s", bound, what)
+	w.c.Fatalf("not within %v: %s", waitLimit, what)
 }
 
 // callResult is the result of a caller's request.
-type reply struct {
+type callResult struct {
 	status int
 	header http.Header
 	body   string
@@ -195,12 +195,12 @@
 }
 
 // call sends one request as a caller, without retries.
-func (e *entry) call(method, path, body string) reply {
-	e.w.last++
-	return e.callWith(context.Background(), fmt.Sprintf("q-%d", e.w.last), method, path, body)
+func (e *entry) call(method, path, body string) callResult {
+	e.w.lastRequest++
+	return e.callWith(context.Background(), fmt.Sprintf("q-%d", e.w.lastRequest), method, path, body)
 }
 
-func (e *entry) callWith(ctx context.Context, id, method, path, body string) (out reply) {
+func (e *entry) callWith(ctx context.Context, id, method, path, body string) (out callResult) {
 	began := time.Now()
 	defer func() { out.took = time.Since(began) }()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+e.self.CallerAddress+path, strings.NewReader(body))
@@ -241,7 +241,7 @@
 }
 
 // maxRunsWithin returns the greatest number of runs within any span of this length after from.
-func densest(runs []worker.Run, from time.Time, span time.Duration) (most int) {
+func maxRunsWithin(runs []worker.Run, from time.Time, span time.Duration) (most int) {
 	var at []time.Time
 	for _, r := range runs {
 		if r.At.Before(from) {
@@ -267,7 +267,7 @@
 }
 
 // countUnavailable returns the number of responses 503, whose requests have not run.
-func refusals503(replies []reply) (n int) {
+func countUnavailable(replies []callResult) (n int) {
 	for _, a := range replies {
 		if a.status == http.StatusServiceUnavailable {
 			n++
--- a/internal/gateway/homes_test.go
+++ b/internal/gateway/homes_test.go
@@ -45,7 +45,7 @@
 			for _, o := range tt.owners {
 				v.owners["veil.example"] = append(v.owners["veil.example"], o.Entry)
 			}
-			qt.Assert(t, v.addresses("veil.example", tt.region, owner.Entry{CallerAddress: "self"}), qt.DeepEquals, tt.want)
+			qt.Assert(t, v.callerAddresses("veil.example", tt.region, owner.Entry{CallerAddress: "self"}), qt.DeepEquals, tt.want)
 		})
 	}
 }
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -60,7 +60,7 @@
 }
 
 // rateReportTTL is how long a report counts: several ticks, since datagrams may be lost.
-const rateReportTTL = 4 * tickPeriod
+const rateReportTTL = 4 * tickInterval
 
 // sendRateReports reports this entry's request rate for each host to the host's first
 // owners. The first owner decides the owner count by the sum of all reports; the others
@@ -68,10 +68,10 @@
 func (c *control) sendRateReports(now time.Time) {
 	reports := make(map[string][]relay.Load)
 	for host, r := range c.hosts.rates {
-		if r.mean < minReportedRate || c.deal == nil {
+		if r.mean < minReportedRate || c.assignment == nil {
 			continue
 		}
-		for _, e := range c.deal.FirstOwners(host) {
+		for _, e := range c.assignment.FirstOwners(host) {
 			if e.Name != c.gateway.self.Name {
 				reports[e.PeerAddress] = append(reports[e.PeerAddress], relay.Load{Host: owner.HostID(host), Rate: r.mean})
 			}
@@ -82,17 +82,17 @@
 			Kind: relay.Loads, Loads: list, ID: c.members.Self(),
 		})
 	}
-	maps.DeleteFunc(c.loads, func(_ string, l rateReport) bool { return now.Sub(l.receivedAt) > rateReportTTL })
+	maps.DeleteFunc(c.rateReports, func(_ string, l rateReport) bool { return now.Sub(l.receivedAt) > rateReportTTL })
 }
 
 // currentAssignment returns the assignment of hosts to the live entries. It is computed
 // again only if either has changed: that takes 0.1 ms with 472 entries, and each tick
 // needs the assignment.
 func (c *control) currentAssignment(live []owner.Candidate) *owner.Assignment {
-	if c.deal == nil || c.dealt != c.hosts.table {
-		c.deal, c.dealt = owner.New(live, slices.Collect(maps.Keys(c.hosts.ownerSizers))), c.hosts.table
+	if c.assignment == nil || c.assignmentTable != c.hosts.table {
+		c.assignment, c.assignmentTable = owner.New(live, slices.Collect(maps.Keys(c.hosts.ownerSizers))), c.hosts.table
 	}
-	return c.deal
+	return c.assignment
 }
 
 // ownerCounts returns the owner count of each host. This entry decides it for hosts of
@@ -107,14 +107,14 @@
 		}
 		id := owner.HostID(host)
 		if firstOwners[0].Name != c.gateway.self.Name {
-			n, _ := c.numbers.Get(id)
+			n, _ := c.gossipedCounts.Get(id)
 			counts[host] = size.Adopt(n.Owners)
 			continue
 		}
 		rate := c.totalRate(host)
 		counts[host] = size.Decide(now, rate, assignment.CapacityShares(host))
-		if c.numbers.Update(id, counts[host], rate) {
-			c.drive(now, member.PushNow{})
+		if c.gossipedCounts.Update(id, counts[host], rate) {
+			c.handleEvent(now, member.PushNow{})
 		}
 	}
 	return counts
@@ -125,7 +125,7 @@
 func (c *control) totalRate(host string) (sum float64) {
 	id := owner.HostID(host)
 	sum = c.hosts.rates[host].mean
-	for _, report := range c.loads {
+	for _, report := range c.rateReports {
 		for _, hostRate := range report.rates {
 			if hostRate.Host == id {
 				sum += hostRate.Rate
--- a/internal/gateway/hosts_test.go
+++ b/internal/gateway/hosts_test.go
@@ -14,29 +14,29 @@
 // for each would take most of a small VM's CPU time among hundreds of entries and delay
 // requests. A message that an entry is leaving must still take effect at once.
 func TestUnchangedMessagesPublishFewViews(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	entries := several(w, fanOut+1)
+	w := newWorld(t, worldConfig{targets: 1})
+	entries := startEntries(w, gossipFanOut+1)
 	time.Sleep(4 * roundPeriod)
 	a := entries[0]
 	views, last := 0, a.view.Load()
 	lastHeard := a.lastHeard()
-	for began := time.Now(); time.Since(began) < 4*tickPeriod; time.Sleep(time.Millisecond) {
+	for began := time.Now(); time.Since(began) < 4*tickInterval; time.Sleep(time.Millisecond) {
 		if v := a.view.Load(); v != last {
 			views, last = views+1, v
 		}
 	}
 	w.c.Assert(a.lastHeard().After(lastHeard), qt.IsTrue)
 	w.c.Assert(views <= 6, qt.IsTrue, qt.Commentf("%d views in four periods", views))
-	entries[1].control.tell(t.Context(), leaves{})
+	entries[1].control.enqueue(t.Context(), leaveStarted{})
 	left := time.Now()
-	w.until("the leaving entry is not live", func() bool { return len(a.view.Load().live) == fanOut })
-	w.c.Assert(time.Since(left) < tickPeriod/2, qt.IsTrue, qt.Commentf("%v", time.Since(left)))
+	w.waitFor("the leaving entry is not live", func() bool { return len(a.view.Load().live) == gossipFanOut })
+	w.c.Assert(time.Since(left) < tickInterval/2, qt.IsTrue, qt.Commentf("%v", time.Since(left)))
 }
 
 // lastHeard returns when the entry last received a message from another one.
 func (e *entry) lastHeard() time.Time {
 	request := lastHeardRequest{make(chan time.Time, 1)}
-	e.control.tell(e.w.c.Context(), request)
+	e.control.enqueue(e.w.c.Context(), request)
 	return <-request.answer
 }
 
@@ -48,8 +48,8 @@
 // service. The owners must not change: a new owner has no load data of the targets, and
 // each moved caller needs a new connection.
 func TestNewRoutesKeepOwners(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	entries := several(w, 6)
+	w := newWorld(t, worldConfig{targets: 1})
+	entries := startEntries(w, 6)
 	hosts := []string{"veil.example", "gown.example"}
 	routes := []objects.Route{
 		{Name: "r-a", Host: hosts[0], Prefix: "/a/", Timeout: "2s", Goal: "1s", Attempts: 3, Service: "gowns"},
@@ -59,14 +59,14 @@
 		w.version++
 		w.store.PutConfig(w.version, routes, []string{"gowns", "veils"})
 		for _, e := range entries {
-			w.until("the version in force", func() bool { return int(e.version()) == w.version })
+			w.waitFor("the version in force", func() bool { return int(e.version()) == w.version })
 		}
 	}
 	version()
 	var before [][]string
 	addresses := func(e *entry) (list [][]string) {
 		for _, h := range hosts {
-			list = append(list, e.view.Load().addresses(h, "metro", e.self))
+			list = append(list, e.view.Load().callerAddresses(h, "metro", e.self))
 		}
 		return list
 	}
@@ -85,13 +85,13 @@
 // A host's request rate grows beyond the capacity of two owners. The first owner must
 // raise the owner count, and all entries must arrive at the same owners.
 func TestFirstOwnerDecidesOwnerCount(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	entries := several(w, 5)
+	w := newWorld(t, worldConfig{targets: 1})
+	entries := startEntries(w, 5)
 	first := func() string { return entries[0].view.Load().owners["veil.example"][0].Name }
 	for _, e := range entries {
-		e.control.tell(t.Context(), simulateLoad{first: first(), capacity: e.self.Capacity})
+		e.control.enqueue(t.Context(), simulateLoad{first: first(), capacity: e.self.Capacity})
 	}
-	w.until("more owners everywhere", func() bool {
+	w.waitFor("more owners everywhere", func() bool {
 		for _, e := range entries {
 			if len(e.view.Load().owners["veil.example"]) < 3 {
 				return false
--- a/internal/gateway/instruments.go
+++ b/internal/gateway/instruments.go
@@ -18,11 +18,11 @@
 	bytesSent        tally.Counter // bytes of packets sent to other entries
 	pulls            tally.Counter // pulls from other entries
 	freshnessWaits   tally.Counter // requests that waited for newer store data
-	storeReads       [duties]tally.Counter
-	failedStoreReads [duties]tally.Counter // reads without a response of the store
-	configVersion    tally.Gauge           // version in force
-	dataAge          [duties]tally.Gauge   // seconds since the store confirmed the data
-	liveEntries      tally.Gauge           // live entries
+	storeReads       [resourceCount]tally.Counter
+	failedStoreReads [resourceCount]tally.Counter // reads without a response of the store
+	configVersion    tally.Gauge                  // version in force
+	dataAge          [resourceCount]tally.Gauge   // seconds since the store confirmed the data
+	liveEntries      tally.Gauge                  // live entries
 	targets          tally.Gauge
 	evacuatedDomains tally.Gauge // evacuated failure domains
 }
@@ -35,7 +35,7 @@
 		configVersion:  m.Scope.Gauge("config_version"), liveEntries: m.Scope.Gauge("live_entries"), targets: m.Scope.Gauge("targets"),
 		evacuatedDomains: m.Scope.Gauge("evacuated_places"),
 	}
-	for d, name := range dutyNames {
+	for d, name := range resourceLabels {
 		s := m.Scope.Tagged(map[string]string{"kind": name})
 		i.storeReads[d], i.failedStoreReads[d] = s.Counter("store_reads"), s.Counter("store_reads_failed")
 		i.dataAge[d] = s.Gauge("knowledge_age_seconds")
@@ -91,9 +91,9 @@
 	i.evacuatedDomains.Update(float64(c.evacuations.Len()))
 	for _, s := range c.services {
 		s.instruments.savedDispatches.Update(s.budget.Available())
-		s.instruments.burst.Update(float64(c.shared.burst))
+		s.instruments.burst.Update(float64(c.retryShare.burst))
 	}
-	for d := range duties {
+	for d := range resourceCount {
 		i.dataAge[d].Update(c.age(now, d).Seconds())
 	}
 }
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -13,22 +13,22 @@
 
 // configRead holds the configurations that the store returned, oldest first.
 type configRead struct {
-	raw   [][]byte
-	at    roster.Revision
-	asked time.Time
+	configs  [][]byte
+	revision roster.Revision
+	askedAt  time.Time
 }
 
 func (m configRead) apply(now time.Time, c *control) {
-	for _, raw := range m.raw {
-		c.adopt(now, raw, "store")
+	for _, raw := range m.configs {
+		c.applyConfig(now, raw, "store")
 	}
-	c.configAt = max(c.configAt, m.at)
-	c.confirm(now, dutyConfig, m.asked)
-	c.vouch(now, dutyConfig)
+	c.configRevision = max(c.configRevision, m.revision)
+	c.confirm(now, resourceConfig, m.askedAt)
+	c.announceConfirmation(now, resourceConfig)
 }
 
 // applyConfig puts a configuration in force if it is newer than the current one.
-func (c *control) adopt(now time.Time, raw []byte, source string) {
+func (c *control) applyConfig(now time.Time, raw []byte, source string) {
 	cfg, faults, err := platform.ParseConfig(raw)
 	if err != nil {
 		c.gateway.log.WithError(err).WithField("source", source).Error("invalid configuration ignored")
@@ -41,78 +41,78 @@
 		"version": uint64(cfg.Version), "before": uint64(c.config.Version), "source": source, "routes": len(cfg.Routes),
 	}).Info("configuration in force")
 	c.logFaults(cfg.Version, faults)
-	c.config, c.raw = cfg, raw
+	c.config, c.configData = cfg, raw
 	c.table = route.New(cfg, c.table)
-	c.dirty, c.unshared = true, true
+	c.servicesStale, c.sendersChanged = true, true
 	c.publish(now)
-	c.spread(now)
+	c.announceRevisions(now)
 }
 
 // maxLoggedFaults bounds the log lines about the faults of one configuration.
-const maxFaults = 20
+const maxLoggedFaults = 20
 
 func (c *control) logFaults(v route.Version, faults platform.Faults) {
-	for _, err := range faults[:min(len(faults), maxFaults)] {
+	for _, err := range faults[:min(len(faults), maxLoggedFaults)] {
 		c.gateway.log.WithError(err).WithField("version", uint64(v)).Warn("invalid part of the configuration ignored")
 	}
-	if more := len(faults) - maxFaults; more > 0 {
+	if more := len(faults) - maxLoggedFaults; more > 0 {
 		c.gateway.log.WithFields(log.Fields{"version": uint64(v), "more": more}).Warn("more invalid parts of the configuration ignored")
 	}
 }
 
 // targetsListed is a full list of targets from the store.
 type targetsListed struct {
-	items []roster.Item[slot.Target]
-	at    roster.Revision
-	asked time.Time
+	items    []roster.Item[slot.Target]
+	revision roster.Revision
+	askedAt  time.Time
 }
 
 func (m targetsListed) apply(now time.Time, c *control) {
-	c.targetsRead(now, m.asked, func() bool { return c.targets.Replace(m.items, m.at) })
+	c.applyTargetsRead(now, m.askedAt, func() bool { return c.targets.Replace(m.items, m.revision) })
 }
 
 // targetsChanged holds changes of targets from a watch of the store.
 type targetsChanged struct {
-	changes []roster.Change[slot.Target]
-	at      roster.Revision
-	asked   time.Time
+	changes  []roster.Change[slot.Target]
+	revision roster.Revision
+	askedAt  time.Time
 }
 
 func (m targetsChanged) apply(now time.Time, c *control) {
-	c.targetsRead(now, m.asked, func() bool { return c.targets.Merge(m.changes, m.at) })
+	c.applyTargetsRead(now, m.askedAt, func() bool { return c.targets.Merge(m.changes, m.revision) })
 }
 
 // applyTargetsRead applies a list or changes from the store, and announces a change of
 // targets to the other entries at once.
-func (c *control) targetsRead(now, askedAt time.Time, apply func() (changed bool)) {
-	c.confirm(now, dutyTargets, askedAt)
-	changed := c.change(now, apply)
-	c.vouch(now, dutyTargets)
+func (c *control) applyTargetsRead(now, askedAt time.Time, apply func() (changed bool)) {
+	c.confirm(now, resourceTargets, askedAt)
+	changed := c.changeTargets(now, apply)
+	c.announceConfirmation(now, resourceTargets)
 	if changed {
-		c.spread(now)
+		c.announceRevisions(now)
 	}
 }
 
 // watchTimedOut reports that a watch timed out. The reader then lists the objects, which
 // takes up to 2 s if the store is silent: the outage may be over before both calls have
 // failed, so that the first failure must count.
-type callFailed struct{}
+type watchTimedOut struct{}
 
-func (callFailed) apply(now time.Time, c *control) { c.fails(now) }
+func (watchTimedOut) apply(now time.Time, c *control) { c.noteStoreFailure(now) }
 
 // readFinished is the result of a read from the store; err is nil if it succeeded.
-type storeAnswered struct{ err error }
+type readFinished struct{ err error }
 
-func (m storeAnswered) apply(now time.Time, c *control) {
+func (m readFinished) apply(now time.Time, c *control) {
 	failed := m.err != nil
 	if failed {
-		c.fails(now)
+		c.noteStoreFailure(now)
 	}
-	if failed == c.shut {
+	if failed == c.storeUnavailable {
 		return
 	}
-	c.shut = failed
-	c.feel(now)
+	c.storeUnavailable = failed
+	c.reportCondition(now)
 	if failed {
 		c.gateway.log.WithError(m.err).Warn("store lost")
 	} else {
--- a/internal/gateway/knowledge_test.go
+++ b/internal/gateway/knowledge_test.go
@@ -16,7 +16,7 @@
 
 // applyBound is how long a configuration may take until it is in force, from the store's
 // acknowledgement to the operator.
-const apply = 2 * time.Second
+const applyBound = 2 * time.Second
 
 func (e *entry) version() route.Version {
 	v := e.view.Load()
@@ -29,9 +29,9 @@
 // Without a configuration an entry can't distinguish a missing route from an unknown one: it
 // answers 503 and isn't ready.
 func TestEntryWithoutConfiguration(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
+	w := newWorld(t, worldConfig{targets: 1})
 	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
-	e := w.entry("a")
+	e := w.startEntry("a")
 	a := e.call("GET", "/a/x", "")
 	w.c.Assert(a.status, qt.Equals, http.StatusServiceUnavailable)
 	w.c.Assert(a.header.Get("Retry-After"), qt.Not(qt.Equals), "")
@@ -39,45 +39,45 @@
 	e.auxHandler().ServeHTTP(rec, httptest.NewRequest("GET", "/readiness", nil))
 	w.c.Assert(rec.Code, qt.Equals, http.StatusServiceUnavailable)
 	w.store.Fail(nil)
-	e.settled()
+	e.waitReady()
 }
 
 // A change of the configuration must be in force within 2 s of its acknowledgement, even if the
 // store's watches report no change and its history is dropped without an error to them.
-func TestDeafWatchMissesNoConfiguration(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	e := w.entry("a").settled()
+func TestConfigurationChangeDespiteSilentWatch(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 1})
+	e := w.startEntry("a").waitReady()
 	w.store.Deafen(true)
-	w.configure(site{})
+	w.configure(worldConfig{})
 	began := time.Now()
 	w.store.Compact()
 	time.AfterFunc(time.Second, func() { w.store.Deafen(false) })
-	w.until("the change in force", func() bool { return int(e.version()) == w.version })
-	w.c.Assert(time.Since(began) < apply, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+	w.waitFor("the change in force", func() bool { return int(e.version()) == w.version })
+	w.c.Assert(time.Since(began) < applyBound, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
 
 // An entry that starts during an outage of the store gets the configuration and targets from the
 // seeds, so that its callers aren't refused until the store is back.
 func TestStartDuringAnOutage(t *testing.T) {
-	w := newWorld(t, site{targets: 2})
-	a := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 2})
+	a := w.startEntry("a").waitReady()
 	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
-	b := w.entry("b", a).settled()
+	b := w.startEntry("b", a).waitReady()
 	w.c.Assert(b.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
-	w.until("both live", func() bool { return len(a.view.Load().live) == 2 && len(b.view.Load().live) == 2 })
+	w.waitFor("both live", func() bool { return len(a.view.Load().live) == 2 && len(b.view.Load().live) == 2 })
 }
 
 // All entries start at once, as after a loss of all power. A few of them read the store and
 // announce the data, so that not all call it at once. Callers are served within half a second.
 func TestStartTogether(t *testing.T) {
-	w := newWorld(t, site{targets: 2})
+	w := newWorld(t, worldConfig{targets: 2})
 	began := time.Now()
 	var entries []*entry
 	for i := range 8 {
-		entries = append(entries, w.entry(fmt.Sprint("e", i)))
+		entries = append(entries, w.startEntry(fmt.Sprint("e", i)))
 	}
 	for _, e := range entries {
-		e.settled()
+		e.waitReady()
 	}
 	w.c.Assert(time.Since(began) < 500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 	// Each entry writes its record and lists the others: two calls. The rest are the
@@ -88,16 +88,16 @@
 // An entry's process is killed and restarts under the same name after its clock has gone back, so
 // that the new start seems earlier than the known one. The other entries must accept it.
 func TestStartAfterTheClockWentBack(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	a := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 1})
+	a := w.startEntry("a").waitReady()
 	boot := uint64(time.Now().UnixNano())
-	b := w.entryAt("b", boot, a).settled()
+	b := w.startEntryAt("b", boot, a).waitReady()
 	live := func(e *entry) func() bool { return func() bool { return len(e.view.Load().live) == 2 } }
-	w.until("both known", live(a))
+	w.waitFor("both known", live(a))
 	b.relay.Close()
-	again := w.entryAt("b", boot-uint64(time.Hour), a).settled()
+	again := w.startEntryAt("b", boot-uint64(time.Hour), a).waitReady()
 	began := time.Now()
-	w.until("the new start known", func() bool {
+	w.waitFor("the new start known", func() bool {
 		for _, e := range a.view.Load().live {
 			if e.Name == "b" && e.CallerAddress == again.self.CallerAddress {
 				return true
@@ -106,30 +106,30 @@
 		return false
 	})
 	w.c.Assert(time.Since(began) < 3*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
-	w.until("both live", func() bool { return live(a)() && live(again)() })
+	w.waitFor("both live", func() bool { return live(a)() && live(again)() })
 }
 
 // The store refuses the calls of one entry and serves the others. That entry must get the latest
 // configuration and targets from the others.
-func TestEntryThatTheStoreTurnsAway(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	a := w.entry("a").settled()
-	b := w.entry("b").settled()
-	w.until("both entries live", func() bool { return len(a.view.Load().live) == 2 && len(b.view.Load().live) == 2 })
-	w.store.Fail(turnAway(b))
+func TestEntryRefusedByStore(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 1})
+	a := w.startEntry("a").waitReady()
+	b := w.startEntry("b").waitReady()
+	w.waitFor("both entries live", func() bool { return len(a.view.Load().live) == 2 && len(b.view.Load().live) == 2 })
+	w.store.Fail(refuseStoreCalls(b))
 	time.Sleep(300 * time.Millisecond)
-	w.configure(site{})
+	w.configure(worldConfig{})
 	began := time.Now()
-	w.until("the change in force at both", func() bool {
+	w.waitFor("the change in force at both", func() bool {
 		return int(a.version()) == w.version && int(b.version()) == w.version
 	})
-	w.c.Assert(time.Since(began) < apply, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
-	k := w.target("gowns")
-	w.until("the new target at both", func() bool { return a.hasTarget(k.ID) && b.hasTarget(k.ID) })
+	w.c.Assert(time.Since(began) < applyBound, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+	k := w.startTarget("gowns")
+	w.waitFor("the new target at both", func() bool { return a.hasTarget(k.ID) && b.hasTarget(k.ID) })
 }
 
 // refuseStoreCalls makes the store refuse the calls of one entry, by their User-Agent.
-func turnAway(e *entry) func(*http.Request) objects.Fault {
+func refuseStoreCalls(e *entry) func(*http.Request) objects.Fault {
 	return func(r *http.Request) objects.Fault {
 		return objects.Fault{Down: r.Header.Get("User-Agent") == e.self.Name}
 	}
@@ -142,7 +142,7 @@
 		name  string
 		leave func(w *world)
 	}{
-		{"draining", func(w *world) { w.record(w.workers[0], "gowns", "draining") }},
+		{"draining", func(w *world) { w.writeTarget(w.workers[0], "gowns", "draining") }},
 		{"removed", func(w *world) { w.store.Delete("servers", w.workers[0].ID) }},
 		{"removed in a gap of the history", func(w *world) {
 			w.store.Delete("servers", w.workers[0].ID)
@@ -151,8 +151,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, site{targets: 2})
-			e := w.entry("a").settled()
+			w := newWorld(t, worldConfig{targets: 2})
+			e := w.startEntry("a").waitReady()
 			tt.leave(w)
 			left := time.Now()
 			for time.Since(left) < 2500*time.Millisecond {
@@ -168,31 +168,31 @@
 
 // The store returns an older configuration than before, as a stale read or a restored store
 // would. The entry keeps the newer one.
-func TestNoWayBack(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	w.configure(site{})
-	e := w.entry("a").settled()
+func TestOlderConfigurationIgnored(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 1})
+	w.configure(worldConfig{})
+	e := w.startEntry("a").waitReady()
 	w.version -= 2
-	w.configure(site{})
+	w.configure(worldConfig{})
 	w.version++
 	time.Sleep(1500 * time.Millisecond)
 	w.c.Assert(int(e.version()), qt.Equals, 2)
 }
 
 // An entry reads a list that the store returns in several pages.
-func TestPages(t *testing.T) {
-	w := newWorld(t, site{targets: 7})
+func TestListInPages(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 7})
 	w.store.Page(3)
-	e := w.entry("a").settled()
-	w.until("all targets", func() bool { return e.size("gowns") == 7 })
+	e := w.startEntry("a").waitReady()
+	w.waitFor("all targets", func() bool { return e.targetCount("gowns") == 7 })
 }
 
 // An outage of the store is longer than the lifetime of records, so that its list is empty
 // afterwards. Callers must be served until the targets have written their records again. A target
 // that doesn't do so is dropped.
-func TestRecordsThatLapse(t *testing.T) {
-	w := newWorld(t, site{targets: 2})
-	e := w.entry("a").settled()
+func TestRecordsExpiredDuringOutage(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 2})
+	e := w.startEntry("a").waitReady()
 	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
 	time.Sleep(roster.OutageAge + 500*time.Millisecond)
 	w.store.Delete("servers", w.workers[0].ID)
@@ -203,15 +203,15 @@
 		w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 		time.Sleep(20 * time.Millisecond)
 	}
-	w.record(w.workers[1], "gowns", "ready")
-	w.until("the other target gone", func() bool { return !e.hasTarget(w.workers[0].ID) })
+	w.writeTarget(w.workers[1], "gowns", "ready")
+	w.waitFor("the other target gone", func() bool { return !e.hasTarget(w.workers[0].ID) })
 	w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 	w.c.Assert(e.hasTarget(w.workers[1].ID), qt.IsTrue)
 }
 
 // A request that reaches an entry before the first answer of the store is held for a moment and
 // then served. If the store is unavailable it is refused soon, and later requests at once.
-func TestRequestBeforeTheFirstAnswers(t *testing.T) {
+func TestRequestBeforeFirstStoreAnswer(t *testing.T) {
 	tests := []struct {
 		name   string
 		fault  objects.Fault
@@ -222,9 +222,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, site{targets: 1})
+			w := newWorld(t, worldConfig{targets: 1})
 			w.store.Fail(func(*http.Request) objects.Fault { return tt.fault })
-			e := w.entry("a")
+			e := w.startEntry("a")
 			a := e.call("GET", "/a/x", "")
 			w.c.Assert(a.status, qt.Equals, tt.status)
 			w.c.Assert(a.took < 2*maxStartupWait, qt.IsTrue, qt.Commentf("%v", a.took))
--- a/internal/gateway/leaving_response_test.go
+++ b/internal/gateway/leaving_response_test.go
@@ -27,7 +27,7 @@
 		}},
 		{"record goes on saying ready", func(w *world, _ *entry) {
 			w.workers[0].Slots = 9
-			w.record(w.workers[0], "gowns", "ready")
+			w.writeTarget(w.workers[0], "gowns", "ready")
 		}},
 	})
 }
@@ -38,20 +38,20 @@
 	checkLeaving(t, []leaveCase{
 		{"record removed and back", func(w *world, e *entry) {
 			w.store.Delete("servers", w.workers[0].ID)
-			w.until("the target is gone", func() bool { return !e.hasTarget(w.workers[0].ID) })
+			w.waitFor("the target is gone", func() bool { return !e.hasTarget(w.workers[0].ID) })
 			time.Sleep(drainBound)
-			w.record(w.workers[0], "gowns", "ready")
-			w.until("the target is back", func() bool { return e.hasTarget(w.workers[0].ID) })
+			w.writeTarget(w.workers[0], "gowns", "ready")
+			w.waitFor("the target is back", func() bool { return e.hasTarget(w.workers[0].ID) })
 		}},
 		{"service dropped and back", func(w *world, e *entry) {
 			w.version++
 			w.store.PutConfig(w.version, []objects.Route{{
 				Name: "r-a", Host: "veil.example", Prefix: "/a/", Timeout: "2s", Goal: "1s", Attempts: 3, Service: "veils",
 			}}, []string{"veils"})
-			w.until("the service dropped", func() bool { return int(e.version()) == w.version })
+			w.waitFor("the service dropped", func() bool { return int(e.version()) == w.version })
 			time.Sleep(drainBound)
-			w.configure(site{})
-			w.until("the service back", func() bool { return int(e.version()) == w.version && e.size("gowns") == 2 })
+			w.configure(worldConfig{})
+			w.waitFor("the service back", func() bool { return int(e.version()) == w.version && e.targetCount("gowns") == 2 })
 		}},
 	})
 }
@@ -62,16 +62,16 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, site{targets: 2})
+			w := newWorld(t, worldConfig{targets: 2})
 			for _, k := range w.workers {
 				k.Slots = 8
-				w.record(k, "gowns", "ready")
+				w.writeTarget(k, "gowns", "ready")
 			}
-			e := w.entry("a").settled()
+			e := w.startEntry("a").waitReady()
 			w.workers[1].Work(30 * time.Millisecond) // so that the first one is preferred
 			w.workers[0].KeepSilent()
 			w.workers[0].Leave()
-			w.until("a response that announces it", func() bool {
+			w.waitFor("a response that announces it", func() bool {
 				e.call("GET", "/a/x", "")
 				s, err := e.Status(t.Context())
 				w.c.Assert(err, qt.IsNil)
@@ -92,13 +92,13 @@
 // All targets of a service announce that they are leaving. Requests must be refused at once
 // with a Retry-After header. New incarnations at the same addresses must get requests.
 func TestAllLeavingByResponses(t *testing.T) {
-	w := newWorld(t, site{targets: 2})
-	e := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 2})
+	e := w.startEntry("a").waitReady()
 	for _, k := range w.workers {
 		k.Leave()
 	}
-	var last reply
-	w.until("both targets have announced that they leave", func() bool {
+	var last callResult
+	w.waitFor("both targets have announced that they leave", func() bool {
 		last = e.call("GET", "/a/x", "")
 		return last.status == http.StatusServiceUnavailable
 	})
@@ -106,10 +106,10 @@
 	retry, err := strconv.ParseFloat(last.header.Get("Retry-After"), 64)
 	w.c.Assert(err, qt.IsNil)
 	w.c.Assert(retry > 0, qt.IsTrue)
-	w.born++
+	w.targetStart++
 	for _, k := range w.workers {
 		k.Stay()
-		w.record(k, "gowns", "ready")
+		w.writeTarget(k, "gowns", "ready")
 	}
-	w.until("new incarnations get requests", func() bool { return e.call("GET", "/a/x", "").status == http.StatusOK })
+	w.waitFor("new incarnations get requests", func() bool { return e.call("GET", "/a/x", "").status == http.StatusOK })
 }
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -30,8 +30,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, site{targets: 2})
-			last := w.lastReader(several(w, 10), dutyTargets)
+			w := newWorld(t, worldConfig{targets: 2})
+			last := w.lastReader(startEntries(w, 10), resourceTargets)
 			w.store.Delete("servers", w.workers[0].ID)
 			left := time.Now()
 			time.Sleep(tt.idle)
@@ -49,8 +49,8 @@
 // A request waits for a target of a service that a new configuration removes, and then the
 // target's record is removed. The request must not be sent to the target.
 func TestLeavingTargetOfADroppedService(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	e := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 1})
+	e := w.startEntry("a").waitReady()
 	for _, k := range w.workers {
 		k.Work(5 * time.Second)
 	}
@@ -64,15 +64,15 @@
 		pending, _ := sv.balancer.RequestCounts()
 		return pending > 0
 	}
-	w.until("a pending request", hasPending)
+	w.waitFor("a pending request", hasPending)
 	w.version++
 	w.store.PutConfig(w.version, []objects.Route{{
 		Name: "r-a", Host: "veil.example", Prefix: "/a/", Timeout: "2s", Goal: "1s", Attempts: 3, Service: "veils",
 	}}, []string{"veils"})
-	w.until("the new configuration", func() bool { return int(e.version()) == w.version })
+	w.waitFor("the new configuration", func() bool { return int(e.version()) == w.version })
 	w.c.Assert(hasPending(), qt.IsTrue)
 	w.store.Delete("servers", w.workers[0].ID)
-	w.until("the target is removed from the balancer", func() bool {
+	w.waitFor("the target is removed from the balancer", func() bool {
 		sv.mu.Lock()
 		defer sv.mu.Unlock()
 		return !sv.balancer.HasTarget(w.workers[0].ID)
@@ -83,8 +83,8 @@
 // time. The entry no longer reads the store for the others and the directory no longer
 // lists it, but it must still stop using the target within the bound.
 func TestStoppingEntryStopsUsingRemovedTarget(t *testing.T) {
-	w := newWorld(t, site{targets: 2})
-	for _, e := range several(w, 3) {
+	w := newWorld(t, worldConfig{targets: 2})
+	for _, e := range startEntries(w, 3) {
 		b := *e.bounds.Load()
 		b.Grace = 6 * time.Second
 		e.bounds.Store(&b)
@@ -107,8 +107,8 @@
 
 // lastReader returns the entry with the lowest rank among the readers of a resource. The
 // store stops responding to all other entries.
-func (w *world) lastReader(entries []*entry, d duty) (last *entry) {
-	readers := ranked(entries, d)
+func (w *world) lastReader(entries []*entry, d resource) (last *entry) {
+	readers := byReaderRank(entries, d)
 	last = readers[len(readers)-1]
 	cut := make(map[string]bool)
 	for _, e := range readers[:len(readers)-1] {
@@ -122,13 +122,13 @@
 // moves a route. The tenth entry has callers and still reaches the store, so it must apply
 // the configuration within the bound.
 func TestEntryWithCallersAppliesConfigurationInTime(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	last := w.lastReader(several(w, 10), dutyConfig)
-	time.Sleep(patience[dutyConfig].wait) // until no watch is open
-	w.configure(site{})
+	w := newWorld(t, worldConfig{targets: 1})
+	last := w.lastReader(startEntries(w, 10), resourceConfig)
+	time.Sleep(readSchedule[resourceConfig].wait) // until no watch is open
+	w.configure(worldConfig{})
 	acknowledged := time.Now()
 	for int(last.version()) != w.version {
-		w.c.Assert(time.Since(acknowledged) < apply, qt.IsTrue, qt.Commentf("%v", time.Since(acknowledged)))
+		w.c.Assert(time.Since(acknowledged) < applyBound, qt.IsTrue, qt.Commentf("%v", time.Since(acknowledged)))
 		w.c.Assert(last.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 	}
 }
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -40,13 +40,13 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, site{targets: 3})
+			w := newWorld(t, worldConfig{targets: 3})
 			for _, k := range w.workers {
 				k.Work(5 * time.Millisecond)
 				k.Slots = 8
-				w.record(k, "gowns", "ready")
+				w.writeTarget(k, "gowns", "ready")
 			}
-			entries := several(w, tt.entries)
+			entries := startEntries(w, tt.entries)
 			stop := w.callContinuously(t.Context(), entries, 2)
 			time.Sleep(time.Second)
 			named := time.Now()
@@ -56,7 +56,7 @@
 			time.Sleep(load)
 			replies := stop()
 			for i, k := range w.workers[:tt.limited] {
-				n := densest(k.Runs(), named.Add(limitDelay), limitWindow)
+				n := maxRunsWithin(k.Runs(), named.Add(limitDelay), limitWindow)
 				w.c.Check(n <= maxLimited(tt.rate), qt.IsTrue, qt.Commentf("target %d got %d in %v, allowed %d", i, n, limitWindow, maxLimited(tt.rate)))
 				used := runsSince(k.Runs(), named)
 				w.c.Check(float64(used) >= tt.rate*load.Seconds()/4, qt.IsTrue, qt.Commentf("target %d got %d in %v", i, used, load))
@@ -69,7 +69,7 @@
 				}
 			}
 			if tt.limited < len(w.workers) {
-				w.c.Check(refusals503(replies), qt.Equals, 0)
+				w.c.Check(countUnavailable(replies), qt.Equals, 0)
 			}
 		})
 	}
@@ -78,13 +78,13 @@
 // A limit ends while entries without a share of it send nothing to the target. They must
 // detect the end by load probes, and the target must get its usual part of the requests.
 func TestLimitEnds(t *testing.T) {
-	w := newWorld(t, site{targets: 2})
+	w := newWorld(t, worldConfig{targets: 2})
 	for _, k := range w.workers {
 		k.Work(5 * time.Millisecond)
 		k.Slots = 8
-		w.record(k, "gowns", "ready")
+		w.writeTarget(k, "gowns", "ready")
 	}
-	entries := several(w, 6)
+	entries := startEntries(w, 6)
 	one, other := w.workers[0], w.workers[1]
 	one.Limit("0.5")
 	stop := w.callContinuously(t.Context(), entries, 2)
@@ -105,11 +105,11 @@
 
 // callContinuously runs a number of callers at each entry, each with one request after the
 // other, until stop is called. stop returns all responses.
-func (w *world) callContinuously(ctx context.Context, entries []*entry, callers int) (stop func() []reply) {
+func (w *world) callContinuously(ctx context.Context, entries []*entry, callers int) (stop func() []callResult) {
 	ctx, cancel := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	var replies []reply
+	var replies []callResult
 	for i, e := range entries {
 		for caller := range callers {
 			all.Go(func() {
@@ -123,7 +123,7 @@
 			})
 		}
 	}
-	return func() []reply {
+	return func() []callResult {
 		cancel()
 		all.Wait()
 		return replies
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -18,34 +18,34 @@
 	// exchangeTimeout is how long an answer may take. The latency between entries is a
 	// few milliseconds, and a VM that has used up its CPU quota is paused for up to
 	// 100 ms.
-	askTime = 200 * time.Millisecond
+	exchangeTimeout = 200 * time.Millisecond
 	// indirectPingTimeout is how long a ping through another entry may take.
-	reachTime = 250 * time.Millisecond
+	indirectPingTimeout = 250 * time.Millisecond
 	// suspicionTimeout is the time that a suspect has to refute the suspicion, among
 	// 16 entries. Callers are sent elsewhere meanwhile.
-	suspicionTime = 600 * time.Millisecond
+	suspicionTimeout = 600 * time.Millisecond
 	// deadRetention is how long a dead entry is contacted again, so that a VM that was
 	// cut off or frozen for a while gets what it missed as soon as it is back.
-	forgetAfter = 2 * time.Minute
+	deadRetention = 2 * time.Minute
 	// leftRetention is how long a stopped entry is remembered, so that a late message
 	// about it doesn't revive it.
-	leftAfter = time.Minute
+	leftRetention = time.Minute
 	// isolationTimeout is how long an entry receives nothing from any other before it
 	// counts as cut off: several rounds.
-	aloneAfter = 4 * roundPeriod
+	isolationTimeout = 4 * roundPeriod
 )
 
 const (
 	// gossipFanOut is the number of entries that a change is sent to at once. With
 	// three, 94 in 100 entries receive it that way and the rest in the next round.
-	fanOut = 3
+	gossipFanOut = 3
 	// maxEntryBytes is the size limit of the entries in a packet, beside its other parts.
-	messageRoom = 900
+	maxEntryBytes = 900
 	// bulkFetchBuckets is the least number of differing buckets, of 64, at which all
 	// members are fetched from the other entry: a message has room for few buckets.
-	bulkBuckets = 8
+	bulkFetchBuckets = 8
 	// maxOwnerCounts is the number of hosts whose owner counts fit into a message.
-	maxNumbers = 8
+	maxOwnerCounts = 8
 )
 
 // memberConfig returns the configuration of the membership table.
@@ -55,8 +55,8 @@
 			ID: member.ID{Name: g.self.Name, Boot: g.self.Boot}, Since: g.started, CallerAddress: g.self.CallerAddress, PeerAddress: g.self.PeerAddress,
 			Place: g.self.Place, Region: g.self.Region, Capacity: g.self.Capacity,
 		},
-		Seeds: g.otherSeeds(), Period: roundPeriod, ExchangeTimeout: askTime, RelayTimeout: reachTime, SuspicionTimeout: suspicionTime,
-		DeadRetention: forgetAfter, LeftRetention: leftAfter, FanOut: fanOut, MaxEntryBytes: messageRoom, BulkThreshold: bulkBuckets, ExclusiveName: true,
+		Seeds: g.otherSeeds(), Period: roundPeriod, ExchangeTimeout: exchangeTimeout, RelayTimeout: indirectPingTimeout, SuspicionTimeout: suspicionTimeout,
+		DeadRetention: deadRetention, LeftRetention: leftRetention, FanOut: gossipFanOut, MaxEntryBytes: maxEntryBytes, BulkThreshold: bulkFetchBuckets, ExclusiveName: true,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
@@ -72,46 +72,46 @@
 }
 
 // isSeed reports whether this entry is one of the seeds that others contact at their start.
-func (g *Gateway) seed() bool {
+func (g *Gateway) isSeed() bool {
 	return len(g.otherSeeds()) < len(g.cfg.Settings.Seeds)
 }
 
 // pendingExchange is an exchange that waits for its answer.
-type awaited struct {
+type pendingExchange struct {
 	exchange uint64
-	until    time.Time
+	deadline time.Time
 }
 
 // handleEvent passes an event to the membership table and performs the resulting actions.
-func (c *control) drive(now time.Time, ev member.Event) {
+func (c *control) handleEvent(now time.Time, ev member.Event) {
 	for _, a := range c.members.Handle(now, ev) {
-		c.act(now, a)
+		c.perform(now, a)
 	}
 }
 
 // handleRequest passes another entry's message to the membership table and answers it.
-func (c *control) reply(now time.Time, p relay.Packet, from string) {
+func (c *control) handleRequest(now time.Time, p relay.Packet, from string) {
 	for _, a := range c.members.Handle(now, member.Request{Message: p.Message}) {
 		if r, ok := a.(member.Reply); ok {
 			c.send(from, c.packet(now, relay.Answer, p.Exchange, r.Message))
 			continue
 		}
-		c.act(now, a)
+		c.perform(now, a)
 	}
 }
 
-func (c *control) act(now time.Time, a member.Action) {
+func (c *control) perform(now time.Time, a member.Action) {
 	switch a := a.(type) {
 	case member.Send:
-		c.awaits = append(c.awaits, awaited{a.ExchangeID, now.Add(a.Timeout)})
+		c.pending = append(c.pending, pendingExchange{a.ExchangeID, now.Add(a.Timeout)})
 		c.send(a.To.Address, c.packet(now, relay.Ask, a.ExchangeID, a.Message))
 	case member.IndirectPing:
-		c.awaits = append(c.awaits, awaited{a.ExchangeID, now.Add(a.Timeout)})
+		c.pending = append(c.pending, pendingExchange{a.ExchangeID, now.Add(a.Timeout)})
 		c.send(a.Via.Address, relay.Packet{Kind: relay.Reach, Exchange: a.ExchangeID, Target: a.Peer.Address})
 	case member.ViewChanged:
-		c.roll = nil
-		c.named()
-		c.hearShut(now)
+		c.liveEntries = nil
+		c.updateIdentity()
+		c.noteReportedFailures(now)
 	case member.Fetch:
 		c.fetch(now, a.From.Address)
 	case member.RumoursReceived:
@@ -125,7 +125,7 @@
 
 func (c *control) packet(now time.Time, kind relay.Kind, exchange uint64, m member.Message) relay.Packet {
 	return relay.Packet{
-		Kind: kind, Exchange: exchange, Message: m, Knowledge: c.knowledge(now), Numbers: c.numbers.TakeUnsent(maxNumbers, len(m.BucketDigests) > 0 || m.Join),
+		Kind: kind, Exchange: exchange, Message: m, Knowledge: c.knowledge(now), Numbers: c.gossipedCounts.TakeUnsent(maxOwnerCounts, len(m.BucketDigests) > 0 || m.Join),
 	}
 }
 
@@ -133,8 +133,8 @@
 func (c *control) knowledge(now time.Time) relay.Knowledge {
 	return relay.Knowledge{
 		Config: c.config.Version, Targets: c.targets.LastChange(), Evacuations: c.evacuations.LastChange(),
-		ConfigAge: now.Sub(c.confirmed[dutyConfig]), TargetsAge: now.Sub(c.confirmed[dutyTargets]),
-		EvacuationsAge: now.Sub(c.confirmed[dutyEvacuations]),
+		ConfigAge: now.Sub(c.confirmed[resourceConfig]), TargetsAge: now.Sub(c.confirmed[resourceTargets]),
+		EvacuationsAge: now.Sub(c.confirmed[resourceEvacuations]),
 	}
 }
 
@@ -146,41 +146,41 @@
 
 // runTimers handles the timers that are due: exchanges without an answer, membership rounds
 // and pulls.
-func (c *control) rounds(now time.Time) {
-	kept := c.awaits[:0]
+func (c *control) runTimers(now time.Time) {
+	kept := c.pending[:0]
 	var expired []uint64
-	for _, a := range c.awaits {
-		if now.Before(a.until) {
+	for _, a := range c.pending {
+		if now.Before(a.deadline) {
 			kept = append(kept, a)
 		} else {
 			expired = append(expired, a.exchange)
 		}
 	}
-	c.awaits = kept
+	c.pending = kept
 	for _, exchange := range expired {
-		c.drive(now, member.ExchangeFailed{ExchangeID: exchange})
+		c.handleEvent(now, member.ExchangeFailed{ExchangeID: exchange})
 	}
 	if !now.Before(c.members.Next()) {
-		c.drive(now, member.Tick{})
+		c.handleEvent(now, member.Tick{})
 	}
 	if at, ok := c.nextPull(); ok && !now.Before(at) {
-		c.pullMore(now)
+		c.pullNewest(now)
 	}
 }
 
 // nextPull returns when to pull from another entry if the current one doesn't answer; ok is
 // false if there is nothing to pull from another one.
 func (c *control) nextPull() (at time.Time, ok bool) {
-	ok = c.pulling != "" && c.newestAt != c.pulling && c.lacks(c.newest)
-	return c.pullAt.Add(pullPatience), ok
+	ok = c.pullSource != "" && c.newestSource != c.pullSource && c.lacks(c.newestKnowledge)
+	return c.pullStarted.Add(pullExclusiveTime), ok
 }
 
 // nextTimer returns the time of the next timer.
-func (c *control) next() time.Time {
+func (c *control) nextTimer() time.Time {
 	at := c.members.Next()
-	for _, a := range c.awaits {
-		if a.until.Before(at) {
-			at = a.until
+	for _, a := range c.pending {
+		if a.deadline.Before(at) {
+			at = a.deadline
 		}
 	}
 	if pull, ok := c.nextPull(); ok && pull.Before(at) {
@@ -189,67 +189,67 @@
 	return at
 }
 
-func (c *control) answered(exchange uint64) {
-	for i, a := range c.awaits {
+func (c *control) removePending(exchange uint64) {
+	for i, a := range c.pending {
 		if a.exchange == exchange {
-			c.awaits = append(c.awaits[:i], c.awaits[i+1:]...)
+			c.pending = append(c.pending[:i], c.pending[i+1:]...)
 			return
 		}
 	}
 }
 
 // packetReceived is a packet of another entry.
-type packetHeard struct {
+type packetReceived struct {
 	packet relay.Packet
 	from   string
 }
 
-func (m packetHeard) apply(now time.Time, c *control) {
+func (m packetReceived) apply(now time.Time, c *control) {
 	p := m.packet
 	switch p.Kind {
 	case relay.Ask:
-		c.waits(m.from, p.Knowledge)
-		c.reply(now, p, m.from)
+		c.noteWaitingPeer(m.from, p.Knowledge)
+		c.handleRequest(now, p, m.from)
 	case relay.Answer:
-		c.answered(p.Exchange)
-		c.drive(now, member.Response{ExchangeID: p.Exchange, Message: p.Message})
+		c.removePending(p.Exchange)
+		c.handleEvent(now, member.Response{ExchangeID: p.Exchange, Message: p.Message})
 	case relay.Reached:
-		c.answered(p.Exchange)
-		c.drive(now, member.IndirectAck{ExchangeID: p.Exchange, ID: p.ID})
+		c.removePending(p.Exchange)
+		c.handleEvent(now, member.IndirectAck{ExchangeID: p.Exchange, ID: p.ID})
 		return
 	case relay.Loads:
-		c.loads[p.ID.Name] = rateReport{now, p.Loads}
+		c.rateReports[p.ID.Name] = rateReport{now, p.Loads}
 		return
 	case relay.Suspects:
 		c.receiveSuspects(now, p.ID.Name, p.Suspects)
 		return
 	}
 	for _, n := range p.Numbers {
-		if c.numbers.Merge(n) {
-			c.recount = true
+		if c.gossipedCounts.Merge(n) {
+			c.ownerCountsChanged = true
 		}
 	}
-	c.knows(now, m.from, p.Knowledge)
+	c.receiveKnowledge(now, m.from, p.Knowledge)
 }
 
 // reportCondition advertises whether this entry is overloaded or the store is unavailable.
-func (c *control) feel(now time.Time) {
-	c.drive(now, member.SetCondition{Condition: member.Condition{Overloaded: c.strain.overloaded(now), StoreUnavailable: c.shut}})
+func (c *control) reportCondition(now time.Time) {
+	c.handleEvent(now, member.SetCondition{Condition: member.Condition{Overloaded: c.overload.overloaded(now), StoreUnavailable: c.storeUnavailable}})
 }
 
 // leaveStarted is sent when this entry begins to stop.
-type leaves struct{}
+type leaveStarted struct{}
 
-func (leaves) apply(now time.Time, c *control) { c.drive(now, member.Leave{}) }
+func (leaveStarted) apply(now time.Time, c *control) { c.handleEvent(now, member.Leave{}) }
 
 // departed is sent when this entry has served its last request.
-type departs struct{}
+type departed struct{}
 
-func (departs) apply(now time.Time, c *control) { c.drive(now, member.Depart{}) }
+func (departed) apply(now time.Time, c *control) { c.handleEvent(now, member.Depart{}) }
 
 // updateIdentity stores the identity of this run. It changes if other entries know a later
 // start of this entry, from before its clock went back.
-func (c *control) named() {
+func (c *control) updateIdentity() {
 	id := c.members.Self()
 	c.gateway.selfID.Store(&id)
 }
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -13,7 +13,7 @@
 
 // startFleet starts entries with the membership timing of a gateway, in virtual time, and waits
 // until all know each other.
-func hundreds(c testing.TB, entries int, seed uint64) *fleet.Fleet {
+func startFleet(c testing.TB, entries int, seed uint64) *fleet.Fleet {
 	cfg := (&Gateway{}).memberConfig()
 	f := fleet.New(fleet.Config{Entries: entries, Places: 5, Regions: 1, Seed: seed, Near: 900 * time.Microsecond, Member: cfg})
 	f.BootAll()
@@ -24,7 +24,7 @@
 }
 
 // noneUsed reports whether no entry sends callers to any of the lost ones.
-func unused(f *fleet.Fleet, lost []*fleet.Node) func() bool {
+func noneUsed(f *fleet.Fleet, lost []*fleet.Node) func() bool {
 	return func() bool {
 		return f.All(func(_ *fleet.Node, v member.View) bool {
 			for _, n := range lost {
@@ -56,7 +56,7 @@
 			t.Run(fmt.Sprint(tt.name, "/", entries), func(t *testing.T) {
 				t.Parallel()
 				c := qt.New(t)
-				f := hundreds(c, entries, 1)
+				f := startFleet(c, entries, 1)
 				var lost []*fleet.Node
 				for i, n := range f.Nodes {
 					if tt.lost(f, i) {
@@ -64,7 +64,7 @@
 						f.Lose(n)
 					}
 				}
-				took := f.RunUntil(5*time.Second, unused(f, lost))
+				took := f.RunUntil(5*time.Second, noneUsed(f, lost))
 				c.Logf("%d of %d lost: noticed everywhere after %v", len(lost), entries, took)
 				c.Assert(took <= bound, qt.IsTrue, qt.Commentf("%v", took))
 				c.Assert(f.RunUntil(2*time.Second, f.Agreed) < 2*time.Second, qt.IsTrue)
@@ -77,7 +77,7 @@
 // other again within seconds.
 func TestHundredsStartAgain(t *testing.T) {
 	c := qt.New(t)
-	f := hundreds(c, 472, 2)
+	f := startFleet(c, 472, 2)
 	for _, n := range f.Nodes {
 		f.Lose(n)
 	}
@@ -89,12 +89,12 @@
 }
 
 // The traffic of an entry must not depend on the number of entries.
-func TestCostOfMembership(t *testing.T) {
+func TestMembershipTraffic(t *testing.T) {
 	var rate []float64
 	for _, entries := range []int{30, 472} {
-		f := hundreds(t, entries, 3)
+		f := startFleet(t, entries, 3)
 		f.Run(time.Second)
-		perSecond, _ := quiet(f, 4*time.Second)
+		perSecond, _ := measureIdle(f, 4*time.Second)
 		t.Logf("%d entries: %.0f bytes a second each, both ways", entries, perSecond)
 		rate = append(rate, perSecond)
 	}
@@ -105,7 +105,7 @@
 
 // measureIdle runs a fleet without events. It returns the bytes a second and the CPU time of
 // decisions and codec in us a second, both per entry.
-func quiet(f *fleet.Fleet, span time.Duration) (bytes, busy float64) {
+func measureIdle(f *fleet.Fleet, span time.Duration) (bytes, busy float64) {
 	count := func() (b, t float64) {
 		for _, n := range f.Nodes {
 			b += float64(n.Traffic.In + n.Traffic.Out)
@@ -126,9 +126,9 @@
 	for _, entries := range []int{30, 120, 472, 2000} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			for b.Loop() {
-				f := hundreds(b, entries, 3)
+				f := startFleet(b, entries, 3)
 				f.Run(time.Second)
-				bytes, busy := quiet(f, 4*time.Second)
+				bytes, busy := measureIdle(f, 4*time.Second)
 				b.ReportMetric(bytes, "B/s")
 				b.ReportMetric(busy, "us/s")
 				b.ReportMetric(0, "ns/op")
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -24,39 +24,39 @@
 // off learns of failed calls just when it is connected again, its own or those of others that
 // were cut off as well, and gets current data within 0.3 s of that. In a real outage all
 // entries know of the first failed call after 2 s, and no record expires before 3 s.
-const failTime = 500 * time.Millisecond
+const minOutage = 500 * time.Millisecond
 
 // noteStoreFailure records a failed call to the store, by this entry or another one.
-func (c *control) fails(now time.Time) {
-	if c.failing.IsZero() && !c.isolated(now) {
-		c.failing = now
+func (c *control) noteStoreFailure(now time.Time) {
+	if c.storeFailingSince.IsZero() && !c.isolated(now) {
+		c.storeFailingSince = now
 	}
 }
 
 // noteStoreAnswer records that the store answered at that time.
-func (c *control) answers(at time.Time) {
-	if at.After(c.failing) {
-		c.failing = time.Time{}
+func (c *control) noteStoreAnswer(at time.Time) {
+	if at.After(c.storeFailingSince) {
+		c.storeFailingSince = time.Time{}
 	}
 }
 
 // clearLocalFailure drops a recorded failure if this entry is isolated, since its own network
 // explains the failure.
-func (c *control) excuse(now time.Time) {
-	if !c.failing.IsZero() && c.isolated(now) {
-		c.failing = time.Time{}
+func (c *control) clearLocalFailure(now time.Time) {
+	if !c.storeFailingSince.IsZero() && c.isolated(now) {
+		c.storeFailingSince = time.Time{}
 	}
 }
 
 // noteReportedFailures records a failure if another entry reports that the store doesn't
 // serve it.
-func (c *control) hearShut(now time.Time) {
-	if !c.failing.IsZero() {
+func (c *control) noteReportedFailures(now time.Time) {
+	if !c.storeFailingSince.IsZero() {
 		return
 	}
 	for e := range c.members.Entries() {
 		if e.StoreUnavailable && e.State == member.Alive && e.ID.Name != c.gateway.self.Name {
-			c.fails(now)
+			c.noteStoreFailure(now)
 			return
 		}
 	}
@@ -64,22 +64,22 @@
 
 // usableTargets returns the targets with a record and the vanished ones that are kept after an
 // outage or a restore of the store.
-func (c *control) usable(now time.Time) map[string]roster.Item[slot.Target] {
-	return inForce(now, c.targets, c.lapses, c.restored)
+func (c *control) usableTargets(now time.Time) map[string]roster.Item[slot.Target] {
+	return effectiveItems(now, c.targets, c.vanishedTargets, c.restoredAt)
 }
 
 // changeTargets applies a change of the targets, and keeps vanished ones after an outage or a
 // restore of the store.
-func (c *control) change(now time.Time, apply func() (changed bool)) (changed bool) {
+func (c *control) changeTargets(now time.Time, apply func() (changed bool)) (changed bool) {
 	before, revision := c.targets.Items(), c.targets.Revision()
 	if !apply() {
 		return false
 	}
 	restored := c.targets.Revision().Epoch() != revision.Epoch() && revision > 0
 	if restored {
-		c.restore(now, revision, c.targets.Revision(), differences(before, c.targets.Items()))
+		c.noteRestore(now, revision, c.targets.Revision(), countDifferences(before, c.targets.Items()))
 	}
-	c.dirty, c.believed.newer = true, true
+	c.servicesStale, c.logged.targetsChanged = true, true
 	c.targets.PruneDeletions()
 	var kept []string
 	for name, it := range before {
@@ -87,9 +87,9 @@
 			continue
 		}
 		if restored {
-			c.lapses.MissingFromCopy(now, it)
+			c.vanishedTargets.MissingFromCopy(now, it)
 		}
-		if restored || c.lapses.Removed(now, it) {
+		if restored || c.vanishedTargets.Removed(now, it) {
 			kept = append(kept, name)
 		}
 	}
@@ -101,12 +101,12 @@
 
 // noteStoreReturn records the end of an outage, where the store answered again at that time.
 // The first answers may hold no change: records expire some tenths of a second later.
-func (c *control) returned(now, at time.Time) {
-	if c.failing.IsZero() || now.Sub(c.failing) < failTime || c.confirmed[dutyTargets].IsZero() {
+func (c *control) noteStoreReturn(now, at time.Time) {
+	if c.storeFailingSince.IsZero() || now.Sub(c.storeFailingSince) < minOutage || c.confirmed[resourceTargets].IsZero() {
 		return
 	}
-	gap := at.Sub(c.confirmed[dutyTargets])
-	if c.lapses.StoreAnswered(now, gap) {
+	gap := at.Sub(c.confirmed[resourceTargets])
+	if c.vanishedTargets.StoreAnswered(now, gap) {
 		c.gateway.log.WithField("gap", gap.Milliseconds()).Warn("store was away, records that vanish are awaited")
 	}
 }
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -23,12 +23,12 @@
 func TestRemovedTargetIsKeptOnlyAfterAnOutage(t *testing.T) {
 	const late = roster.OutageAge + 500*time.Millisecond
 	const back = late - 100*time.Millisecond // when the connection to the others is back
-	failed := storeAnswered{errors.New("no answer")}
+	failed := readFinished{errors.New("no answer")}
 	read := func(asked time.Time) message {
-		return targetsChanged{changes: []roster.Change[slot.Target]{removed("gone", 20)}, at: 20, asked: asked}
+		return targetsChanged{changes: []roster.Change[slot.Target]{removed("gone", 20)}, revision: 20, askedAt: asked}
 	}
 	pulled := func(asked time.Time) message {
-		return newsPulled{asked: asked, news: relay.News{
+		return pullResult{askedAt: asked, news: relay.News{
 			Targets: relay.Changed, Changes: []roster.Change[slot.Target]{removed("gone", 20)}, At: 20, Moved: 20,
 		}}
 	}
@@ -49,65 +49,65 @@
 		{"others report that the store doesn't serve them", func(c *control, from time.Time) {
 			unserved := peerEntry("unserved")
 			unserved.StoreUnavailable = true
-			c.drive(from.Add(time.Second), member.Fetched{Entries: []member.Entry{unserved}})
+			c.handleEvent(from.Add(time.Second), member.Fetched{Entries: []member.Entry{unserved}})
 			c.live()
 		}, read, true},
 		{"own calls failed, then the store answered another entry", func(c *control, from time.Time) {
 			failed.apply(from.Add(100*time.Millisecond), c)
-			c.knows(from.Add(300*time.Millisecond), "127.0.0.1:2", relay.Knowledge{Targets: 10})
+			c.receiveKnowledge(from.Add(300*time.Millisecond), "127.0.0.1:2", relay.Knowledge{Targets: 10})
 		}, read, false},
 		{"own calls failed, and all pass on the store's last confirmation", func(c *control, from time.Time) {
 			failed.apply(from.Add(50*time.Millisecond), c)
 			for at := from.Add(roundPeriod); at.Before(from.Add(late)); at = at.Add(roundPeriod / 2) {
 				// The transfer to the next entry takes 10 ms, which the age doesn't include.
-				age := at.Sub(c.confirmed[dutyTargets]) - 10*time.Millisecond
-				c.knows(at, "127.0.0.1:2", relay.Knowledge{Targets: 10, TargetsAge: age})
+				age := at.Sub(c.confirmed[resourceTargets]) - 10*time.Millisecond
+				c.receiveKnowledge(at, "127.0.0.1:2", relay.Knowledge{Targets: 10, TargetsAge: age})
 			}
 		}, read, true},
 		{"own calls failed, and at first nothing has changed on the store's return", func(c *control, from time.Time) {
 			failed.apply(from.Add(time.Second), c)
-			c.knows(from.Add(late-200*time.Millisecond), "127.0.0.1:2", relay.Knowledge{Targets: 10})
+			c.receiveKnowledge(from.Add(late-200*time.Millisecond), "127.0.0.1:2", relay.Knowledge{Targets: 10})
 		}, read, true},
 		{"cut off from the store and from all others", func(c *control, from time.Time) {
 			c.addLive(from, "unheard")
 			failed.apply(from.Add(400*time.Millisecond), c)
-			c.tick(from.Add(aloneAfter + tickPeriod))
+			c.tick(from.Add(isolationTimeout + tickInterval))
 			failed.apply(from.Add(2*time.Second), c)
 		}, pulled, false},
 		{"cut off until all others count as dead", func(c *control, from time.Time) {
 			c.addLive(from, "unheard")
 			for at := from; at.Before(from.Add(late)); at = at.Add(roundPeriod) {
-				c.rounds(at)
+				c.runTimers(at)
 				c.tick(at)
 			}
-			failed.apply(from.Add(late-failTime), c)
+			failed.apply(from.Add(late-minOutage), c)
 		}, pulled, false},
 		{"cut off, a call from then fails when the connection is back", func(c *control, from time.Time) {
 			c.addLive(from, "unheard")
-			c.tick(from.Add(aloneAfter + tickPeriod))
-			c.drive(from.Add(back), messageFrom("unheard"))
+			c.tick(from.Add(isolationTimeout + tickInterval))
+			c.handleEvent(from.Add(back), messageFrom("unheard"))
 			failed.apply(from.Add(back), c)
 		}, pulled, false},
 		{"cut off, others that were too report failed calls when the connection is back", func(c *control, from time.Time) {
 			c.addLive(from, "unheard")
-			c.tick(from.Add(aloneAfter + tickPeriod))
-			c.drive(from.Add(back), messageFrom("unheard"))
+			c.tick(from.Add(isolationTimeout + tickInterval))
+			c.handleEvent(from.Add(back), messageFrom("unheard"))
 			unserved := peerEntry("unserved")
 			unserved.StoreUnavailable = true
-			c.drive(from.Add(back), member.Fetched{Entries: []member.Entry{unserved}})
+			c.handleEvent(from.Add(back), member.Fetched{Entries: []member.Entry{unserved}})
 		}, pulled, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := parkedControl(t)
 			from := c.started
-			targetsListed{items: []roster.Item[slot.Target]{item("gone", 9), item("stays", 10)}, at: 10, asked: from}.apply(from, c)
+			targetsListed{items: []roster.Item[slot.Target]{item("gone", 9), item("stays", 10)}, revision: 10, askedAt: from}.apply(from, c)
 			if tt.since != nil {
 				tt.since(c, from)
 			}
 			received := from.Add(late)
 			tt.event(received).apply(received, c)
-			_, kept := c.usable(received.Add(time.Millisecond))["gone"]
+			_, kept := c.usableTargets(received.Add(time.Millisecond))["gone"]
 			qt.Assert(t, kept, qt.Equals, tt.kept)
 		})
 	}
@@ -116,17 +116,17 @@
 // A target reports that it is leaving, and its record is gone after an outage of the store. It must
 // get no requests during the outage. After it, the target must not be kept, unlike targets whose
 // records only expired.
-func TestLeavingTargetIsNotAwaited(t *testing.T) {
+func TestLeavingTargetNotKeptAfterOutage(t *testing.T) {
 	c := parkedControl(t)
 	from := c.started
 	leaving := item("leaving", 9)
 	leaving.Value.Leaving = true
-	targetsListed{items: []roster.Item[slot.Target]{leaving, item("expires", 8), item("stays", 10)}, at: 10, asked: from}.apply(from, c)
-	storeAnswered{errors.New("no answer")}.apply(from.Add(time.Second), c)
-	qt.Assert(t, c.usable(from.Add(2 * time.Second))["leaving"].Value.Leaving, qt.IsTrue)
+	targetsListed{items: []roster.Item[slot.Target]{leaving, item("expires", 8), item("stays", 10)}, revision: 10, askedAt: from}.apply(from, c)
+	readFinished{errors.New("no answer")}.apply(from.Add(time.Second), c)
+	qt.Assert(t, c.usableTargets(from.Add(2 * time.Second))["leaving"].Value.Leaving, qt.IsTrue)
 	back := from.Add(4 * time.Second)
-	targetsListed{items: []roster.Item[slot.Target]{item("stays", 10)}, at: 20, asked: back}.apply(back, c)
-	usable := c.usable(back.Add(time.Millisecond))
+	targetsListed{items: []roster.Item[slot.Target]{item("stays", 10)}, revision: 20, askedAt: back}.apply(back, c)
+	usable := c.usableTargets(back.Add(time.Millisecond))
 	_, expired := usable["expires"]
 	qt.Assert(t, expired, qt.IsTrue)
 	_, left := usable["leaving"]
@@ -136,12 +136,12 @@
 // The store stops answering for just as long as records take to expire. Afterwards its list lacks
 // targets that work, and callers are refused if these are dropped. An entry must detect the failure
 // by then: the first call without an answer counts, not only the last one of several.
-func TestSilentStoreIsSeenToFail(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	e := w.entry("a").settled()
+func TestSilentStoreDetected(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 1})
+	e := w.startEntry("a").waitReady()
 	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Silent: true} })
 	began := time.Now()
-	w.until("the store unavailable", func() bool {
+	w.waitFor("the store unavailable", func() bool {
 		e.freshness.mu.Lock()
 		defer e.freshness.mu.Unlock()
 		return e.freshness.storeUnavailable
--- a/internal/gateway/parked_test.go
+++ b/internal/gateway/parked_test.go
@@ -12,8 +12,8 @@
 // parkedControl returns the control loop of an entry that does not run, so that the test
 // controls which messages it receives and when.
 func parkedControl(t *testing.T) *control {
-	w := newWorld(t, site{})
-	g := w.gateway("parked", 1)
+	w := newWorld(t, worldConfig{})
+	g := w.newGateway("parked", 1)
 	t.Cleanup(g.relay.Close)
 	t.Cleanup(g.closeListeners)
 	return g.control
@@ -25,7 +25,7 @@
 	for _, name := range names {
 		list = append(list, peerEntry(name))
 	}
-	c.drive(now, member.Fetched{Entries: list})
+	c.handleEvent(now, member.Fetched{Entries: list})
 }
 
 func peerEntry(name string) member.Entry {
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -19,10 +19,10 @@
 
 // News returns what another entry lacks.
 func (c *control) News(ctx context.Context, have relay.Have) (n relay.News, err error) {
-	m := newsAsked{have: have, answer: make(chan relay.News, 1)}
-	c.tell(ctx, m)
+	m := newsRequest{have: have, reply: make(chan relay.News, 1)}
+	c.enqueue(ctx, m)
 	select {
-	case n = <-m.answer:
+	case n = <-m.reply:
 		return n, nil
 	case <-ctx.Done():
 		return n, errors.WithMessage(ctx.Err(), "control")
@@ -30,30 +30,30 @@
 }
 
 // newsRequest is another entry's pull.
-type newsAsked struct {
-	have   relay.Have
-	answer chan relay.News
+type newsRequest struct {
+	have  relay.Have
+	reply chan relay.News
 }
 
-func (m newsAsked) apply(now time.Time, c *control) {
+func (m newsRequest) apply(now time.Time, c *control) {
 	var n relay.News
 	if m.have.Config < c.config.Version {
-		n.Config = c.raw
+		n.Config = c.configData
 	}
 	if m.have.Targets < c.targets.LastChange() {
-		n.At, n.Moved, n.Age = c.targets.Revision(), c.targets.LastChange(), now.Sub(c.confirmed[dutyTargets])
+		n.At, n.Moved, n.Age = c.targets.Revision(), c.targets.LastChange(), now.Sub(c.confirmed[resourceTargets])
 		n.Targets, n.Changes = c.targetsSince(m.have.Targets)
 	}
 	if m.have.Evacuations < c.evacuations.LastChange() {
 		n.Evacuations = &relay.Evacuations{
 			List: slices.Collect(maps.Values(c.evacuations.Items())), At: c.evacuations.Revision(), Moved: c.evacuations.LastChange(),
-			Age: now.Sub(c.confirmed[dutyEvacuations]),
+			Age: now.Sub(c.confirmed[resourceEvacuations]),
 		}
 	}
 	if m.have.Entries {
 		n.Entries = c.members.EntriesMissingFrom(m.have.Known)
 	}
-	m.answer <- n
+	m.reply <- n
 }
 
 // targetsSince returns the changes of targets since a revision, or the full list if the
@@ -70,23 +70,23 @@
 }
 
 // confirm records that the store confirmed at that time that there is nothing newer.
-func (c *control) confirm(now time.Time, r duty, at time.Time) {
+func (c *control) confirm(now time.Time, r resource, at time.Time) {
 	if !at.After(c.confirmed[r]) {
 		return
 	}
-	if r == dutyTargets {
-		c.returned(now, at)
-		c.answers(at)
+	if r == resourceTargets {
+		c.noteStoreReturn(now, at)
+		c.noteStoreAnswer(at)
 	}
 	if c.confirmed[r].IsZero() {
-		c.dirty = true
+		c.servicesStale = true
 	}
 	c.confirmed[r] = at
 }
 
 // age returns the time since the store last confirmed a resource, or since the start if it
 // never has.
-func (c *control) age(now time.Time, r duty) time.Duration {
+func (c *control) age(now time.Time, r resource) time.Duration {
 	if c.confirmed[r].IsZero() {
 		return now.Sub(c.started)
 	}
@@ -95,13 +95,13 @@
 
 // unconfirmedAge is the least age at which another entry's copy counts as never confirmed:
 // longer than any outage, and shorter than the time since any clock's zero.
-const neverAge = 24 * time.Hour
+const unconfirmedAge = 24 * time.Hour
 
 // confirmFromPeer records another entry's confirmation, sent at that time or later, of a
 // version that both have. Entries that have just started have none and have not asked the
 // store. If their advertised ages counted as confirmations, none of them would ask it.
-func (c *control) vouched(now, sentAt time.Time, r duty, age time.Duration) {
-	if age < neverAge {
+func (c *control) confirmFromPeer(now, sentAt time.Time, r resource, age time.Duration) {
+	if age < unconfirmedAge {
 		c.confirm(now, r, sentAt.Add(-age))
 	}
 }
@@ -111,63 +111,63 @@
 // 0.5 s: 36 of 113 gateways waited that long for one that was cut off, and meanwhile sent
 // requests to targets that had left. An answer takes 20 ms, and up to 0.2 s when all
 // entries start at once.
-const pullPatience = 200 * time.Millisecond
+const pullExclusiveTime = 200 * time.Millisecond
 
 // pull requests from another entry what this one lacks.
 func (c *control) pull(now time.Time, from string) {
-	if c.pulling == from || c.pulling != "" && now.Sub(c.pullAt) < pullPatience {
+	if c.pullSource == from || c.pullSource != "" && now.Sub(c.pullStarted) < pullExclusiveTime {
 		return
 	}
-	c.pulling, c.pullAt = from, now
+	c.pullSource, c.pullStarted = from, now
 	c.gateway.instruments.pulls.Inc(1)
 	have := relay.Have{Config: c.config.Version, Targets: c.targets.LastChange(), Evacuations: c.evacuations.LastChange()}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		n, err := c.gateway.relay.Pull(ctx, from, have)
-		c.tell(context.Background(), newsPulled{asked: now, from: from, news: n, err: err})
+		c.enqueue(context.Background(), pullResult{askedAt: now, from: from, news: n, err: err})
 	}()
 }
 
 // pullResult is the result of a pull.
-type newsPulled struct {
-	asked time.Time
-	from  string // address
-	news  relay.News
-	err   error
+type pullResult struct {
+	askedAt time.Time
+	from    string // address
+	news    relay.News
+	err     error
 }
 
-func (m newsPulled) apply(now time.Time, c *control) {
-	if c.pulling == m.from {
-		c.pulling = ""
+func (m pullResult) apply(now time.Time, c *control) {
+	if c.pullSource == m.from {
+		c.pullSource = ""
 	}
 	if m.err != nil {
 		c.gateway.log.WithError(m.err).Warn("nothing pulled")
-		if c.newestAt != m.from {
-			c.pullMore(now)
+		if c.newestSource != m.from {
+			c.pullNewest(now)
 		}
 		return
 	}
 	if len(m.news.Config) > 0 {
-		c.adopt(now, m.news.Config, "entry "+m.from)
+		c.applyConfig(now, m.news.Config, "entry "+m.from)
 	}
 	if e := m.news.Evacuations; e != nil {
-		c.vouched(now, m.asked, dutyEvacuations, e.Age)
-		if c.evacuate(now, func() bool { return c.evacuated(*e) }, "entry "+m.from) {
-			c.drive(now, member.PushNow{})
+		c.confirmFromPeer(now, m.askedAt, resourceEvacuations, e.Age)
+		if c.changeEvacuations(now, func() bool { return c.applyPulledEvacuations(*e) }, "entry "+m.from) {
+			c.handleEvent(now, member.PushNow{})
 		}
 	}
 	if m.news.Targets != relay.Nothing {
 		// The answer was sent between the request and now, and its transfer may have
 		// taken half a second. Measured from the request, the age of a list is never
 		// underestimated.
-		c.vouched(now, m.asked, dutyTargets, m.news.Age)
-		changed := c.change(now, func() bool { return c.pulled(m.news) })
+		c.confirmFromPeer(now, m.askedAt, resourceTargets, m.news.Age)
+		changed := c.changeTargets(now, func() bool { return c.applyPulledTargets(m.news) })
 		if changed {
-			c.spread(now)
+			c.announceRevisions(now)
 		}
 	}
-	c.pullMore(now)
+	c.pullNewest(now)
 }
 
 // lacks reports whether another entry advertises something newer.
@@ -179,23 +179,23 @@
 // asked doesn't answer. At a start the configuration and the targets are read separately:
 // without a second pull, an entry that got only one of them would lack the other until the
 // next round.
-func (c *control) pullMore(now time.Time) {
-	if c.lacks(c.newest) {
-		c.pull(now, c.newestAt)
+func (c *control) pullNewest(now time.Time) {
+	if c.lacks(c.newestKnowledge) {
+		c.pull(now, c.newestSource)
 	}
 }
 
 // minFetchInterval is the least time between two fetches. While hundreds of entries start,
 // their tables differ all the time, and each fetch brings the entries added since.
-const fetchPause = 2 * roundPeriod
+const minFetchInterval = 2 * roundPeriod
 
 // fetch requests from another entry the members that this one lacks. The maximum revisions
 // exclude all other data, which a pull may already be transferring.
 func (c *control) fetch(now time.Time, from string) {
-	if c.fetching || now.Sub(c.fetched) < fetchPause {
+	if c.fetchPending || now.Sub(c.lastFetch) < minFetchInterval {
 		return
 	}
-	c.fetching, c.fetched = true, now
+	c.fetchPending, c.lastFetch = true, now
 	have := relay.Have{
 		Config: math.MaxUint64, Targets: math.MaxUint64, Evacuations: math.MaxUint64, Entries: true, Known: c.members.EntryDigests(),
 	}
@@ -203,7 +203,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		n, err := c.gateway.relay.Pull(ctx, from, have)
-		c.tell(context.Background(), entriesFetched{n.Entries, err})
+		c.enqueue(context.Background(), entriesFetched{n.Entries, err})
 	}()
 }
 
@@ -214,16 +214,16 @@
 }
 
 func (m entriesFetched) apply(now time.Time, c *control) {
-	c.fetching = false
+	c.fetchPending = false
 	if m.err != nil {
 		c.gateway.log.WithError(m.err).Warn("fetch of the other entries failed")
 	} else {
-		c.drive(now, member.Fetched{Entries: m.entries})
+		c.handleEvent(now, member.Fetched{Entries: m.entries})
 	}
 }
 
 // applyPulledTargets applies the targets in a pull's answer.
-func (c *control) pulled(n relay.News) (changed bool) {
+func (c *control) applyPulledTargets(n relay.News) (changed bool) {
 	if n.Targets == relay.Changed {
 		changed = c.targets.Merge(n.Changes, n.At)
 	} else {
--- a/internal/gateway/pull_test.go
+++ b/internal/gateway/pull_test.go
@@ -16,51 +16,51 @@
 // An entry that starts pulls the targets from one that the store hasn't served for seconds. If it
 // took them for as old as its own start, it would not read the store for longer than a leaving
 // target may get requests.
-func TestAgeAtAStartIsThatOfTheWord(t *testing.T) {
+func TestPulledAgeAfterStart(t *testing.T) {
 	c := parkedControl(t)
 	now := c.started.Add(100 * time.Millisecond)
-	newsPulled{asked: now, news: relay.News{
+	pullResult{askedAt: now, news: relay.News{
 		Targets: relay.Listed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, At: 5, Moved: 5, Age: 3 * time.Second,
 	}}.apply(now, c)
-	qt.Assert(t, c.age(now, dutyTargets) >= 3*time.Second, qt.IsTrue, qt.Commentf("%v", c.age(now, dutyTargets)))
+	qt.Assert(t, c.age(now, resourceTargets) >= 3*time.Second, qt.IsTrue, qt.Commentf("%v", c.age(now, resourceTargets)))
 }
 
 // The answer to a pull is delayed on its way. Its age must be measured from the time of the pull,
 // the earliest time at which it can have been sent. Measured from its arrival, the data would seem
 // younger than it is.
-func TestAgeOfAnAnswerThatTookLong(t *testing.T) {
+func TestPulledAgeAfterSlowAnswer(t *testing.T) {
 	const held = 400 * time.Millisecond
 	c := parkedControl(t)
 	asked := c.started.Add(time.Second)
 	now := asked.Add(held)
-	newsPulled{asked: asked, news: relay.News{
+	pullResult{askedAt: asked, news: relay.News{
 		Targets: relay.Listed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, At: 5, Moved: 5,
 	}}.apply(now, c)
-	qt.Assert(t, c.age(now, dutyTargets) >= held, qt.IsTrue, qt.Commentf("%v", c.age(now, dutyTargets)))
+	qt.Assert(t, c.age(now, resourceTargets) >= held, qt.IsTrue, qt.Commentf("%v", c.age(now, resourceTargets)))
 }
 
 // silentSource never answers a pull, as an entry whose VM loses power right after it advertised a
 // change.
-type mute struct{}
+type silentSource struct{}
 
-func (mute) News(ctx context.Context, _ relay.Have) (n relay.News, err error) {
+func (silentSource) News(ctx context.Context, _ relay.Have) (n relay.News, err error) {
 	<-ctx.Done()
 	return n, ctx.Err()
 }
 
 // fixedSource answers each pull with the same news.
-type teller relay.News
+type fixedSource relay.News
 
-func (n teller) News(context.Context, relay.Have) (relay.News, error) { return relay.News(n), nil }
+func (n fixedSource) News(context.Context, relay.Have) (relay.News, error) { return relay.News(n), nil }
 
 // An entry advertises that a target has left, and its VM loses power before the others have pulled
 // that. Another entry advertises the same change. The others must pull from it, and not wait until
 // the call to the dead entry fails.
-func TestNewsPastADeadEntry(t *testing.T) {
+func TestPullFromSecondEntry(t *testing.T) {
 	const bound = 250 * time.Millisecond
-	w := newWorld(t, site{targets: 1})
-	e := w.entry("a").settled()
-	w.store.Fail(turnAway(e))
+	w := newWorld(t, worldConfig{targets: 1})
+	e := w.startEntry("a").waitReady()
+	w.store.Fail(refuseStoreCalls(e))
 	peer := func(name string, s relay.Source) *relay.Relay {
 		r, err := relay.New(relay.Config{
 			Address: "127.0.0.1:0", Source: s, Log: e.log, Heard: func(relay.Packet, string) {}, Sent: func(int) {},
@@ -76,34 +76,34 @@
 		Targets: relay.Changed, Changes: []roster.Change[slot.Target]{removed(w.workers[0].ID, news)}, At: news, Moved: news,
 	}
 	advertised := relay.Packet{Kind: relay.Tell, Knowledge: relay.Knowledge{Config: 1, Targets: news}}
-	dead, other := peer("dead", mute{}), peer("other", teller(answer))
+	dead, other := peer("dead", silentSource{}), peer("other", fixedSource(answer))
 	w.c.Assert(dead.Send(e.self.PeerAddress, advertised), qt.IsNil)
 	time.Sleep(20 * time.Millisecond)
 	began := time.Now()
 	w.c.Assert(other.Send(e.self.PeerAddress, advertised), qt.IsNil)
-	w.until("the target gone", func() bool { return !e.hasTarget(w.workers[0].ID) })
+	w.waitFor("the target gone", func() bool { return !e.hasTarget(w.workers[0].ID) })
 	w.c.Assert(time.Since(began) < bound, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
 
 // An entry that has just started pulls the targets from another entry and reads the store itself.
 // The pull's answer comes later and is older. A target in it that the store no longer lists must not
 // come back, neither at this entry nor at those that pull from it.
-func TestOlderAnswerAfterTheFirstRead(t *testing.T) {
+func TestOlderAnswerAfterFirstRead(t *testing.T) {
 	older := []roster.Change[slot.Target]{{Item: item("gone", 9)}, {Item: item("stays", 10)}}
 	tests := []struct {
 		name string
 		late message
 	}{
-		{"a list", newsPulled{news: relay.News{Targets: relay.Listed, Changes: older, At: 12, Moved: 10}}},
-		{"changes", newsPulled{news: relay.News{Targets: relay.Changed, Changes: older, At: 12, Moved: 10}}},
-		{"a watch that began before", targetsChanged{changes: older, at: 12}},
+		{"a list", pullResult{news: relay.News{Targets: relay.Listed, Changes: older, At: 12, Moved: 10}}},
+		{"changes", pullResult{news: relay.News{Targets: relay.Changed, Changes: older, At: 12, Moved: 10}}},
+		{"a watch that began before", targetsChanged{changes: older, revision: 12}},
 	}
 	for _, tt := range tests {
 		c := parkedControl(t)
 		now := c.started.Add(100 * time.Millisecond)
-		targetsListed{items: []roster.Item[slot.Target]{item("stays", 20)}, at: 21, asked: now}.apply(now, c)
+		targetsListed{items: []roster.Item[slot.Target]{item("stays", 20)}, revision: 21, askedAt: now}.apply(now, c)
 		tt.late.apply(now.Add(time.Millisecond), c)
-		_, back := c.usable(now.Add(2 * time.Millisecond))["gone"]
+		_, back := c.usableTargets(now.Add(2 * time.Millisecond))["gone"]
 		qt.Check(t, back, qt.IsFalse, qt.Commentf("%s", tt.name))
 	}
 }
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -13,16 +13,16 @@
 )
 
 // dataKind is a kind of store data, which one entry reads from the store for all.
-type duty uint8
+type resource uint8
 
 const (
-	dutyConfig duty = iota
-	dutyTargets
-	dutyEvacuations
-	duties
+	resourceConfig resource = iota
+	resourceTargets
+	resourceEvacuations
+	resourceCount
 )
 
-var dutyNames = [duties]string{"configuration", "targets", "evacuations"}
+var resourceLabels = [resourceCount]string{"configuration", "targets", "evacuations"}
 
 // readSchedule is when each live entry reads a resource, by its rank. Each call to the
 // store is counted, and targets write heartbeats all the time, so that a watch of them
@@ -34,7 +34,7 @@
 // A watch without events does not prove that nothing has changed: it may have lost its
 // connection or its history without an error. So a watch stays open for no longer than
 // the time within which all entries must know a change.
-var patience = [duties]struct {
+var readSchedule = [resourceCount]struct {
 	first time.Duration // age at which the entry of rank 0 reads
 	step  time.Duration // additional age for each further rank
 	wait  time.Duration // how long a watch stays open
@@ -42,52 +42,52 @@
 	// A configuration must be in force everywhere within 2 s. The first entry
 	// always watches, so that the copies of the others are at most as old as one
 	// watch plus the time of an announcement.
-	dutyConfig: {first: 0, step: 300 * time.Millisecond, wait: time.Second},
+	resourceConfig: {first: 0, step: 300 * time.Millisecond, wait: time.Second},
 	// All entries must know of a leaving target within 2 s as well. A watch of
 	// targets returns at once, so that only the age of 800 ms limits the calls. With
 	// these steps, the third entry reads in time if the first two are lost.
-	dutyTargets: {first: 800 * time.Millisecond, step: 350 * time.Millisecond, wait: briefWait},
+	resourceTargets: {first: 800 * time.Millisecond, step: 350 * time.Millisecond, wait: pollTimeout},
 	// An evacuated domain must get no more requests after 5 s. Evacuations are rare,
 	// so the first entry always watches, as for the configuration. If the first two
 	// are lost without notice, the third one reads within 3.3 s.
-	dutyEvacuations: {first: 0, step: 400 * time.Millisecond, wait: 2 * time.Second},
+	resourceEvacuations: {first: 0, step: 400 * time.Millisecond, wait: 2 * time.Second},
 }
 
 const (
 	// turnCheckInterval is how often a reader checks whether it is its turn.
-	readerTick = 50 * time.Millisecond
+	turnCheckInterval = 50 * time.Millisecond
 	// distantTurnCheckInterval is the same for an entry of high rank without callers.
-	distantTick = 5 * readerTick
+	distantTurnCheckInterval = 5 * turnCheckInterval
 	// notifiedReaders is the number of entries, first in the order of readers, that
 	// get each confirmation of the store at once. The others get it by gossip.
-	fastReaders = 4
+	notifiedReaders = 4
 	// pollTimeout is how long a watch stays open that doesn't wait for changes.
-	briefWait = time.Millisecond
+	pollTimeout = time.Millisecond
 	// readTimeout bounds a call, in addition to the time for which its watch stays
 	// open. The store answers within 4 ms; after a hundred times that the call has
 	// failed.
-	readTime = 400 * time.Millisecond
+	readTimeout = 400 * time.Millisecond
 	// listTimeout bounds a list, which may take several pages of a slow store.
-	listTime = 2 * time.Second
+	listTimeout = 2 * time.Second
 	// storeRetryDelay is the delay of the first reader after a failed call.
-	storeRest    = 300 * time.Millisecond
-	storeRestMax = 3 * time.Second
+	storeRetryDelay    = 300 * time.Millisecond
+	storeRetryDelayMax = 3 * time.Second
 )
 
 // due reports whether an entry of this rank reads now.
-func (r duty) due(age time.Duration, rank int) bool {
-	p := patience[r]
+func (r resource) due(age time.Duration, rank int) bool {
+	p := readSchedule[r]
 	if rank == 0 {
 		return age >= p.first
 	}
-	return age >= p.first+p.wait+tickPeriod+time.Duration(rank)*p.step
+	return age >= p.first+p.wait+tickInterval+time.Duration(rank)*p.step
 }
 
 // sleep waits for d or until ctx ends.
-func sleep(ctx context.Context, d time.Duration) { doze(ctx, d, nil) }
+func sleep(ctx context.Context, d time.Duration) { sleepUntilWoken(ctx, d, nil) }
 
 // sleepUntilWoken is sleep that a message on wake ends as well; wake may be nil.
-func doze(ctx context.Context, d time.Duration, wake <-chan struct{}) {
+func sleepUntilWoken(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -98,93 +98,93 @@
 }
 
 // readTurn tells a reader whether to read now, and from which revision.
-type turn struct {
-	due  bool
-	rank int             // of this entry in the order of readers
-	age  time.Duration   // since the store last confirmed the data
-	at   roster.Revision // last known one of the history
+type readTurn struct {
+	due      bool
+	rank     int             // of this entry in the order of readers
+	age      time.Duration   // since the store last confirmed the data
+	revision roster.Revision // last known one of the history
 	// initial is set before the data was first read.
-	fresh bool
+	initial bool
 	// distant is set when many others read before this entry and it has no callers.
 	distant bool
 	// poll is set when a watch must not wait for changes.
-	brief bool
+	poll bool
 }
 
 // pause returns how long a reader waits before it checks its turn again.
-func (t turn) pause() time.Duration {
-	if t.fresh {
-		return beginStep / 2
+func (t readTurn) pause() time.Duration {
+	if t.initial {
+		return minStartStep / 2
 	}
 	if t.distant {
-		return distantTick
+		return distantTurnCheckInterval
 	}
-	return readerTick
+	return turnCheckInterval
 }
 
 // turnRequest asks the control loop whether a reader reads now.
-type turnAsked struct {
-	duty   duty
-	answer chan turn
+type turnRequest struct {
+	resource resource
+	reply    chan readTurn
 }
 
-func (m turnAsked) apply(now time.Time, c *control) {
-	t := c.turnOf(now, m.duty)
-	if m.duty == dutyEvacuations && c.shut && c.turnOf(now, dutyTargets).due {
+func (m turnRequest) apply(now time.Time, c *control) {
+	t := c.turnFor(now, m.resource)
+	if m.resource == resourceEvacuations && c.storeUnavailable && c.turnFor(now, resourceTargets).due {
 		// The store doesn't serve this entry, whose reads of the targets detect the
 		// store's return. If all entries read evacuations too, a busy store would get
 		// a third more calls, and each call costs money.
 		t.due = false
 	}
-	if !c.gateway.needs(m.duty) {
-		t.due, t.fresh, t.distant = false, false, true
+	if !c.gateway.needs(m.resource) {
+		t.due, t.initial, t.distant = false, false, true
 	}
 	// A watch without changes confirms the known revision only when it ends. If that
 	// is old already, requests would wait for the end of the watch.
-	t.brief = c.gateway.freshness.hasCallers(now) && t.age >= patience[m.duty].wait+tickPeriod
-	m.answer <- t
+	t.poll = c.gateway.freshness.hasCallers(now) && t.age >= readSchedule[m.resource].wait+tickInterval
+	m.reply <- t
 }
 
 // turnFor returns whether this entry reads a resource now, and how.
-func (c *control) turnOf(now time.Time, r duty) turn {
+func (c *control) turnFor(now time.Time, r resource) readTurn {
 	c.live()
-	rank := c.rank[r]
-	if c.alone(now) {
+	rank := c.readerRank[r]
+	if c.cutOff(now) {
 		rank = 0
 	}
 	age := c.age(now, r)
 	serving := c.gateway.freshness.hasCallers(now)
-	t := turn{due: r.due(age, rank), rank: rank, age: age, at: c.at(r), distant: rank > fastReaders && !serving}
+	t := readTurn{due: r.due(age, rank), rank: rank, age: age, revision: c.revision(r), distant: rank > notifiedReaders && !serving}
 	if c.confirmed[r].IsZero() {
-		t.due, t.fresh = c.begins(now, rank), true
+		t.due, t.initial = c.firstReadDue(now, rank), true
 	}
-	t.due = t.due || serving && !t.fresh && age >= c.gateway.maxAges()[r]
+	t.due = t.due || serving && !t.initial && age >= c.gateway.maxAges()[r]
 	return t
 }
 
 // revision returns the last known revision in the history of a resource.
-func (c *control) at(r duty) roster.Revision {
+func (c *control) revision(r resource) roster.Revision {
 	switch r {
-	case dutyTargets:
+	case resourceTargets:
 		return c.targets.Revision()
-	case dutyEvacuations:
+	case resourceEvacuations:
 		return c.evacuations.Revision()
 	}
-	return c.configAt
+	return c.configRevision
 }
 
 // needs reports whether requests depend on a resource. Evacuations are neither needed nor
 // read if the settings have no bound for them.
-func (g *Gateway) needs(r duty) bool {
-	return r != dutyEvacuations || g.bounds.Load().Evacuate > 0
+func (g *Gateway) needs(r resource) bool {
+	return r != resourceEvacuations || g.bounds.Load().Evacuate > 0
 }
 
 // requestTurn asks the control loop for a reader's turn.
-func (c *control) turn(ctx context.Context, r duty) (t turn) {
-	m := turnAsked{duty: r, answer: make(chan turn, 1)}
-	c.tell(ctx, m)
+func (c *control) requestTurn(ctx context.Context, r resource) (t readTurn) {
+	m := turnRequest{resource: r, reply: make(chan readTurn, 1)}
+	c.enqueue(ctx, m)
 	select {
-	case t = <-m.answer:
+	case t = <-m.reply:
 	case <-ctx.Done():
 	}
 	return t
@@ -192,21 +192,21 @@
 
 // reader reads one resource when it is this entry's turn.
 type reader[T any] struct {
-	gateway *Gateway
-	duty    duty
-	kind    platform.Kind[T]
-	unsure  bool // a watch has failed and may have missed changes
-	listed  func(items []roster.Item[T], revision roster.Revision, askedAt time.Time) message
-	changed func(changes []roster.Change[T], revision roster.Revision, askedAt time.Time) message
+	gateway       *Gateway
+	resource      resource
+	client        platform.Kind[T]
+	mustList      bool // a watch has failed and may have missed changes
+	listMessage   func(items []roster.Item[T], revision roster.Revision, askedAt time.Time) message
+	changeMessage func(changes []roster.Change[T], revision roster.Revision, askedAt time.Time) message
 }
 
 func newTargetReader(g *Gateway) *reader[slot.Target] {
 	return &reader[slot.Target]{
-		gateway: g, duty: dutyTargets, kind: g.store.Targets(),
-		listed: func(items []roster.Item[slot.Target], revision roster.Revision, askedAt time.Time) message {
+		gateway: g, resource: resourceTargets, client: g.store.Targets(),
+		listMessage: func(items []roster.Item[slot.Target], revision roster.Revision, askedAt time.Time) message {
 			return targetsListed{items, revision, askedAt}
 		},
-		changed: func(changes []roster.Change[slot.Target], revision roster.Revision, askedAt time.Time) message {
+		changeMessage: func(changes []roster.Change[slot.Target], revision roster.Revision, askedAt time.Time) message {
 			return targetsChanged{changes, revision, askedAt}
 		},
 	}
@@ -214,11 +214,11 @@
 
 func newEvacuationReader(g *Gateway) *reader[slot.Evacuation] {
 	return &reader[slot.Evacuation]{
-		gateway: g, duty: dutyEvacuations, kind: g.store.Evacuations(),
-		listed: func(items []roster.Item[slot.Evacuation], revision roster.Revision, askedAt time.Time) message {
+		gateway: g, resource: resourceEvacuations, client: g.store.Evacuations(),
+		listMessage: func(items []roster.Item[slot.Evacuation], revision roster.Revision, askedAt time.Time) message {
 			return evacuationsListed{items, revision, askedAt}
 		},
-		changed: func(changes []roster.Change[slot.Evacuation], revision roster.Revision, askedAt time.Time) message {
+		changeMessage: func(changes []roster.Change[slot.Evacuation], revision roster.Revision, askedAt time.Time) message {
 			return evacuationsChanged{changes, revision, askedAt}
 		},
 	}
@@ -226,19 +226,19 @@
 
 func newConfigReader(g *Gateway) *reader[[]byte] {
 	return &reader[[]byte]{
-		gateway: g, duty: dutyConfig, kind: g.store.Configs(),
-		listed: func(items []roster.Item[[]byte], revision roster.Revision, askedAt time.Time) message {
-			m := configRead{at: revision, asked: askedAt}
+		gateway: g, resource: resourceConfig, client: g.store.Configs(),
+		listMessage: func(items []roster.Item[[]byte], revision roster.Revision, askedAt time.Time) message {
+			m := configRead{revision: revision, askedAt: askedAt}
 			for _, it := range items {
-				m.raw = append(m.raw, it.Value)
+				m.configs = append(m.configs, it.Value)
 			}
 			return m
 		},
-		changed: func(changes []roster.Change[[]byte], revision roster.Revision, askedAt time.Time) message {
-			m := configRead{at: revision, asked: askedAt}
+		changeMessage: func(changes []roster.Change[[]byte], revision roster.Revision, askedAt time.Time) message {
+			m := configRead{revision: revision, askedAt: askedAt}
 			for _, c := range changes {
 				if !c.Deleted {
-					m.raw = append(m.raw, c.Value)
+					m.configs = append(m.configs, c.Value)
 				}
 			}
 			return m
@@ -246,23 +246,23 @@
 	}
 }
 
-func (r *reader[T]) String() string { return dutyNames[r.duty] }
+func (r *reader[T]) String() string { return resourceLabels[r.resource] }
 
 // Serve runs until ctx ends.
 func (r *reader[T]) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		t := r.gateway.control.turn(ctx, r.duty)
+		t := r.gateway.control.requestTurn(ctx, r.resource)
 		if !t.due {
-			doze(ctx, t.pause(), r.gateway.freshness.wakeups[r.duty])
+			sleepUntilWoken(ctx, t.pause(), r.gateway.freshness.wakeups[r.resource])
 			continue
 		}
 		err := r.read(ctx, t)
-		r.gateway.log.WithFields(log.Fields{"duty": r.String(), "rank": t.rank, "age": t.age.Milliseconds(), "from": t.at.String()}).Debug("store read")
-		r.gateway.control.tell(ctx, storeAnswered{err})
-		r.gateway.instruments.storeReads[r.duty].Inc(1)
+		r.gateway.log.WithFields(log.Fields{"duty": r.String(), "rank": t.rank, "age": t.age.Milliseconds(), "from": t.revision.String()}).Debug("store read")
+		r.gateway.control.enqueue(ctx, readFinished{err})
+		r.gateway.instruments.storeReads[r.resource].Inc(1)
 		if err != nil {
-			r.gateway.instruments.failedStoreReads[r.duty].Inc(1)
-			sleep(ctx, rest(t.rank))
+			r.gateway.instruments.failedStoreReads[r.resource].Inc(1)
+			sleep(ctx, retryDelay(t.rank))
 		}
 	}
 	return ctx.Err()
@@ -271,45 +271,45 @@
 // retryDelay returns the delay after a failed call. It grows with the rank, so that not
 // all entries call the store at once during an outage, while the first one soon detects
 // that the store is back.
-func rest(rank int) time.Duration {
-	return min(storeRest*time.Duration(1+rank), storeRestMax)
+func retryDelay(rank int) time.Duration {
+	return min(storeRetryDelay*time.Duration(1+rank), storeRetryDelayMax)
 }
 
 // read watches from the known revision. It lists the objects if no revision is known or
 // a watch has failed, which may have missed a change.
-func (r *reader[T]) read(ctx context.Context, t turn) (err error) {
-	if t.at > 0 && !r.unsure {
+func (r *reader[T]) read(ctx context.Context, t readTurn) (err error) {
+	if t.revision > 0 && !r.mustList {
 		err = r.watch(ctx, t)
 		if err == nil {
 			return nil
 		}
-		r.unsure = true
+		r.mustList = true
 		if errors.Is(err, context.DeadlineExceeded) {
-			r.gateway.control.tell(ctx, callFailed{})
+			r.gateway.control.enqueue(ctx, watchTimedOut{})
 		} else if !errors.Is(err, platform.ErrHistory) {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, listTime)
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	askedAt := time.Now()
-	items, revision, err := r.kind.List(ctx)
+	items, revision, err := r.client.List(ctx)
 	if err == nil {
-		r.unsure = false
-		r.gateway.control.tell(ctx, r.listed(items, revision, askedAt))
+		r.mustList = false
+		r.gateway.control.enqueue(ctx, r.listMessage(items, revision, askedAt))
 	}
 	return err
 }
 
-func (r *reader[T]) watch(ctx context.Context, t turn) (err error) {
-	wait := patience[r.duty].wait
-	if t.brief {
-		wait = briefWait
+func (r *reader[T]) watch(ctx context.Context, t readTurn) (err error) {
+	wait := readSchedule[r.resource].wait
+	if t.poll {
+		wait = pollTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+readTime)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	askedAt := time.Now()
-	changes, revision, err := r.kind.Watch(ctx, t.at, wait)
+	changes, revision, err := r.client.Watch(ctx, t.revision, wait)
 	if err != nil {
 		return err
 	}
@@ -318,6 +318,6 @@
 		// confirms that nothing had changed until then.
 		askedAt = askedAt.Add(wait)
 	}
-	r.gateway.control.tell(ctx, r.changed(changes, revision, askedAt))
+	r.gateway.control.enqueue(ctx, r.changeMessage(changes, revision, askedAt))
 	return nil
 }
--- a/internal/gateway/reader_test.go
+++ b/internal/gateway/reader_test.go
@@ -12,7 +12,7 @@
 
 // Entries that start together wait for those that enrolled before them, but not for entries of an
 // earlier start, whose VMs may be gone.
-func TestOrderOfAStart(t *testing.T) {
+func TestCountEnrolledBefore(t *testing.T) {
 	const second = uint64(time.Second)
 	item := func(name string, rev roster.Revision, boot uint64) roster.Item[owner.Entry] {
 		return roster.Item[owner.Entry]{Name: name, Revision: rev, Value: owner.Entry{Name: name, Boot: boot}}
@@ -31,6 +31,6 @@
 		{"own record not listed", []roster.Item[owner.Entry]{item("a", 7, self.Boot)}, 1},
 	}
 	for _, tt := range tests {
-		qt.Check(t, ahead(self, tt.items), qt.Equals, tt.want, qt.Commentf("%s", tt.name))
+		qt.Check(t, countEnrolledBefore(self, tt.items), qt.Equals, tt.want, qt.Commentf("%s", tt.name))
 	}
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -12,7 +12,7 @@
 // settingsReloaded makes the control loop apply changed settings to all services.
 type settingsReloaded struct{}
 
-func (settingsReloaded) apply(_ time.Time, c *control) { c.dirty = true }
+func (settingsReloaded) apply(_ time.Time, c *control) { c.servicesStale = true }
 
 // Reload applies changed settings. Only the bounds change while the process runs;
 // addresses and names keep their values from the start.
@@ -22,7 +22,7 @@
 		return
 	}
 	g.bounds.Store(&s.Bounds)
-	go g.control.tell(context.Background(), settingsReloaded{})
+	go g.control.enqueue(context.Background(), settingsReloaded{})
 	g.log.WithFields(log.Fields{
 		"drain": s.Bounds.Drain.String(), "grace": s.Bounds.Grace.String(), "ratio": s.Bounds.RetryShare, "slack": s.Bounds.RetrySlack,
 	}).Info("settings reloaded")
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -16,11 +16,11 @@
 
 // revivedIgnoreTime is how long an object that a copy brought back is ignored unless it is
 // written: a target that is gone writes no heartbeat, and its record expires by then.
-const reviveTime = 6 * time.Second
+const revivedIgnoreTime = 6 * time.Second
 
 // noteRestore records that the store was restored from a copy.
-func (c *control) restore(now time.Time, before, after roster.Revision, differences int) {
-	c.restored = now
+func (c *control) noteRestore(now time.Time, before, after roster.Revision, differences int) {
+	c.restoredAt = now
 	if after.Epoch() <= c.epoch {
 		return // another resource has shown the same restore
 	}
@@ -33,7 +33,7 @@
 }
 
 // countDifferences returns the number of objects that are in only one of two lists.
-func differences[T any](before, after map[string]roster.Item[T]) (n int) {
+func countDifferences[T any](before, after map[string]roster.Item[T]) (n int) {
 	for name := range before {
 		if _, ok := after[name]; !ok {
 			n++
@@ -49,9 +49,9 @@
 
 // effectiveItems returns the objects in the store and the vanished ones that are kept, without
 // those that only a copy brought back.
-func inForce[T any](now time.Time, r *roster.Roster[T], vanished *roster.Vanished[T], restoredAt time.Time) map[string]roster.Item[T] {
+func effectiveItems[T any](now time.Time, r *roster.Roster[T], vanished *roster.Vanished[T], restoredAt time.Time) map[string]roster.Item[T] {
 	items := r.Items()
-	if r.AnyRevived() && now.Sub(restoredAt) < reviveTime {
+	if r.AnyRevived() && now.Sub(restoredAt) < revivedIgnoreTime {
 		for name := range items {
 			if r.Revived(name) {
 				delete(items, name)
@@ -67,13 +67,13 @@
 }
 
 // effectiveEvacuations returns the evacuations in force.
-func (c *control) marks(now time.Time) map[string]roster.Item[slot.Evacuation] {
-	return inForce(now, c.evacuations, c.marksAwaited, c.restored)
+func (c *control) effectiveEvacuations(now time.Time) map[string]roster.Item[slot.Evacuation] {
+	return effectiveItems(now, c.evacuations, c.vanishedEvacuations, c.restoredAt)
 }
 
 // expiryPending reports whether the effective targets or evacuations still change by the
 // passage of time alone.
-func (c *control) awaiting(now time.Time) bool {
+func (c *control) expiryPending(now time.Time) bool {
 	revived := c.targets.AnyRevived() || c.evacuations.AnyRevived()
-	return c.lapses.Awaiting(now) || c.marksAwaited.Awaiting(now) || revived && now.Sub(c.restored) < reviveTime
+	return c.vanishedTargets.Awaiting(now) || c.vanishedEvacuations.Awaiting(now) || revived && now.Sub(c.restoredAt) < revivedIgnoreTime
 }
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -14,11 +14,11 @@
 )
 
 // syncBound is how long after a change or a restore all entries may take to have the same state.
-const agreeTime = 2 * time.Second
+const syncBound = 2 * time.Second
 
 // advanceRevisions writes to the store so often that writes after a restore get revisions that were
 // already used before it.
-func (w *world) lose() {
+func (w *world) advanceRevisions() {
 	for range 50 {
 		w.store.Put("other", "x", struct{}{})
 	}
@@ -26,18 +26,18 @@
 
 // waitSynced waits until all entries have the latest configuration and exactly these targets. It
 // fails later than syncBound after since.
-func (w *world) agree(entries []*entry, since time.Time, targets ...string) {
+func (w *world) waitSynced(entries []*entry, since time.Time, targets ...string) {
 	w.c.Helper()
 	for _, e := range entries {
-		for !e.agrees(targets) {
-			w.c.Assert(time.Since(since) < agreeTime, qt.IsTrue, qt.Commentf("%s: version %d of %d, %d targets of %d", e.self.Name, e.version(), w.version, e.size("gowns"), len(targets)))
+		for !e.synced(targets) {
+			w.c.Assert(time.Since(since) < syncBound, qt.IsTrue, qt.Commentf("%s: version %d of %d, %d targets of %d", e.self.Name, e.version(), w.version, e.targetCount("gowns"), len(targets)))
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
 }
 
-func (e *entry) agrees(targets []string) bool {
-	if int(e.version()) != e.w.version || e.size("gowns") != len(targets) {
+func (e *entry) synced(targets []string) bool {
+	if int(e.version()) != e.w.version || e.targetCount("gowns") != len(targets) {
 		return false
 	}
 	for _, id := range targets {
@@ -51,7 +51,7 @@
 // Writes after a restore get revisions that were already used before it. Entries must not take them
 // for older than the known state, or they would miss them until the store's revisions have caught
 // up.
-func TestNothingIsMissedAfterARestore(t *testing.T) {
+func TestChangesAfterRestore(t *testing.T) {
 	tests := []struct {
 		name string
 		cut  bool // one entry is cut off from the store
@@ -64,50 +64,50 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, site{targets: 2})
-			entries := several(w, 3)
+			w := newWorld(t, worldConfig{targets: 2})
+			entries := startEntries(w, 3)
 			if tt.cut {
-				w.store.Fail(turnAway(ranked(entries, dutyTargets)[0]))
+				w.store.Fail(refuseStoreCalls(byReaderRank(entries, resourceTargets)[0]))
 			}
 			c := w.store.Copy()
-			w.lose()
+			w.advanceRevisions()
 			time.Sleep(1500 * time.Millisecond) // until all have the latest revision
 			for range 1 + tt.more {
 				time.Sleep(300 * time.Millisecond)
 				w.store.Restore(c)
 			}
 			restored := time.Now()
-			k := w.target("gowns")
-			w.configure(site{timeout: "3s"})
-			w.agree(entries, restored, "i-0", "i-1", k.ID)
+			k := w.startTarget("gowns")
+			w.configure(worldConfig{timeout: "3s"})
+			w.waitSynced(entries, restored, "i-0", "i-1", k.ID)
 			w.store.Delete("servers", "i-0")
 			removed := time.Now()
-			w.agree(entries, removed, "i-1", k.ID)
+			w.waitSynced(entries, removed, "i-1", k.ID)
 		})
 	}
 }
 
 // A configuration that is newer than the copy that the store is restored from stays in force until
 // a newer one is written.
-func TestConfigurationOutlivesARestore(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	entries := several(w, 3)
+func TestNewerConfigurationKeptAfterRestore(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 1})
+	entries := startEntries(w, 3)
 	c := w.store.Copy()
-	w.configure(site{timeout: "3s"})
-	w.agree(entries, time.Now(), "i-0")
+	w.configure(worldConfig{timeout: "3s"})
+	w.waitSynced(entries, time.Now(), "i-0")
 	w.store.Restore(c)
-	for since := time.Now(); time.Since(since) < agreeTime; time.Sleep(5 * time.Millisecond) {
+	for since := time.Now(); time.Since(since) < syncBound; time.Sleep(5 * time.Millisecond) {
 		for _, e := range entries {
 			w.c.Assert(int(e.version()), qt.Equals, w.version)
 		}
 	}
-	w.configure(site{timeout: "4s"})
-	w.agree(entries, time.Now(), "i-0")
+	w.configure(worldConfig{timeout: "4s"})
+	w.waitSynced(entries, time.Now(), "i-0")
 }
 
 // The changes that targets and the operator wrote after the copy are lost by a restore. They must
 // stay in effect until they are written again.
-func TestLostWritesHoldAfterARestore(t *testing.T) {
+func TestLostWritesStayEffectiveAfterRestore(t *testing.T) {
 	const slots = 2 // of each target
 	tests := []struct {
 		name string
@@ -115,8 +115,8 @@
 		lost, again func(w *world)
 		used        []int // targets that get requests after the restore, the others get none
 	}{
-		{"a target is added", func(w *world) { w.target("gowns") }, func(w *world) { w.record(w.workers[2], "gowns", "ready") }, []int{0, 2}},
-		{"a target leaves", func(w *world) { w.record(w.workers[0], "gowns", "draining") }, func(w *world) { w.record(w.workers[0], "gowns", "draining") }, nil},
+		{"a target is added", func(w *world) { w.startTarget("gowns") }, func(w *world) { w.writeTarget(w.workers[2], "gowns", "ready") }, []int{0, 2}},
+		{"a target leaves", func(w *world) { w.writeTarget(w.workers[0], "gowns", "draining") }, func(w *world) { w.writeTarget(w.workers[0], "gowns", "draining") }, nil},
 		{"a target is removed", func(w *world) { w.store.Delete("servers", "i-0") }, func(w *world) { w.store.Delete("servers", "i-0") }, nil},
 		{"a place is evacuated", func(w *world) { w.store.Evacuate("hall") }, func(w *world) { w.store.Evacuate("hall") }, nil},
 		{"an evacuation is withdrawn", func(w *world) { w.store.TakeBack("annex") }, func(w *world) { w.store.TakeBack("annex") }, []int{0, 1}},
@@ -124,14 +124,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, site{targets: 2})
+			w := newWorld(t, worldConfig{targets: 2})
 			w.evacuate = 5 * time.Second
 			w.store.Evacuate("annex")
 			w.store.PutTarget(objects.Target{ID: "i-1", Address: w.workers[1].Address(), Service: "gowns", Place: "annex", Slots: slots})
-			entries := several(w, 3)
+			entries := startEntries(w, 3)
 			c := w.store.Copy()
 			tt.lost(w)
-			w.lose()
+			w.advanceRevisions()
 			for _, k := range w.workers {
 				k.Work(10 * time.Millisecond)
 			}
@@ -146,7 +146,7 @@
 				before[i] = len(k.Runs())
 			}
 			states := make(map[string]int) // of the targets, between detected and rewritten
-			for time.Since(restored) < agreeTime+time.Second {
+			for time.Since(restored) < syncBound+time.Second {
 				for _, e := range entries {
 					e.callAtOnce(slots + 1) // more than one target has slots for
 					if since := time.Since(restored); since > detected && since < rewritten {
@@ -189,21 +189,21 @@
 
 // Answers of the store with an era that is missing, invalid or decreasing must not make entries drop
 // known data or miss later changes.
-func TestBadEra(t *testing.T) {
+func TestInvalidEra(t *testing.T) {
 	for _, era := range []string{"-", "old", "-3", "0", "1.5"} {
 		t.Run(era, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, site{targets: 2})
+			w := newWorld(t, worldConfig{targets: 2})
 			c := w.store.Copy()
 			w.store.Restore(c) // era 2
-			entries := several(w, 2)
+			entries := startEntries(w, 2)
 			w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Era: era} })
 			time.Sleep(time.Second)
-			w.agree(entries, time.Now(), "i-0", "i-1")
+			w.waitSynced(entries, time.Now(), "i-0", "i-1")
 			w.c.Assert(entries[0].call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 			w.store.Fail(nil)
-			k := w.target("gowns")
-			w.until("the new target", func() bool { return entries[0].hasTarget(k.ID) && entries[1].hasTarget(k.ID) })
+			k := w.startTarget("gowns")
+			w.waitFor("the new target", func() bool { return entries[0].hasTarget(k.ID) && entries[1].hasTarget(k.ID) })
 		})
 	}
 }
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -33,11 +33,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, site{targets: 1 + tt.others})
-			e := w.entry("a").settled()
+			w := newWorld(t, worldConfig{targets: 1 + tt.others})
+			e := w.startEntry("a").waitReady()
 			k := w.workers[0]
 			k.Fail(func(*http.Request) worker.Fault { return worker.Fault{Shed: true, After: tt.after} })
-			w.until("a refusal", func() bool {
+			w.waitFor("a refusal", func() bool {
 				e.call("GET", "/a/x", "")
 				return len(k.Sheds()) > 0
 			})
@@ -69,7 +69,7 @@
 			}
 			w.c.Assert(n <= most, qt.IsTrue, qt.Commentf("%d requests", n))
 			k.Fail(nil)
-			w.until("it is used again", func() bool {
+			w.waitFor("it is used again", func() bool {
 				e.call("GET", "/a/x", "")
 				return len(k.Runs()) > 0
 			})
--- a/internal/gateway/roll.go
+++ b/internal/gateway/roll.go
@@ -10,23 +10,23 @@
 // live returns the entries that callers may be sent to, including this one unless it is
 // stopping.
 func (c *control) live() []owner.Candidate {
-	if c.roll == nil {
-		c.enlist()
+	if c.liveEntries == nil {
+		c.updateLive()
 	}
-	return c.roll
+	return c.liveEntries
 }
 
 // updateLive recomputes what depends only on which entries are live.
-func (c *control) enlist() {
-	c.roll = []owner.Candidate{}
-	c.rolls++
+func (c *control) updateLive() {
+	c.liveEntries = []owner.Candidate{}
+	c.liveVersion++
 	var readers []owner.Candidate
 	for e := range c.members.Entries() {
 		if e.State != member.Alive {
 			continue
 		}
 		o := owner.Candidate{Entry: ownerOf(e), Overloaded: e.Overloaded}
-		c.roll = append(c.roll, o)
+		c.liveEntries = append(c.liveEntries, o)
 		if !e.StoreUnavailable {
 			readers = append(readers, o)
 		}
@@ -35,14 +35,14 @@
 	// which detects that it is served again. The others leave it out of the order until
 	// it reports that.
 	ranked := readers
-	if c.shut {
-		ranked = c.roll
+	if c.storeUnavailable {
+		ranked = c.liveEntries
 	}
-	for r := range duties {
-		c.order[r] = owner.TopRanked(readers, dutyNames[r], fastReaders)
-		c.rank[r] = owner.Rank(ranked, dutyNames[r], c.gateway.self.Name)
+	for r := range resourceCount {
+		c.readerOrder[r] = owner.TopRanked(readers, resourceLabels[r], notifiedReaders)
+		c.readerRank[r] = owner.Rank(ranked, resourceLabels[r], c.gateway.self.Name)
 	}
-	c.deal = nil
+	c.assignment = nil
 }
 
 func ownerOf(e member.Entry) owner.Entry {
@@ -53,20 +53,20 @@
 
 // cutOff reports whether this entry receives nothing from the others though some are live.
 // It then reads the store itself, as if it were the first in the order.
-func (c *control) alone(now time.Time) bool {
-	return c.deaf(now) && len(c.live()) > 1
+func (c *control) cutOff(now time.Time) bool {
+	return c.lostContact(now) && len(c.live()) > 1
 }
 
 // lostContact reports whether no packet of another entry has come for isolationTimeout.
-func (c *control) deaf(now time.Time) bool {
-	return now.Sub(c.started) > aloneAfter && now.Sub(c.members.LastReceived()) > aloneAfter
+func (c *control) lostContact(now time.Time) bool {
+	return now.Sub(c.started) > isolationTimeout && now.Sub(c.members.LastReceived()) > isolationTimeout
 }
 
 // isolated reports whether this entry receives nothing from the others though it has known
 // some. Unlike cutOff it also counts entries that seem dead: after a second or more without
 // contact, all of them do.
 func (c *control) isolated(now time.Time) bool {
-	if !c.deaf(now) {
+	if !c.lostContact(now) {
 		return false
 	}
 	for e := range c.members.Entries() {
--- a/internal/gateway/several_test.go
+++ b/internal/gateway/several_test.go
@@ -21,26 +21,26 @@
 
 // startEntries starts n entries, and waits until each has the configuration and targets and knows
 // the others.
-func several(w *world, n int) (entries []*entry) {
+func startEntries(w *world, n int) (entries []*entry) {
 	for i := range n {
-		entries = append(entries, w.entry(fmt.Sprint("e", i)))
+		entries = append(entries, w.startEntry(fmt.Sprint("e", i)))
 	}
 	for _, e := range entries {
-		e.settled()
-		w.until("all live", func() bool { return len(e.view.Load().live) == n })
+		e.waitReady()
+		w.waitFor("all live", func() bool { return len(e.view.Load().live) == n })
 	}
 	return entries
 }
 
 // byReaderRank returns the entries in the order of readers.
-func ranked(entries []*entry, d duty) (readers []*entry) {
+func byReaderRank(entries []*entry, d resource) (readers []*entry) {
 	var live []owner.Candidate
 	for _, e := range entries {
 		live = append(live, owner.Candidate{Entry: e.self})
 	}
 	readers = make([]*entry, len(entries))
 	for _, e := range entries {
-		readers[owner.Rank(live, dutyNames[d], e.self.Name)] = e
+		readers[owner.Rank(live, resourceLabels[d], e.self.Name)] = e
 	}
 	return readers
 }
@@ -49,11 +49,11 @@
 // Until an entry's port is closed, a target must answer each request. After that, callers are refused
 // a connection and use another address. No request may be cut off.
 func TestSeveralStopAtOnce(t *testing.T) {
-	w := newWorld(t, site{targets: 3, kind: "non_idempotent"})
-	entries := several(w, 3)
+	w := newWorld(t, worldConfig{targets: 3, routeType: "non_idempotent"})
+	entries := startEntries(w, 3)
 	for _, k := range w.workers {
 		k.Slots = 8
-		w.record(k, "gowns", "ready")
+		w.writeTarget(k, "gowns", "ready")
 	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -98,13 +98,13 @@
 
 // Callers connect without a pause while an entry's port closes. A caller that gets a connection and
 // sends a request at once must get a response; later callers are refused the connection.
-func TestNewConnectionsAtTheStop(t *testing.T) {
-	w := newWorld(t, site{targets: 2})
+func TestNewConnectionsDuringStop(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 2})
 	for _, k := range w.workers {
 		k.Slots = 50
-		w.record(k, "gowns", "ready")
+		w.writeTarget(k, "gowns", "ready")
 	}
-	e := w.entry("a").settled()
+	e := w.startEntry("a").waitReady()
 	var all sync.WaitGroup
 	var unanswered atomic.Int64
 	for range 30 {
@@ -134,9 +134,9 @@
 // The first two entries in the order of readers are lost without notice, and a target begins to leave
 // right then. The others must stop sending to it within 2 s of the store's acknowledgement.
 func TestFirstReadersLost(t *testing.T) {
-	w := newWorld(t, site{targets: 2})
-	entries := several(w, 5)
-	readers := ranked(entries, dutyTargets)
+	w := newWorld(t, worldConfig{targets: 2})
+	entries := startEntries(w, 5)
+	readers := byReaderRank(entries, resourceTargets)
 	lost := make(map[string]bool)
 	for _, e := range readers[:2] {
 		lost[e.self.Name] = true
@@ -144,7 +144,7 @@
 	}
 	rest := readers[2:]
 	w.store.Fail(func(r *http.Request) objects.Fault { return objects.Fault{Down: lost[r.Header.Get("User-Agent")]} })
-	w.record(w.workers[0], "gowns", "draining")
+	w.writeTarget(w.workers[0], "gowns", "draining")
 	left := time.Now()
 	for time.Since(left) < 2500*time.Millisecond {
 		for _, e := range rest {
@@ -161,8 +161,8 @@
 // has seen only one crash, but the crashes together reach the limit, and a fourth entry must refuse
 // the request.
 func TestCrashesAtSeveralEntries(t *testing.T) {
-	w := newWorld(t, site{targets: 8, attempts: 1})
-	entries := several(w, 4)
+	w := newWorld(t, worldConfig{targets: 8, attempts: 1})
+	entries := startEntries(w, 4)
 	for _, k := range w.workers {
 		k.Fail(func(r *http.Request) worker.Fault { return worker.Fault{Lose: r.URL.Path == "/a/poison"} })
 	}
@@ -171,7 +171,7 @@
 		time.Sleep(2 * roundPeriod)
 	}
 	last := entries[crashLimit]
-	w.until("the fourth entry refuses it", func() bool {
+	w.waitFor("the fourth entry refuses it", func() bool {
 		return last.call("GET", "/a/poison", "same").status == http.StatusServiceUnavailable
 	})
 	runs := 0
@@ -187,13 +187,13 @@
 
 // The status for operators shows the state that the gateway works with.
 func TestStatus(t *testing.T) {
-	w := newWorld(t, site{targets: 2})
-	entries := several(w, 2)
+	w := newWorld(t, worldConfig{targets: 2})
+	entries := startEntries(w, 2)
 	a := entries[0]
 	a.call("GET", "/a/x", "")
-	w.record(w.workers[1], "gowns", "draining")
+	w.writeTarget(w.workers[1], "gowns", "draining")
 	var s Status
-	w.until("the leaving target in the status", func() bool {
+	w.waitFor("the leaving target in the status", func() bool {
 		var err error
 		s, err = a.Status(t.Context())
 		w.c.Assert(err, qt.IsNil)
@@ -214,20 +214,20 @@
 // The store refuses the calls of the first reader for a while, and the next entry takes over. The
 // first reader must detect that it is served again. Otherwise one entry after the other would drop
 // out of the order of readers.
-func TestReaderIsServedAgain(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	entries := several(w, 3)
-	first := ranked(entries, dutyTargets)[0]
+func TestFirstReaderDetectsStoreReturn(t *testing.T) {
+	w := newWorld(t, worldConfig{targets: 1})
+	entries := startEntries(w, 3)
+	first := byReaderRank(entries, resourceTargets)[0]
 	refused := func() bool {
 		s, err := first.Status(t.Context())
 		w.c.Assert(err, qt.IsNil)
 		return s.StoreUnavailable
 	}
-	w.store.Fail(turnAway(first))
-	w.until("the reader is refused", refused)
+	w.store.Fail(refuseStoreCalls(first))
+	w.waitFor("the reader is refused", refused)
 	time.Sleep(time.Second)
 	w.store.Fail(nil)
 	began := time.Now()
-	w.until("the reader is served again", func() bool { return !refused() })
-	w.c.Assert(time.Since(began) < 2*storeRestMax, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+	w.waitFor("the reader is served again", func() bool { return !refused() })
+	w.c.Assert(time.Since(began) < 2*storeRetryDelayMax, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -112,10 +112,10 @@
 func (c *control) status(now time.Time) Status {
 	s := Status{
 		Entry: c.gateway.self.Name, Boot: c.gateway.self.Boot,
-		ConfigVersion: uint64(c.config.Version), ConfigAge: c.age(now, dutyConfig).Seconds(),
-		Epoch: c.targets.Revision().Epoch(), TargetsRevision: c.targets.LastChange().Position(), TargetsAge: c.age(now, dutyTargets).Seconds(),
-		EvacuationsAge: c.age(now, dutyEvacuations).Seconds(), Evacuations: []EvacuationStatus{},
-		StoreUnavailable: c.shut, Leaving: c.gateway.leaving.Load(), Overloaded: c.strain.overloaded(now),
+		ConfigVersion: uint64(c.config.Version), ConfigAge: c.age(now, resourceConfig).Seconds(),
+		Epoch: c.targets.Revision().Epoch(), TargetsRevision: c.targets.LastChange().Position(), TargetsAge: c.age(now, resourceTargets).Seconds(),
+		EvacuationsAge: c.age(now, resourceEvacuations).Seconds(), Evacuations: []EvacuationStatus{},
+		StoreUnavailable: c.storeUnavailable, Leaving: c.gateway.leaving.Load(), Overloaded: c.overload.overloaded(now),
 		Entries: []EntryStatus{}, Hosts: []HostStatus{}, Services: []ServiceStatus{},
 	}
 	for e := range c.members.Entries() {
@@ -124,7 +124,7 @@
 		}
 	}
 	for host, owners := range c.gateway.view.Load().owners {
-		n, _ := c.numbers.Get(owner.HostID(host))
+		n, _ := c.gossipedCounts.Get(owner.HostID(host))
 		h := HostStatus{Name: host, Owners: []string{}, Rate: n.Rate}
 		for _, e := range owners {
 			h.Owners = append(h.Owners, e.Name)
@@ -136,9 +136,9 @@
 		s.Services = append(s.Services, sv.status(now, name))
 	}
 	slices.SortFunc(s.Services, func(a, b ServiceStatus) int { return cmp.Compare(a.Name, b.Name) })
-	for place, evacuation := range c.marks(now) {
+	for place, evacuation := range c.effectiveEvacuations(now) {
 		s.Evacuations = append(s.Evacuations, evacuationStatus(s.Services, EvacuationStatus{
-			Place: place, Revision: evacuation.Revision.Position(), Since: now.Sub(c.evacuatedAt[place]).Seconds(),
+			Place: place, Revision: evacuation.Revision.Position(), Since: now.Sub(c.evacuationSeen[place]).Seconds(),
 		}))
 	}
 	slices.SortFunc(s.Evacuations, func(a, b EvacuationStatus) int { return cmp.Compare(a.Place, b.Place) })
@@ -164,7 +164,7 @@
 		Name: e.ID.Name, Place: e.Place, Front: e.CallerAddress, Live: e.State == member.Alive, State: e.State.String(),
 		StateAge: now.Sub(e.Since).Seconds(), ConfigVersion: e.Revisions.Settings, TargetsRevision: roster.Revision(e.Revisions.Targets).Position(), Overloaded: e.Overloaded, StoreUnavailable: e.StoreUnavailable,
 	}
-	for _, l := range c.loads[s.Name].rates {
+	for _, l := range c.rateReports[s.Name].rates {
 		s.Rate += l.Rate
 	}
 	return s
@@ -204,7 +204,7 @@
 // Status returns the state of this gateway.
 func (g *Gateway) Status(ctx context.Context) (s Status, err error) {
 	request := statusRequest{reply: make(chan Status, 1)}
-	g.control.tell(ctx, request)
+	g.control.enqueue(ctx, request)
 	select {
 	case s = <-request.reply:
 		return s, nil
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -31,7 +31,7 @@
 	grace := g.bounds.Load().Grace
 	deadline := time.Now().Add(grace - stopReserve)
 	g.leaving.Store(true)
-	g.control.tell(context.Background(), leaves{})
+	g.control.enqueue(context.Background(), leaveStarted{})
 	g.log.Info(logs.MessageStops)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
@@ -51,5 +51,5 @@
 	if err := front.Shutdown(ctx); err != nil {
 		g.log.WithError(err).Warn("shutdown deadline passed with requests unfinished")
 	}
-	g.control.tell(ctx, departs{})
+	g.control.enqueue(ctx, departed{})
 }
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -16,17 +16,17 @@
 // not ready, finish the running request, serve new ones until callers no longer use its
 // address, and exit within its grace period.
 func TestGracefulStop(t *testing.T) {
-	w := newWorld(t, site{targets: 2, kind: "non_idempotent"})
-	e := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 2, routeType: "non_idempotent"})
+	e := w.startEntry("a").waitReady()
 	for _, k := range w.workers {
 		k.Work(600 * time.Millisecond)
 	}
-	answered := make(chan reply, 1)
+	answered := make(chan callResult, 1)
 	go func() { answered <- e.callWith(t.Context(), "running", "POST", "/a/x", "veil") }()
-	w.until("the run", func() bool { return w.runs("running") == 1 })
+	w.waitFor("the run", func() bool { return w.runs("running") == 1 })
 	began := time.Now()
 	e.stop()
-	w.until("not ready", func() bool {
+	w.waitFor("not ready", func() bool {
 		rec := httptest.NewRecorder()
 		e.auxHandler().ServeHTTP(rec, httptest.NewRequest("GET", "/readiness", nil))
 		return rec.Code == http.StatusServiceUnavailable
@@ -41,20 +41,20 @@
 // The owner of a host dies without notice. Within two seconds the directory must send
 // callers to another entry.
 func TestDeadEntryLeavesTheDirectory(t *testing.T) {
-	w := newWorld(t, site{targets: 1})
-	entries := []*entry{w.entry("a").settled(), w.entry("b").settled()}
-	w.until("both live", func() bool {
+	w := newWorld(t, worldConfig{targets: 1})
+	entries := []*entry{w.startEntry("a").waitReady(), w.startEntry("b").waitReady()}
+	w.waitFor("both live", func() bool {
 		return len(entries[0].view.Load().live) == 2 && len(entries[1].view.Load().live) == 2
 	})
-	named := entries[0].view.Load().addresses("veil.example", "metro", entries[0].self)
+	named := entries[0].view.Load().callerAddresses("veil.example", "metro", entries[0].self)
 	dead, other := entries[0], entries[1]
 	if named[0] == other.self.CallerAddress {
 		dead, other = other, dead
 	}
 	dead.relay.Close()
 	began := time.Now()
-	w.until("another entry is named", func() bool {
-		return other.view.Load().addresses("veil.example", "metro", other.self)[0] == other.self.CallerAddress
+	w.waitFor("another entry is named", func() bool {
+		return other.view.Load().callerAddresses("veil.example", "metro", other.self)[0] == other.self.CallerAddress
 	})
 	w.c.Assert(time.Since(began) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
@@ -64,20 +64,20 @@
 func TestStopRespondsToUnfinishedRequests(t *testing.T) {
 	tests := []struct {
 		name  string
-		route site
+		route worldConfig
 	}{
-		{"idempotent", site{targets: 1, timeout: "8s"}},
-		{"once", site{targets: 1, timeout: "8s", kind: "non_idempotent"}},
+		{"idempotent", worldConfig{targets: 1, timeout: "8s"}},
+		{"once", worldConfig{targets: 1, timeout: "8s", routeType: "non_idempotent"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, tt.route)
-			e := w.entry("a").settled()
+			e := w.startEntry("a").waitReady()
 			w.workers[0].Fail(func(*http.Request) worker.Fault { return worker.Fault{Mute: true} })
-			answers := make(chan reply, 1)
+			answers := make(chan callResult, 1)
 			go func() { answers <- e.callWith(context.Background(), "q-held", "POST", "/a/x", "b") }()
-			w.until("it is at its target", func() bool { return w.runs("q-held") == 1 })
+			w.waitFor("it is at its target", func() bool { return w.runs("q-held") == 1 })
 			e.stop()
 			w.c.Assert(<-e.done, qt.IsNil)
 			select {
--- a/internal/gateway/strain_test.go
+++ b/internal/gateway/strain_test.go
@@ -10,7 +10,7 @@
 // A slow VM delays requests although it is alive. The delay of its own ticks must show it,
 // but one late tick, such as a garbage collection causes, must not count as overload.
 func TestOverloadDetector(t *testing.T) {
-	const period = tickPeriod
+	const period = tickInterval
 	tests := []struct {
 		name  string
 		after []time.Duration
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -39,21 +39,21 @@
 // again. Entries that were live when a quarantine began received it then.
 func (c *control) notifyStarted(now time.Time) {
 	live := c.live()
-	if c.rolls == c.rollTold {
+	if c.liveVersion == c.suspectsSentVersion {
 		return
 	}
-	c.rollTold = c.rolls
+	c.suspectsSentVersion = c.liveVersion
 	var started []owner.Candidate
 	instances := make(map[string]liveInstance, len(live))
 	for _, e := range live {
-		instance, ok := c.runs[e.Name]
+		instance, ok := c.liveInstances[e.Name]
 		if !ok || instance.boot != e.Boot {
 			instance = liveInstance{e.Boot, now}
 			started = append(started, e)
 		}
 		instances[e.Name] = instance
 	}
-	c.runs = instances
+	c.liveInstances = instances
 	if !c.isNotifier(now) {
 		return
 	}
@@ -71,7 +71,7 @@
 func (c *control) isNotifier(now time.Time) bool {
 	n := 0
 	for _, e := range c.live() {
-		if now.Sub(c.runs[e.Name].since) < notifierMinUptime {
+		if now.Sub(c.liveInstances[e.Name].since) < notifierMinUptime {
 			continue
 		}
 		if e.Name == c.gateway.self.Name {
@@ -100,7 +100,7 @@
 	for _, s := range list {
 		c.logReceivedSuspect(s.Fingerprint, uint32(s.Crashes), by)
 		if s.Crashes >= crashLimit {
-			c.suspects[s.Fingerprint] = crashLimit
+			c.announcedCrashes[s.Fingerprint] = crashLimit
 		}
 	}
 	c.gateway.suspects.Merge(now, by, list)
@@ -134,21 +134,21 @@
 		if quarantined {
 			s.Crashes = crashLimit
 		}
-		announced, ok := c.suspects[s.Fingerprint]
+		announced, ok := c.announcedCrashes[s.Fingerprint]
 		if ok && announced == s.Crashes {
 			continue
 		}
-		c.suspects[s.Fingerprint] = s.Crashes
+		c.announcedCrashes[s.Fingerprint] = s.Crashes
 		changed = append(changed, s)
 		if quarantined || announced == crashLimit {
 			rumours.CrashReports = append(rumours.CrashReports, c.suspectRumour(now, s))
 		}
 	}
-	if len(c.suspects) > maxAnnounced {
-		clear(c.suspects)
+	if len(c.announcedCrashes) > maxAnnounced {
+		clear(c.announcedCrashes)
 	}
 	if len(rumours.CrashReports) > 0 {
-		c.drive(now, member.SpreadRumours{Rumours: rumours})
+		c.handleEvent(now, member.SpreadRumours{Rumours: rumours})
 	}
 	if len(changed) == 0 {
 		return
@@ -160,9 +160,9 @@
 
 // suspectRumour returns the gossip record of a suspect.
 func (c *control) suspectRumour(now time.Time, s call.Suspect) member.CrashReport {
-	c.said++
+	c.suspectSequence++
 	return member.CrashReport{
-		Fingerprint: s.Fingerprint, Crashes: uint32(s.Crashes), Time: now.Add(-s.Age), Reporter: c.gateway.self.Name, Sequence: c.gateway.self.Boot + c.said,
+		Fingerprint: s.Fingerprint, Crashes: uint32(s.Crashes), Time: now.Add(-s.Age), Reporter: c.gateway.self.Name, Sequence: c.gateway.self.Boot + c.suspectSequence,
 	}
 }
 
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -9,23 +9,23 @@
 
 // view is the state that requests are served from. It is immutable once published.
 type view struct {
-	table    *route.Table // nil before any configuration is known
-	targets  bool         // everything needed to choose a target is known
-	services map[string]*service
-	live     []owner.Candidate
-	owners   map[string][]owner.Entry // by host
-	rates    map[string]*rate         // by host
+	table       *route.Table // nil before any configuration is known
+	initialized bool         // everything needed to choose a target is known
+	services    map[string]*service
+	live        []owner.Candidate
+	owners      map[string][]owner.Entry // by host
+	rates       map[string]*rate         // by host
 }
 
 // callerAddresses returns the entries' addresses for callers of a host from a region.
-func (v *view) addresses(host, region string, self owner.Entry) []string {
+func (v *view) callerAddresses(host, region string, self owner.Entry) []string {
 	if v.table == nil {
 		return nil
 	}
 	name, _ := v.table.LookupHost(host)
 	list := v.owners[name]
 	if regions := v.table.Regions(name); len(regions) > 0 {
-		list = v.near(list, append(regions, region))
+		list = v.nearby(list, append(regions, region))
 	}
 	if len(list) == 0 {
 		return []string{self.CallerAddress}
@@ -38,12 +38,12 @@
 }
 
 // maxNearby bounds the entries that replace a host's owners in other regions.
-const maxNear = 4
+const maxNearby = 4
 
 // nearby returns the owners in these regions, or some of the regions' live entries if no
 // owner is there. Requests that are restricted to regions may enter only in one of these or
 // in the caller's own.
-func (v *view) near(owners []owner.Entry, regions []string) (list []owner.Entry) {
+func (v *view) nearby(owners []owner.Entry, regions []string) (list []owner.Entry) {
 	for _, e := range owners {
 		if slices.Contains(regions, e.Region) {
 			list = append(list, e)
@@ -53,7 +53,7 @@
 		return list
 	}
 	for _, c := range v.live {
-		if len(list) < maxNear && slices.Contains(regions, c.Region) {
+		if len(list) < maxNearby && slices.Contains(regions, c.Region) {
 			list = append(list, c.Entry)
 		}
 	}
--- a/internal/gateway/writers_test.go
+++ b/internal/gateway/writers_test.go
@@ -25,8 +25,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.kind, func(t *testing.T) {
-			w := newWorld(t, site{targets: 3, kind: tt.kind})
-			e := w.entry("a").settled()
+			w := newWorld(t, worldConfig{targets: 3, routeType: tt.kind})
+			e := w.startEntry("a").waitReady()
 			for n := range 40 { // fills the retry budget
 				w.c.Assert(e.call("POST", "/a/"+fmt.Sprint(n), "body").status, qt.Equals, http.StatusOK)
 			}
@@ -44,7 +44,7 @@
 // own records stay in effect, both in the first list and in watches. A target whose record is
 // overwritten gets no requests until it writes its record again.
 func TestRecordsOfOtherWriters(t *testing.T) {
-	w := newWorld(t, site{targets: 2})
+	w := newWorld(t, worldConfig{targets: 2})
 	others := []any{
 		"?", 7, nil,
 		[]int{1},
@@ -59,20 +59,20 @@
 		}
 	}
 	write("list")
-	e := w.entry("a").settled()
-	w.c.Assert(e.size("gowns"), qt.Equals, 2)
+	e := w.startEntry("a").waitReady()
+	w.c.Assert(e.targetCount("gowns"), qt.Equals, 2)
 	write("watch")
 	w.store.Put("servers", w.workers[0].ID, "?")
-	w.until("only the target with a valid record", func() bool { return !e.hasTarget(w.workers[0].ID) })
-	w.c.Assert(e.size("gowns"), qt.Equals, 1)
-	w.record(w.workers[0], "gowns", "ready")
-	w.until("both targets", func() bool { return e.size("gowns") == 2 })
+	w.waitFor("only the target with a valid record", func() bool { return !e.hasTarget(w.workers[0].ID) })
+	w.c.Assert(e.targetCount("gowns"), qt.Equals, 1)
+	w.writeTarget(w.workers[0], "gowns", "ready")
+	w.waitFor("both targets", func() bool { return e.targetCount("gowns") == 2 })
 	w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 }
 
 // Records that can't be decoded are read again with each list. Each is logged at most once a minute,
 // and all of them together at a limited rate.
-func TestLinesAboutUnreadableRecords(t *testing.T) {
+func TestLogRateOfUnreadableRecords(t *testing.T) {
 	h := memory.New()
 	r := newParseErrorLog(&log.Logger{Handler: h})
 	now := time.Unix(1000, 0)
@@ -91,14 +91,14 @@
 // A request crashes the same target three times, which restarts with the same id each time. That
 // counts as three crashes, so that the request is sent to no target any more.
 func TestCrashesOfOneTargetThatStartsAgain(t *testing.T) {
-	w := newWorld(t, site{targets: 1, attempts: 1})
-	e := w.entry("a").settled()
+	w := newWorld(t, worldConfig{targets: 1, attempts: 1})
+	e := w.startEntry("a").waitReady()
 	k := w.workers[0]
 	k.Fail(func(r *http.Request) worker.Fault { return worker.Fault{Lose: r.URL.Path == "/a/poison"} })
 	for range crashLimit {
 		e.call("GET", "/a/poison", "same")
-		w.born++
-		w.record(k, "gowns", "ready")
+		w.targetStart++
+		w.writeTarget(k, "gowns", "ready")
 		time.Sleep(1200 * time.Millisecond) // until the new record is known
 	}
 	for range 3 {
