--- a/check.go
+++ b/check.go
@@ -69,7 +69,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%s: gateway %s in %s, store %s, no fault\n", file, s.Name, s.Place, s.Store)
+		fmt.Fprintf(out, "%s: gateway %s in %s, store %s, no fault\n", file, s.Name, s.Place, s.StoreAddress)
 	case kindConfig:
 		c, faults, err := platform.ParseConfig(text)
 		if err != nil {
--- a/dev_gateway.go
+++ b/dev_gateway.go
@@ -62,7 +62,7 @@
   curl -X DELETE http://%[7]s/objects/evacuations/subiaco-hall
 
 interrupt to stop
-`, a.Directory, site.Host, platform.HeaderRequest, a.Front, site.Prefix("gown-catalogue"), a.Metrics, s.Address)
+`, a.Directory, site.Host, platform.HeaderRequestID, a.Front, site.Prefix("gown-catalogue"), a.Metrics, s.Address)
 }
 
 // sendToGateways sends requests to the gateways in turn for the given time. It returns
@@ -95,7 +95,7 @@
 		return false, err
 	}
 	r.Host = site.Host
-	r.Header.Set(platform.HeaderRequest, "dev-"+strconv.Itoa(n))
+	r.Header.Set(platform.HeaderRequestID, "dev-"+strconv.Itoa(n))
 	w, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return false, err
--- a/gateway_proof_test.go
+++ b/gateway_proof_test.go
@@ -152,7 +152,7 @@
 		return 0
 	}
 	r.Host = "veil.example"
-	r.Header.Set(platform.HeaderRequest, id)
+	r.Header.Set(platform.HeaderRequestID, id)
 	res, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return 0
@@ -211,7 +211,7 @@
 	g := s.start(program(t))
 	for _, w := range s.workers {
 		w.Fail(func(r *http.Request) worker.Fault {
-			return worker.Fault{Lose: r.Header.Get(platform.HeaderRequest) == "booking"}
+			return worker.Fault{Lose: r.Header.Get(platform.HeaderRequestID) == "booking"}
 		})
 	}
 	s.q.Assert(g.send("booking"), qt.Equals, http.StatusBadGateway)
@@ -307,7 +307,7 @@
 	eventually(t, "ready again", g.ready)
 	for _, w := range s.workers {
 		w.Fail(func(r *http.Request) worker.Fault {
-			return worker.Fault{Lose: strings.HasPrefix(r.Header.Get(platform.HeaderRequest), "lose")}
+			return worker.Fault{Lose: strings.HasPrefix(r.Header.Get(platform.HeaderRequestID), "lose")}
 		})
 	}
 	began := time.Now()
--- a/internal/entry/drive.go
+++ b/internal/entry/drive.go
@@ -40,13 +40,13 @@
 	action pool.Action
 	began  time.Time
 	cancel context.CancelFunc
-	answer *forward.Answer
+	answer *forward.Response
 }
 
 // dispatchResult is the failure of a dispatch or the head of its response.
 type result struct {
 	try      int
-	answer   *forward.Answer
+	answer   *forward.Response
 	failure  *forward.Failure
 	panicked any
 }
@@ -242,7 +242,7 @@
 	if q.stream != nil {
 		defer context.AfterFunc(ctx, q.upload.interrupt)()
 	}
-	r.answer, r.failure = e.forward.Dispatch(ctx, forward.Try{
+	r.answer, r.failure = e.forward.Dispatch(ctx, forward.DispatchParams{
 		Target: to.Addr, Request: q.in, Path: q.path,
 		Body: q.body, Stream: q.stream, Length: q.in.ContentLength,
 		Timeout: a.After, Attempt: a.Attempt, Depth: q.header.Depth, Header: header,
@@ -274,7 +274,7 @@
 		sent.cancel()
 		sent.ticket.done(now, d.kindOf(r.failure.Stage), pool.Load{})
 		return d.call.Fail(now, call.Failed{
-			Dispatch: r.try, Stage: r.failure.Stage, Execution: r.failure.Ran, Replayable: replay,
+			Dispatch: r.try, Stage: r.failure.Stage, Execution: r.failure.Execution, Replayable: replay,
 			Quarantined: d.crashed(now, r.failure, sent.began),
 		})
 	}
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -126,8 +126,8 @@
 
 // recordedResponse converts a response to the form in which a claim records it.
 // The body of a streamed response isn't recorded.
-func recorded(a *forward.Answer) claim.Response {
-	out := claim.Response{Outcome: call.Ran, Status: a.Status, Complete: a.Body == nil, Body: a.Whole}
+func recorded(a *forward.Response) claim.Response {
+	out := claim.Response{Outcome: call.Ran, Status: a.Status, Complete: a.Body == nil, Body: a.Buffered}
 	for name, values := range a.Header {
 		for _, v := range values {
 			out.Header = append(out.Header, claim.Field{Name: name, Value: v})
--- a/internal/entry/kind.go
+++ b/internal/entry/kind.go
@@ -32,7 +32,7 @@
 }
 
 func loadOf(l forward.Load) pool.Load {
-	return pool.Load{InFlight: max(l.Inflight, 0), HasInFlight: l.Inflight >= 0, Leaving: l.Leaving}
+	return pool.Load{InFlight: max(l.InFlight, 0), HasInFlight: l.InFlight >= 0, Leaving: l.Leaving}
 }
 
 // refusalReason returns the reason that a caller gets for a balancer's refusal.
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -127,7 +127,7 @@
 type passing struct {
 	drive  *drive
 	began  time.Time
-	answer *forward.Answer
+	answer *forward.Response
 	ticket ticket
 	cancel context.CancelFunc
 	ended  bool
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -14,70 +14,70 @@
 
 // Response is a target's response. If it was read to its end, Buffered contains
 // its body and Body is nil; otherwise Body streams it. Always call Close.
-type Answer struct {
-	Target  string
-	Status  int
-	Header  http.Header // end-to-end headers; also without plumpitch's own unless Config.EchoHeader is set
-	Length  int64       // bytes of the body; negative if unknown
-	Whole   []byte
-	Body    io.ReadCloser
-	Trailer http.Header // declared names; values are set at the end of Body
-	Load    Load
-	Connect time.Duration // time until a connection was obtained
+type Response struct {
+	Target      string
+	Status      int
+	Header      http.Header // end-to-end headers; also without plumpitch's own unless Config.EchoHeader is set
+	Length      int64       // bytes of the body; negative if unknown
+	Buffered    []byte
+	Body        io.ReadCloser
+	Trailer     http.Header // declared names; values are set at the end of Body
+	Load        Load
+	ConnectTime time.Duration // time until a connection was obtained
 
-	d *dispatch
+	dispatch *dispatch
 }
 
 // Close discards the rest of the body. A connection with unread bytes is closed,
 // so that they never reach another caller.
-func (r *Answer) Close() {
+func (r *Response) Close() {
 	if r.Body == nil {
 		return
 	}
-	r.d.end(errClosed)
+	r.dispatch.release(errResponseClosed)
 	r.Body.Close()
 }
 
 // readResponse checks a response head and buffers a short body.
-func (d *dispatch) answer(resp *http.Response, f *Forwarder) (r *Answer, err error) {
-	if !d.echoed(resp.Header) {
-		d.watch.stale.Store(true)
+func (d *dispatch) readResponse(resp *http.Response, f *Forwarder) (r *Response, err error) {
+	if !d.matchesRequest(resp.Header) {
+		d.trace.stale.Store(true)
 	}
-	if d.watch.stale.Load() {
-		return nil, errStale
+	if d.trace.stale.Load() {
+		return nil, errStaleConnection
 	}
 	if resp.StatusCode == http.StatusSwitchingProtocols {
-		return nil, errUpgrade
+		return nil, errUnexpectedUpgrade
 	}
 	bodyless := resp.Body == http.NoBody
-	if d.echo == "" && !bodyless && resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
+	if d.echoHeader == "" && !bodyless && resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		return nil, errUnframed
 	}
-	r = &Answer{
-		Target:  d.try.Target,
-		Status:  resp.StatusCode,
-		Header:  make(http.Header, len(resp.Header)),
-		Length:  resp.ContentLength,
-		Trailer: resp.Trailer,
-		Connect: d.watch.connect(),
-		d:       d,
+	r = &Response{
+		Target:      d.params.Target,
+		Status:      resp.StatusCode,
+		Header:      make(http.Header, len(resp.Header)),
+		Length:      resp.ContentLength,
+		Trailer:     resp.Trailer,
+		ConnectTime: d.trace.connectTime(),
+		dispatch:    d,
 	}
-	if d.echo != "" {
+	if d.echoHeader != "" {
 		copyHeader(r.Header, resp.Header, nil)
 	} else {
-		copyHeader(r.Header, resp.Header, own)
-		r.Load = f.load(resp.Header)
+		copyHeader(r.Header, resp.Header, isOwnHeader)
+		r.Load = f.readLoad(resp.Header)
 	}
 	if bodyless {
-		d.end(errClosed)
+		d.release(errResponseClosed)
 		return r, nil
 	}
-	if r.Length >= 0 && r.Length <= f.cfg.Whole {
-		return r, d.whole(r, resp)
+	if r.Length >= 0 && r.Length <= f.cfg.MaxBufferedBytes {
+		return r, d.readBody(r, resp)
 	}
-	r.Body = &stream{src: resp.Body, d: d, a: r, resp: resp}
-	if d.echo != "" {
-		return r, d.gather(r, f.cfg.Whole)
+	r.Body = &streamedBody{src: resp.Body, dispatch: d, response: r, httpResponse: resp}
+	if d.echoHeader != "" {
+		return r, d.bufferBody(r, f.cfg.MaxBufferedBytes)
 	}
 	if d.timer != nil && !d.timer.Stop() {
 		return nil, errTimeout
@@ -88,72 +88,72 @@
 // bufferBody reads a body of any framing up to limit bytes. A longer body is
 // streamed. If a buffered body breaks off, nothing was sent to the caller yet, so
 // the request may be sent to another target.
-func (d *dispatch) gather(r *Answer, limit int64) error {
+func (d *dispatch) bufferBody(r *Response, limit int64) error {
 	var b bytes.Buffer
 	_, err := io.CopyN(&b, r.Body, limit+1)
 	switch {
 	case err == io.EOF:
-		r.Whole, r.Length = b.Bytes(), int64(b.Len())
+		r.Buffered, r.Length = b.Bytes(), int64(b.Len())
 		r.Close()
 		r.Body = nil
 		return nil
 	case err != nil:
 		return errors.WithMessage(err, "reading the response")
 	}
-	r.Body = &rest{io.MultiReader(&b, r.Body), r.Body}
+	r.Body = &prefixedBody{io.MultiReader(&b, r.Body), r.Body}
 	return nil
 }
 
 // prefixedBody is a body of which the first part was read already.
-type rest struct {
+type prefixedBody struct {
 	io.Reader
 	io.Closer
 }
 
 // matchesRequest reports whether a response has the id of this request or none.
-func (d *dispatch) echoed(h http.Header) bool {
+func (d *dispatch) matchesRequest(h http.Header) bool {
 	name := call.HeaderRequest
-	if d.echo != "" {
-		name = d.echo
+	if d.echoHeader != "" {
+		name = d.echoHeader
 	}
 	ids := h[name]
 	return len(ids) == 0 || ids[0] == d.id
 }
 
 // readBody reads a short body to its end, which also releases its connection.
-func (d *dispatch) whole(r *Answer, resp *http.Response) error {
-	r.Whole = make([]byte, r.Length)
-	if _, err := io.ReadFull(resp.Body, r.Whole); err != nil {
+func (d *dispatch) readBody(r *Response, resp *http.Response) error {
+	r.Buffered = make([]byte, r.Length)
+	if _, err := io.ReadFull(resp.Body, r.Buffered); err != nil {
 		return errors.WithMessage(err, "reading the response")
 	}
 	if _, err := resp.Body.Read(make([]byte, 1)); err != io.EOF {
 		return errors.WithMessage(io.ErrUnexpectedEOF, "reading the end of the response")
 	}
 	resp.Body.Close()
-	d.end(errClosed)
+	d.release(errResponseClosed)
 	return nil
 }
 
 // streamedBody is a response body whose Read fails when the target sends nothing
 // for too long.
-type stream struct {
-	src   io.ReadCloser
-	d     *dispatch
-	a     *Answer
-	resp  *http.Response
-	timer *time.Timer
+type streamedBody struct {
+	src          io.ReadCloser
+	dispatch     *dispatch
+	response     *Response
+	httpResponse *http.Response
+	timer        *time.Timer
 }
 
-func (s *stream) Read(p []byte) (n int, err error) {
+func (s *streamedBody) Read(p []byte) (n int, err error) {
 	if s.timer == nil {
-		s.timer = time.AfterFunc(s.d.stall, func() { s.d.cancel(errStalled) })
+		s.timer = time.AfterFunc(s.dispatch.stallTimeout, func() { s.dispatch.cancel(errStalled) })
 	} else {
-		s.timer.Reset(s.d.stall)
+		s.timer.Reset(s.dispatch.stallTimeout)
 	}
 	n, err = s.src.Read(p)
 	s.timer.Stop()
 	if err == io.EOF {
-		s.a.Trailer = s.resp.Trailer
+		s.response.Trailer = s.httpResponse.Trailer
 		return n, err
 	}
 	if err != nil {
@@ -163,14 +163,14 @@
 }
 
 // cause returns the reason why the dispatch was cancelled, or else err.
-func (s *stream) cause(err error) error {
-	if cause := context.Cause(s.d.ctx); cause != nil {
+func (s *streamedBody) cause(err error) error {
+	if cause := context.Cause(s.dispatch.ctx); cause != nil {
 		return cause
 	}
 	return err
 }
 
-func (s *stream) Close() error {
-	s.d.end(errClosed)
+func (s *streamedBody) Close() error {
+	s.dispatch.release(errResponseClosed)
 	return s.src.Close()
 }
--- a/internal/forward/ask.go
+++ b/internal/forward/ask.go
@@ -12,17 +12,17 @@
 )
 
 // maxProbeBody is the longest body of a probe response that is read, in bytes.
-const maxAsk = 4 << 10
+const maxProbeBody = 4 << 10
 
 // Probe sends a GET to a target on one of the connections that requests use, so
 // that a probe needs no connection of its own.
-func (f *Forwarder) Ask(ctx context.Context, target, path string) (status int, h http.Header, err error) {
+func (f *Forwarder) Probe(ctx context.Context, target, path string) (status int, h http.Header, err error) {
 	defer func() { err = errors.WithMessage(err, "probing "+target) }()
 	u := url.URL{Scheme: "http", Host: target, Path: path}
 	var used atomic.Pointer[conn]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		if c, ok := info.Conn.(*conn); ok {
-			c.begin()
+			c.beginRequest()
 			used.Store(c)
 		}
 	}})
@@ -36,16 +36,16 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	if f.cfg.Echo != "" && resp.Header.Get(f.cfg.Echo) != "" {
+	if f.cfg.EchoHeader != "" && resp.Header.Get(f.cfg.EchoHeader) != "" {
 		// This is the response to an earlier request on the connection. The
 		// response to the probe would follow, and would be taken for the response
 		// to the next request.
 		if c := used.Load(); c != nil {
 			c.Close()
 		}
-		return 0, nil, errStale
+		return 0, nil, errStaleConnection
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAsk)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxProbeBody)); err != nil {
 		return 0, nil, err
 	}
 	return resp.StatusCode, resp.Header, nil
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -12,57 +12,57 @@
 
 // body is the body of an outgoing request. It is streamed from the caller.
 type body struct {
-	src io.Reader
-	in  http.Header // caller's trailer; complete at the end of src
-	out http.Header // trailer of the outgoing request
+	src           io.Reader
+	callerTrailer http.Header // caller's trailer; complete at the end of src
+	targetTrailer http.Header // trailer of the outgoing request
 
-	left int64 // bytes not yet read; negative if the length is unknown
-	once bool  // src is set; it can be read only once
-	read atomic.Bool
+	remaining   int64 // bytes not yet read; negative if the length is unknown
+	streamed    bool  // src is set; it can be read only once
+	readStarted atomic.Bool
 
-	mu     sync.Mutex
-	failed error
+	mu      sync.Mutex
+	readErr error
 }
 
 // openBody returns the body for the transport. Even an empty body is neither nil
 // nor http.NoBody, which prevents the transport from resending the request (see
 // the package comment).
-func (d *dispatch) open(trailer http.Header) io.ReadCloser {
-	b, p := &d.body, d.try
-	b.in, b.out = p.Request.Trailer, trailer
+func (d *dispatch) openBody(trailer http.Header) io.ReadCloser {
+	b, p := &d.body, d.params
+	b.callerTrailer, b.targetTrailer = p.Request.Trailer, trailer
 	if p.Stream == nil {
-		b.trail()
+		b.copyTrailer()
 		return io.NopCloser(bytes.NewReader(p.Body))
 	}
-	b.src, b.left, b.once = p.Stream, p.Length, true
+	b.src, b.remaining, b.streamed = p.Stream, p.Length, true
 	return b
 }
 
 // Read records a read error of the caller's body, so that it isn't attributed to
 // the target.
 func (b *body) Read(p []byte) (n int, err error) {
-	b.read.Store(true)
+	b.readStarted.Store(true)
 	n, err = b.src.Read(p)
-	b.left -= int64(n)
-	if err == io.EOF && b.left > 0 {
+	b.remaining -= int64(n)
+	if err == io.EOF && b.remaining > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	if err == io.EOF {
-		b.trail()
+		b.copyTrailer()
 		return n, err
 	}
 	if err != nil {
 		b.mu.Lock()
-		b.failed = errors.WithMessage(err, "reading the request body")
+		b.readErr = errors.WithMessage(err, "reading the request body")
 		b.mu.Unlock()
 	}
 	return n, err
 }
 
 // copyTrailer copies the values of the declared trailers.
-func (b *body) trail() {
-	for k := range b.out {
-		b.out[k] = b.in[k]
+func (b *body) copyTrailer() {
+	for k := range b.targetTrailer {
+		b.targetTrailer[k] = b.callerTrailer[k]
 	}
 }
 
@@ -72,13 +72,13 @@
 }
 
 // consumed reports whether a streamed body was read, which rules out sending it again.
-func (b *body) used() bool {
-	return b.once && b.read.Load()
+func (b *body) consumed() bool {
+	return b.streamed && b.readStarted.Load()
 }
 
 // err returns the read error of the caller's body.
 func (b *body) err() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.failed
+	return b.readErr
 }
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -21,21 +21,21 @@
 // for the response to the next request.
 type conn struct {
 	net.Conn
-	raw    syscall.RawConn
-	sent   atomic.Int64 // bytes that the kernel accepted, and those of a write in progress
-	broken atomic.Bool  // the target ended the connection
-	got    atomic.Int64 // bytes read since the start or the first write of the current request
-	idle   atomic.Bool  // nothing of the current request was written yet
-
-	mu     sync.Mutex // held for each read and for the peek before a write
-	peek   func(fd uintptr)
-	silent bool // result of peekFunc: open, with nothing to read
-	pull   func(fd uintptr) bool
-	pulled pulled
+	rawConn   syscall.RawConn
+	written   atomic.Int64 // bytes that the kernel accepted, and those of a write in progress
+	broken    atomic.Bool  // the target ended the connection
+	received  atomic.Int64 // bytes read since the start or the first write of the current request
+	unwritten atomic.Bool  // nothing of the current request was written yet
+
+	mu       sync.Mutex // held for each read and for the peek before a write
+	peekFunc func(fd uintptr)
+	empty    bool // result of peekFunc: open, with nothing to read
+	readFunc func(fd uintptr) bool
+	op       readOp
 }
 
 // readOp is the argument and the result of one read.
-type pulled struct {
+type readOp struct {
 	p   []byte
 	n   int
 	err error
@@ -48,9 +48,9 @@
 		return nil, errors.Errorf("found %T, expected a connection with a file descriptor", c)
 	}
 	k = &conn{Conn: c}
-	k.peek = k.peekFD
-	k.pull = k.pullFD
-	k.raw, err = sc.SyscallConn()
+	k.peekFunc = k.peekFD
+	k.readFunc = k.readFD
+	k.rawConn, err = sc.SyscallConn()
 	return k, err
 }
 
@@ -58,14 +58,14 @@
 func (c *conn) peekFD(fd uintptr) {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	c.silent = err == syscall.EAGAIN
+	c.empty = err == syscall.EAGAIN
 }
 
 // readFD reads without blocking, and returns false if there is nothing to read yet.
-func (c *conn) pullFD(fd uintptr) bool {
+func (c *conn) readFD(fd uintptr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &c.pulled
+	r := &c.op
 	r.n, r.err = syscall.Read(int(fd), r.p)
 	for r.err == syscall.EINTR {
 		r.n, r.err = syscall.Read(int(fd), r.p)
@@ -74,7 +74,7 @@
 	if r.err == syscall.EAGAIN {
 		return false
 	}
-	c.got.Add(int64(r.n))
+	c.received.Add(int64(r.n))
 	return true
 }
 
@@ -83,49 +83,49 @@
 	if len(p) == 0 {
 		return 0, nil
 	}
-	c.pulled = pulled{p: p}
-	err = c.raw.Read(c.pull)
-	n = c.pulled.n
+	c.op = readOp{p: p}
+	err = c.rawConn.Read(c.readFunc)
+	n = c.op.n
 	switch {
 	case err != nil:
-	case c.pulled.err != nil:
-		err = os.NewSyscallError("read", c.pulled.err)
+	case c.op.err != nil:
+		err = os.NewSyscallError("read", c.op.err)
 	case n == 0:
 		err = io.EOF
 	}
-	c.pulled = pulled{}
-	c.note(err)
+	c.op = readOp{}
+	c.recordError(err)
 	return n, err
 }
 
 // Write counts the bytes before the system call and corrects the count after it,
 // so that a write in progress is never taken for no write.
 func (c *conn) Write(p []byte) (n int, err error) {
-	if c.idle.Load() && !c.quiet() {
-		return 0, errStale
+	if c.unwritten.Load() && !c.startWrite() {
+		return 0, errStaleConnection
 	}
-	c.sent.Add(int64(len(p)))
+	c.written.Add(int64(len(p)))
 	n, err = c.Conn.Write(p)
-	c.sent.Add(int64(n - len(p)))
-	c.note(err)
+	c.written.Add(int64(n - len(p)))
+	c.recordError(err)
 	return n, err
 }
 
 // ReadFrom sends a request body. Without it, the transport's io.Copy would
 // allocate a buffer for each body.
 func (c *conn) ReadFrom(r io.Reader) (n int64, err error) {
-	buf := chunks.Get().(*[chunk]byte)
-	defer chunks.Put(buf)
-	return io.CopyBuffer(writer{c}, r, buf[:])
+	buf := copyBuffers.Get().(*[copyBufferSize]byte)
+	defer copyBuffers.Put(buf)
+	return io.CopyBuffer(writerOnly{c}, r, buf[:])
 }
 
 // writerOnly hides ReadFrom, which io.CopyBuffer would otherwise call recursively.
-type writer struct {
+type writerOnly struct {
 	io.Writer
 }
 
 // recordError marks the connection as broken unless this process closed it.
-func (c *conn) note(err error) {
+func (c *conn) recordError(err error) {
 	if err != nil && !errors.Is(err, net.ErrClosed) {
 		c.broken.Store(true)
 	}
@@ -133,10 +133,10 @@
 
 // beginRequest starts a request on the connection and returns the number of bytes
 // written before.
-func (c *conn) begin() int64 {
-	c.got.Store(0)
-	c.idle.Store(true)
-	return c.sent.Load()
+func (c *conn) beginRequest() int64 {
+	c.received.Store(0)
+	c.unwritten.Store(true)
+	return c.written.Load()
 }
 
 // startWrite runs just before the first write of a request. It reports whether
@@ -147,19 +147,19 @@
 // written to a connection with unread bytes would receive the response to an
 // earlier request. startWrite writes nothing, so a request that fails here did
 // not run.
-func (c *conn) quiet() bool {
+func (c *conn) startWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sent.Load() > 0 && (c.got.Load() > 0 || c.raw.Control(c.peek) != nil || !c.silent) {
+	if c.written.Load() > 0 && (c.received.Load() > 0 || c.rawConn.Control(c.peekFunc) != nil || !c.empty) {
 		return false
 	}
-	c.got.Store(0)
-	c.idle.Store(false)
+	c.received.Store(0)
+	c.unwritten.Store(false)
 	return true
 }
 
 // stale reports whether a response that begins now was read before the request
 // was written, and so belongs to an earlier request.
 func (c *conn) stale() bool {
-	return c.idle.Load() || c.got.Load() == 0
+	return c.unwritten.Load() || c.received.Load() == 0
 }
--- a/internal/forward/conn_test.go
+++ b/internal/forward/conn_test.go
@@ -13,19 +13,19 @@
 
 // The dispatch is cancelled if the first byte of the response was read before the
 // request was written.
-func TestAnswerBeforeTheRequestIsStale(t *testing.T) {
+func TestResponseBeforeRequestIsStale(t *testing.T) {
 	tests := []struct {
 		name  string
 		steps func(k *conn)
 		stale bool
 	}{
-		{"nothing written", func(k *conn) { k.begin() }, true},
+		{"nothing written", func(k *conn) { k.beginRequest() }, true},
 		{"written, nothing read since", func(k *conn) {
-			k.begin()
+			k.beginRequest()
 			_, _ = k.Write([]byte("GET"))
 		}, true},
 		{"written, then read", func(k *conn) {
-			k.begin()
+			k.beginRequest()
 			_, _ = k.Write([]byte("GET"))
 			_, _ = k.Read(make([]byte, 9))
 		}, false},
@@ -33,14 +33,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			target := newRaw(t, func(p *peer) {
-				p.say(ok)
+			target := newRaw(t, func(p *targetConn) {
+				p.write(ok)
 				p.request()
 			})
 			tcp, err := net.Dial("tcp", target.addr())
 			c.Assert(err, qt.IsNil)
 			defer tcp.Close()
-			var w watch
+			var w transportTrace
 			var ctx context.Context
 			ctx, w.cancel = context.WithCancelCause(context.Background())
 			k, err := newConn(tcp)
@@ -49,7 +49,7 @@
 			tt.steps(k)
 			w.firstByte()
 			c.Assert(w.stale.Load(), qt.Equals, tt.stale)
-			c.Assert(context.Cause(ctx) == errStale, qt.Equals, tt.stale)
+			c.Assert(context.Cause(ctx) == errStaleConnection, qt.Equals, tt.stale)
 		})
 	}
 }
@@ -57,21 +57,21 @@
 // A reused connection has unread bytes, or its target has closed it, and the
 // transport's read loop has not run since. A request written there would receive
 // those bytes as its response, or none at all, so it must not be written.
-func TestWriteNeedsQuietConnection(t *testing.T) {
+func TestWriteNeedsEmptyConnection(t *testing.T) {
 	tests := []struct {
 		name  string
-		after func(p *peer) // what the target does after the first request
+		after func(p *targetConn) // what the target does after the first request
 		quiet bool
 	}{
-		{"silent", func(*peer) {}, true},
-		{"bytes left", func(p *peer) { p.say(ok) }, false},
-		{"closed", func(p *peer) { p.Close() }, false},
-		{"reset", (*peer).reset, false},
+		{"silent", func(*targetConn) {}, true},
+		{"bytes left", func(p *targetConn) { p.write(ok) }, false},
+		{"closed", func(p *targetConn) { p.Close() }, false},
+		{"reset", (*targetConn).reset, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			target := newRaw(t, func(p *peer) {
+			target := newRaw(t, func(p *targetConn) {
 				p.request()
 				tt.after(p)
 				p.request()
@@ -82,30 +82,30 @@
 			k, err := newConn(tcp)
 			c.Assert(err, qt.IsNil)
 			const get = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
-			start := k.begin()
+			start := k.beginRequest()
 			_, err = k.Write([]byte(get))
 			c.Assert(err, qt.IsNil)
-			c.Assert(k.sent.Load() > start, qt.IsTrue)
-			start = k.begin()
+			c.Assert(k.written.Load() > start, qt.IsTrue)
+			start = k.beginRequest()
 			eventually(c, func() bool {
-				_ = k.raw.Control(k.peek)
-				return k.silent == tt.quiet
+				_ = k.rawConn.Control(k.peekFunc)
+				return k.empty == tt.quiet
 			})
 			n, err := k.Write([]byte(get))
-			c.Assert(err == errStale, qt.Equals, !tt.quiet, qt.Commentf("%v", err))
+			c.Assert(err == errStaleConnection, qt.Equals, !tt.quiet, qt.Commentf("%v", err))
 			c.Assert(n > 0, qt.Equals, tt.quiet)
-			c.Assert(k.sent.Load() > start, qt.Equals, tt.quiet)
+			c.Assert(k.written.Load() > start, qt.Equals, tt.quiet)
 		})
 	}
 }
 
 // Reading bytes from the kernel and counting them is one step. A reader that is
 // woken while the peek before a write holds the lock must not read any bytes.
-func TestReadWaitsForThePeek(t *testing.T) {
+func TestReadWaitsForPeek(t *testing.T) {
 	c := qt.New(t)
-	target := newRaw(t, func(p *peer) {
+	target := newRaw(t, func(p *targetConn) {
 		p.request()
-		p.say(ok)
+		p.write(ok)
 		p.request()
 	})
 	tcp, err := net.Dial("tcp", target.addr())
@@ -123,15 +123,15 @@
 	c.Assert(err, qt.IsNil)
 	for i := 0; i < 20; i++ {
 		eventually(c, func() bool {
-			_ = k.raw.Control(k.peek)
-			return !k.silent
+			_ = k.rawConn.Control(k.peekFunc)
+			return !k.empty
 		})
-		c.Assert(k.got.Load(), qt.Equals, int64(0))
+		c.Assert(k.received.Load(), qt.Equals, int64(0))
 		time.Sleep(time.Millisecond)
 	}
 	k.mu.Unlock()
 	c.Assert(<-read, qt.Equals, len(ok))
-	c.Assert(k.got.Load(), qt.Equals, int64(len(ok)))
+	c.Assert(k.received.Load(), qt.Equals, int64(len(ok)))
 }
 
 // A target closes an idle connection, and the transport has not read from it
@@ -140,9 +140,9 @@
 func TestClosedIdleConnection(t *testing.T) {
 	c := qt.New(t)
 	closed := make(chan struct{})
-	target := newRaw(t, func(p *peer) {
+	target := newRaw(t, func(p *targetConn) {
 		if p.request() != nil {
-			p.say(ok)
+			p.write(ok)
 			p.Close()
 			closed <- struct{}{}
 		}
@@ -157,7 +157,7 @@
 			<-closed
 			continue
 		}
-		c.Assert(fail.Ran, qt.Equals, call.DidNotRun, qt.Commentf("%v", fail))
-		c.Assert(fail.Replay, qt.IsTrue)
+		c.Assert(fail.Execution, qt.Equals, call.DidNotRun, qt.Commentf("%v", fail))
+		c.Assert(fail.Replayable, qt.IsTrue)
 	}
 }
--- a/internal/forward/copy_test.go
+++ b/internal/forward/copy_test.go
@@ -17,44 +17,44 @@
 // The target's response ends early in each possible way. The caller must get an
 // error: either a response of plumpitch, or a connection that breaks before the
 // end of the response. It must never read a partial body that ends properly.
-func TestCutAnswerIsNeverWhole(t *testing.T) {
+func TestCutResponseIsNeverComplete(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	chunks := head + "Transfer-Encoding: chunked\r\n\r\n"
 	long := strings.Repeat("x", 100_000)
 	tests := []struct {
 		name  string
 		say   string
-		end   func(p *peer)
+		end   func(p *targetConn)
 		whole string // complete body at the caller; empty if it is cut
 	}{
-		{"short, whole", answer("veil"), nil, "veil"},
-		{"long, whole", answer(long), nil, long},
+		{"short, whole", okResponse("veil"), nil, "veil"},
+		{"long, whole", okResponse(long), nil, long},
 		{"chunks, whole", chunks + "4\r\nveil\r\n0\r\n\r\n", nil, "veil"},
 		{"short, closed", head + "Content-Length: 9\r\n\r\nveil", nil, ""},
 		{"long, closed", head + "Content-Length: 100001\r\n\r\n" + long, nil, ""},
-		{"long, reset", head + "Content-Length: 100001\r\n\r\n" + long, (*peer).reset, ""},
+		{"long, reset", head + "Content-Length: 100001\r\n\r\n" + long, (*targetConn).reset, ""},
 		{"chunks, closed between", chunks + "4\r\nveil\r\n", nil, ""},
 		{"chunks, closed within", chunks + "9\r\nveil", nil, ""},
 		{"chunks, closed before the last line", chunks + "4\r\nveil\r\n0\r\n", nil, ""},
 		{"chunks, closed at once", chunks, nil, ""},
-		{"chunks, reset", chunks + "4\r\nveil\r\n", (*peer).reset, ""},
+		{"chunks, reset", chunks + "4\r\nveil\r\n", (*targetConn).reset, ""},
 		{"chunks, broken", chunks + "4\r\nveil\r\nzz\r\n", nil, ""},
-		{"chunks, silent", chunks + "4\r\nveil\r\n", func(p *peer) { p.request() }, ""},
+		{"chunks, silent", chunks + "4\r\nveil\r\n", func(p *targetConn) { p.request() }, ""},
 		{"neither length nor chunks", head + "\r\nveil", nil, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			target := newRaw(t, func(p *peer) {
+			target := newRaw(t, func(p *targetConn) {
 				p.request()
-				p.say(tt.say)
+				p.write(tt.say)
 				if tt.end != nil {
 					tt.end(p)
 				}
 			})
-			f := New(Config{Stall: 100 * time.Millisecond})
+			f := New(Config{StallTimeout: 100 * time.Millisecond})
 			defer f.Close()
-			s := front(t, f, target.addr(), nil)
+			s := newEntry(t, f, target.addr(), nil)
 			resp, err := s.Client().Get(s.URL)
 			var body []byte
 			if err == nil {
@@ -90,7 +90,7 @@
 			close(stopped)
 		}))
 		f := New(Config{})
-		s := front(t, f, host(target), nil)
+		s := newEntry(t, f, serverAddr(target), nil)
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
 			<-working
@@ -104,7 +104,7 @@
 		}
 		select {
 		case <-stopped:
-		case <-time.After(bound):
+		case <-time.After(maxWait):
 			c.Fatal("cancellation did not reach the target")
 		}
 		target.Close()
@@ -113,7 +113,7 @@
 
 // Each part of the request body is echoed before the caller sends the next, and
 // both trailers follow at the end.
-func TestStreamsBothWays(t *testing.T) {
+func TestBidirectionalStreaming(t *testing.T) {
 	c := qt.New(t)
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctl := http.NewResponseController(w)
@@ -136,7 +136,7 @@
 	defer target.Close()
 	f := New(Config{})
 	defer f.Close()
-	s := front(t, f, host(target), nil)
+	s := newEntry(t, f, serverAddr(target), nil)
 	out, in := io.Pipe()
 	r, err := http.NewRequest("POST", s.URL, out)
 	c.Assert(err, qt.IsNil)
--- a/internal/forward/cross_test.go
+++ b/internal/forward/cross_test.go
@@ -13,7 +13,7 @@
 )
 
 // okResponse returns a complete response with the given body.
-func answer(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
@@ -21,45 +21,45 @@
 // one response. The next caller's request follows at once, and must get its own
 // response or an error. Bytes left over from the first request could reach it as
 // its response.
-func TestNoAnswerReachesAnotherCaller(t *testing.T) {
+func TestResponseNeverReachesAnotherCaller(t *testing.T) {
 	const rounds = 50
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"
 	tests := []struct {
 		name  string
-		first func(p *peer, pause func())
+		first func(p *targetConn, pause func())
 		late  bool // the request times out when the target calls pause
 		names bool // the target echoes the request id and doesn't call pause
 	}{
-		{"response after the timeout", func(p *peer, pause func()) {
+		{"response after the timeout", func(p *targetConn, pause func()) {
 			pause()
-			p.say(answer("/1"))
+			p.write(okResponse("/1"))
 		}, true, false},
-		{"half a body, the rest after the timeout", func(p *peer, pause func()) {
-			p.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n/1")
+		{"half a body, the rest after the timeout", func(p *targetConn, pause func()) {
+			p.write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n/1")
 			pause()
-			p.say("/1\n" + answer("/1"))
+			p.write("/1\n" + okResponse("/1"))
 		}, true, false},
-		{"response closed within its body", func(p *peer, pause func()) {
-			p.say(chunked)
+		{"response closed within its body", func(p *targetConn, pause func()) {
+			p.write(chunked)
 			pause()
-			p.say("2\r\n/1\r\n0\r\n\r\n")
+			p.write("2\r\n/1\r\n0\r\n\r\n")
 		}, false, false},
-		{"two responses at once", func(p *peer, pause func()) {
-			p.say(answer("/1") + answer("/1"))
+		{"two responses at once", func(p *targetConn, pause func()) {
+			p.write(okResponse("/1") + okResponse("/1"))
 			pause()
 		}, false, false},
-		{"two responses, the first empty", func(p *peer, pause func()) {
-			p.say(answer("") + answer("/1"))
+		{"two responses, the first empty", func(p *targetConn, pause func()) {
+			p.write(okResponse("") + okResponse("/1"))
 			pause()
 		}, false, false},
-		{"second response before the next request", func(p *peer, pause func()) {
-			p.say(answer("/1"))
-			p.say(answer("/1"))
+		{"second response before the next request", func(p *targetConn, pause func()) {
+			p.write(okResponse("/1"))
+			p.write(okResponse("/1"))
 			pause()
 		}, false, false},
-		{"second response at any time", func(p *peer, _ func()) {
-			p.answer("/1")
-			p.answer("/1")
+		{"second response at any time", func(p *targetConn, _ func()) {
+			p.respond("/1")
+			p.respond("/1")
 		}, false, true},
 	}
 	for _, tt := range tests {
@@ -70,23 +70,23 @@
 				reached <- struct{}{}
 				<-released
 			}
-			target := newRaw(t, func(p *peer) {
+			target := newRaw(t, func(p *targetConn) {
 				for r := p.request(); r != nil; r = p.request() {
-					if p.name = ""; tt.names {
-						p.name = r.Header.Get(call.HeaderRequest)
+					if p.echoID = ""; tt.names {
+						p.echoID = r.Header.Get(call.HeaderRequest)
 					}
 					if r.URL.Path == "/1" {
 						tt.first(p, pause)
 					} else {
-						p.answer(r.URL.Path)
+						p.respond(r.URL.Path)
 					}
 				}
 			})
 			f := New(Config{MaxConns: 1})
 			defer f.Close()
-			send := func(ctx context.Context, path string) (*Answer, *Failure) {
+			send := func(ctx context.Context, path string) (*Response, *Failure) {
 				r := httptest.NewRequest("GET", path, nil)
-				return f.Dispatch(ctx, Try{Target: target.addr(), Request: r, Timeout: bound})
+				return f.Dispatch(ctx, DispatchParams{Target: target.addr(), Request: r, Timeout: maxWait})
 			}
 			first := func() {
 				ctx, cancel := context.WithCancelCause(context.Background())
@@ -118,14 +118,14 @@
 			for range rounds {
 				first()
 				if resp, _ := send(context.Background(), "/2"); resp != nil {
-					c.Assert(string(resp.Whole), qt.Equals, "/2")
+					c.Assert(string(resp.Buffered), qt.Equals, "/2")
 					succeeded++
 				}
 				resp, fail := send(context.Background(), "/3")
 				for ; resp == nil; resp, fail = send(context.Background(), "/3") {
 					c.Assert(fail != nil, qt.IsTrue)
 				}
-				c.Assert(string(resp.Whole), qt.Equals, "/3")
+				c.Assert(string(resp.Buffered), qt.Equals, "/3")
 			}
 			t.Logf("%d of %d requests succeeded", succeeded, rounds)
 		})
@@ -135,12 +135,12 @@
 // Many callers send different requests over a few connections. The target
 // responds after different delays, and every third request has a timeout of 1 ms.
 // Each caller must get its own response.
-func TestEachCallerGetsItsOwn(t *testing.T) {
+func TestConcurrentCallersGetOwnResponses(t *testing.T) {
 	c := qt.New(t)
-	target := newRaw(t, func(p *peer) {
+	target := newRaw(t, func(p *targetConn) {
 		for r := p.request(); r != nil; r = p.request() {
 			time.Sleep(time.Duration(len(r.URL.Path)%3) * time.Millisecond)
-			p.say(answer(r.URL.Path))
+			p.write(okResponse(r.URL.Path))
 		}
 	})
 	f := New(Config{MaxConns: 8})
@@ -151,16 +151,16 @@
 		go func() {
 			for j := range each {
 				path := fmt.Sprintf("/%d/%0*d", i, 1+j%5, j)
-				timeout := bound
+				timeout := maxWait
 				if (i+j)%3 == 0 {
 					timeout = time.Millisecond
 				}
 				r := httptest.NewRequest("GET", path, nil)
-				resp, fail := f.Dispatch(context.Background(), Try{Target: target.addr(), Request: r, Timeout: timeout})
+				resp, fail := f.Dispatch(context.Background(), DispatchParams{Target: target.addr(), Request: r, Timeout: timeout})
 				switch {
-				case fail == nil && string(resp.Whole) != path:
-					results <- path + " got " + string(resp.Whole)
-				case fail != nil && timeout == bound:
+				case fail == nil && string(resp.Buffered) != path:
+					results <- path + " got " + string(resp.Buffered)
+				case fail != nil && timeout == maxWait:
 					results <- path + " " + fail.Error()
 				default:
 					results <- ""
@@ -179,12 +179,12 @@
 func TestLosingHedgeIsDropped(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
-	target := newRaw(t, func(p *peer) {
+	target := newRaw(t, func(p *targetConn) {
 		for r := p.request(); r != nil; r = p.request() {
 			if r.URL.Path == "/slow" {
 				<-release
 			}
-			p.say(answer(r.URL.Path))
+			p.write(okResponse(r.URL.Path))
 		}
 	})
 	f := New(Config{MaxConns: 2})
@@ -193,15 +193,15 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		slow := make(chan *Failure)
 		go func() {
-			resp, fail := f.Dispatch(ctx, Try{Target: target.addr(), Request: httptest.NewRequest("GET", "/slow", nil)})
+			resp, fail := f.Dispatch(ctx, DispatchParams{Target: target.addr(), Request: httptest.NewRequest("GET", "/slow", nil)})
 			if resp != nil {
 				resp.Close()
 			}
 			slow <- fail
 		}()
-		resp, fail := f.Dispatch(context.Background(), Try{Target: target.addr(), Request: httptest.NewRequest("GET", "/fast", nil), Timeout: bound})
+		resp, fail := f.Dispatch(context.Background(), DispatchParams{Target: target.addr(), Request: httptest.NewRequest("GET", "/fast", nil), Timeout: maxWait})
 		c.Assert(fail == nil, qt.IsTrue)
-		c.Assert(string(resp.Whole), qt.Equals, "/fast")
+		c.Assert(string(resp.Buffered), qt.Equals, "/fast")
 		cancel()
 		c.Assert(<-slow != nil, qt.IsTrue)
 		select {
--- a/internal/forward/dispatch.go
+++ b/internal/forward/dispatch.go
@@ -14,7 +14,7 @@
 )
 
 // DispatchParams describes one dispatch of a request.
-type Try struct {
+type DispatchParams struct {
 	Target  string        // host:port
 	Request *http.Request // as received; not modified
 	Path    string        // escaped path at the target; if empty, that of Request
@@ -27,30 +27,30 @@
 	Header  http.Header   // added to the request; replaces the caller's headers of the same name
 	// TimeoutHeader returns further such headers for the remaining part of Timeout. It is
 	// called once a connection is obtained, since waiting for one uses up part of Timeout.
-	Timed func(left time.Duration) http.Header
+	TimeoutHeader func(left time.Duration) http.Header
 }
 
 // Dispatch sends the request to its target once. Exactly one of the results is
 // not nil. Until the response is closed, cancelling ctx cancels the request at
 // the target.
-func (f *Forwarder) Dispatch(ctx context.Context, p Try) (*Answer, *Failure) {
-	d := &dispatch{try: &p, parent: ctx, began: time.Now(), stall: f.cfg.Stall, echo: f.cfg.Echo}
-	d.id = strconv.FormatUint(f.sent.Add(1), 36)
+func (f *Forwarder) Dispatch(ctx context.Context, p DispatchParams) (*Response, *Failure) {
+	d := &dispatch{params: &p, parent: ctx, started: time.Now(), stallTimeout: f.cfg.StallTimeout, echoHeader: f.cfg.EchoHeader}
+	d.id = strconv.FormatUint(f.lastID.Add(1), 36)
 	d.ctx, d.cancel = context.WithCancelCause(ctx)
-	d.watch.cancel = d.cancel
+	d.trace.cancel = d.cancel
 	if p.Timeout > 0 {
 		d.timer = time.AfterFunc(p.Timeout, func() { d.cancel(errTimeout) })
 	}
-	req, err := d.request(d.watch.attach(d.ctx))
+	req, err := d.newRequest(d.trace.attach(d.ctx))
 	if err != nil {
 		return nil, d.fail(nil, err)
 	}
-	d.watch.connected = func() { d.timed(req.Header) }
+	d.trace.onConnected = func() { d.setTimeoutHeaders(req.Header) }
 	resp, err := d.roundTrip(f.transport, req)
 	if err != nil {
 		return nil, d.fail(nil, err)
 	}
-	r, err := d.answer(resp, f)
+	r, err := d.readResponse(resp, f)
 	if err != nil {
 		resp.Body.Close()
 		return nil, d.fail(resp, err)
@@ -60,32 +60,32 @@
 
 // dispatch is the state of one Dispatch call until its response is closed.
 type dispatch struct {
-	try    *Try
-	parent context.Context
-	began  time.Time
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	timer  *time.Timer
-	stall  time.Duration
-	id     string // identifies the response
-	echo   string // Config.EchoHeader
-	body   body
-	watch  watch
+	params       *DispatchParams
+	parent       context.Context
+	started      time.Time
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	timer        *time.Timer
+	stallTimeout time.Duration
+	id           string // identifies the response
+	echoHeader   string // Config.EchoHeader
+	body         body
+	trace        transportTrace
 }
 
 // setTimeoutHeaders sets the headers that contain the remaining time.
-func (d *dispatch) timed(h http.Header) {
-	if d.try.Timeout <= 0 {
+func (d *dispatch) setTimeoutHeaders(h http.Header) {
+	if d.params.Timeout <= 0 {
 		return
 	}
-	left := max(d.try.Timeout-time.Since(d.began), 0)
-	if d.echo == "" {
+	left := max(d.params.Timeout-time.Since(d.started), 0)
+	if d.echoHeader == "" {
 		h.Set(call.HeaderTimeout, left.String())
 	}
-	if d.try.Timed == nil {
+	if d.params.TimeoutHeader == nil {
 		return
 	}
-	for k, v := range d.try.Timed(left) {
+	for k, v := range d.params.TimeoutHeader(left) {
 		h[k] = v
 	}
 }
@@ -106,22 +106,22 @@
 // fail ends the dispatch and returns the stage at which it failed. resp is nil if no
 // response head was received.
 func (d *dispatch) fail(resp *http.Response, err error) *Failure {
-	if d.watch.stale.Load() {
-		resp, err = nil, errStale
+	if d.trace.stale.Load() {
+		resp, err = nil, errStaleConnection
 	}
-	f := &Failure{Target: d.try.Target, Cause: err}
+	f := &Failure{Target: d.params.Target, Cause: err}
 	if resp != nil {
 		f.Status, f.Header = resp.StatusCode, resp.Header
 	}
 	f.Stage = d.stage(f.Status, err)
-	f.Ran = d.watch.ran()
-	f.Replay = !d.body.used()
-	f.Connect = d.watch.connect()
-	if success(f.Status) {
-		f.Ran = call.DidRun
+	f.Execution = d.trace.execution()
+	f.Replayable = !d.body.consumed()
+	f.ConnectTime = d.trace.connectTime()
+	if isSuccess(f.Status) {
+		f.Execution = call.DidRun
 	}
-	d.end(err)
-	d.watch.drop()
+	d.release(err)
+	d.trace.closeConn()
 	return f
 }
 
@@ -136,11 +136,11 @@
 		return call.StageCancelled
 	case d.body.err() != nil:
 		return call.StageCaller
-	case d.watch.conn.Load() == nil:
+	case d.trace.conn.Load() == nil:
 		return connectStage(err)
-	case d.watch.ran() == call.DidNotRun:
+	case d.trace.execution() == call.DidNotRun:
 		return call.StageUnsent
-	case !d.watch.broken() || err == errUnframed:
+	case !d.trace.broken() || err == errUnframed:
 		return call.StageInvalid
 	case status != 0:
 		return call.StageCut
@@ -158,12 +158,12 @@
 
 // isSuccess reports whether the status alone shows that the request ran. With
 // another status, the target may have refused to start it.
-func success(status int) bool {
+func isSuccess(status int) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
 // release stops the timer and cancels the context.
-func (d *dispatch) end(cause error) {
+func (d *dispatch) release(cause error) {
 	if d.timer != nil {
 		d.timer.Stop()
 	}
--- a/internal/forward/failure_test.go
+++ b/internal/forward/failure_test.go
@@ -17,45 +17,45 @@
 )
 
 // post returns the parameters of a POST dispatch, without a target.
-func post(body string) Try {
+func post(body string) DispatchParams {
 	r := httptest.NewRequest("POST", "/deposit", strings.NewReader(body))
-	return Try{Request: r, Body: []byte(body), Timeout: bound}
+	return DispatchParams{Request: r, Body: []byte(body), Timeout: maxWait}
 }
 
 // A dispatch fails at each stage. A failure with DidNotRun makes the caller
 // receive not-run, so it must never occur for a request of which the target has
 // received any byte. The target's byte count verifies this.
-func TestFailureTellsWhatMayHaveRun(t *testing.T) {
+func TestFailureStageAndExecution(t *testing.T) {
 	big := strings.Repeat("x", 8<<20)
-	refused := newRaw(t, func(*peer) {})
+	refused := newRaw(t, func(*targetConn) {})
 	refused.Close()
-	respond := func(s string) func(*peer) {
-		return func(p *peer) {
+	respond := func(s string) func(*targetConn) {
+		return func(p *targetConn) {
 			p.request()
-			p.say(s)
+			p.write(s)
 		}
 	}
-	silent := func(p *peer) {
+	silent := func(p *targetConn) {
 		p.request()
 		p.request()
 	}
 	tests := []struct {
 		name   string
-		serve  func(p *peer)
-		edit   func(*Try)
+		serve  func(p *targetConn)
+		edit   func(*DispatchParams)
 		stages []call.Stage
 		ran    []call.Execution // allowed values; nil if any
 	}{
-		{"closed before the write", func(p *peer) { p.reset() }, nil, []call.Stage{call.StageConnect, call.StageUnsent, call.StageSent}, nil},
-		{"reset in the middle of the write", func(p *peer) {
+		{"closed before the write", func(p *targetConn) { p.reset() }, nil, []call.Stage{call.StageConnect, call.StageUnsent, call.StageSent}, nil},
+		{"reset in the middle of the write", func(p *targetConn) {
 			_, _ = p.br.Peek(10)
 			p.reset()
-		}, func(t *Try) { t.Body = []byte(big) }, []call.Stage{call.StageSent}, []call.Execution{call.MayHaveRun}},
-		{"reset after the write", func(p *peer) {
+		}, func(t *DispatchParams) { t.Body = []byte(big) }, []call.Stage{call.StageSent}, []call.Execution{call.MayHaveRun}},
+		{"reset after the write", func(p *targetConn) {
 			p.request()
 			p.reset()
 		}, nil, []call.Stage{call.StageSent}, []call.Execution{call.MayHaveRun}},
-		{"closed after the write", func(p *peer) { p.request() }, nil, []call.Stage{call.StageSent}, []call.Execution{call.MayHaveRun}},
+		{"closed after the write", func(p *targetConn) { p.request() }, nil, []call.Stage{call.StageSent}, []call.Execution{call.MayHaveRun}},
 		{"closed within the head", respond("HTTP/1.1 200 OK\r\nContent-"), nil, []call.Stage{call.StageSent}, []call.Execution{call.MayHaveRun}},
 		{"closed within a short body", respond("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), nil, []call.Stage{call.StageCut}, []call.Execution{call.DidRun}},
 		{"closed within an error", respond("HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nhalf"), nil, []call.Stage{call.StageCut}, []call.Execution{call.MayHaveRun}},
@@ -64,20 +64,20 @@
 		{"protocols switched", respond("HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), nil, []call.Stage{call.StageInvalid}, []call.Execution{call.MayHaveRun}},
 		{"two lengths", respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok!"), nil, []call.Stage{call.StageInvalid}, []call.Execution{call.MayHaveRun}},
 		{"head too long", respond("HTTP/1.1 200 OK\r\nX: " + big[:1<<20]), nil, []call.Stage{call.StageInvalid, call.StageSent}, []call.Execution{call.MayHaveRun}},
-		{"silent", silent, func(t *Try) { t.Timeout = 20 * time.Millisecond }, []call.Stage{call.StageTimeout}, []call.Execution{call.MayHaveRun}},
-		{"silent within a short body", func(p *peer) {
+		{"silent", silent, func(t *DispatchParams) { t.Timeout = 20 * time.Millisecond }, []call.Stage{call.StageTimeout}, []call.Execution{call.MayHaveRun}},
+		{"silent within a short body", func(p *targetConn) {
 			p.request()
-			p.say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
+			p.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			p.request()
-		}, func(t *Try) { t.Timeout = 50 * time.Millisecond }, []call.Stage{call.StageTimeout}, []call.Execution{call.DidRun, call.MayHaveRun}},
-		{"caller's body breaks", silent, func(t *Try) {
+		}, func(t *DispatchParams) { t.Timeout = 50 * time.Millisecond }, []call.Stage{call.StageTimeout}, []call.Execution{call.DidRun, call.MayHaveRun}},
+		{"caller's body breaks", silent, func(t *DispatchParams) {
 			t.Stream, t.Length = io.MultiReader(strings.NewReader("half"), iotest.ErrReader(io.ErrUnexpectedEOF)), -1
 		}, []call.Stage{call.StageCaller}, nil},
-		{"caller's body is short", silent, func(t *Try) {
+		{"caller's body is short", silent, func(t *DispatchParams) {
 			t.Stream, t.Length = strings.NewReader("half"), 9
 		}, []call.Stage{call.StageCaller}, nil},
-		{"refused", nil, func(t *Try) { t.Target = refused.addr() }, []call.Stage{call.StageRefused}, []call.Execution{call.DidNotRun}},
-		{"no such port", nil, func(t *Try) { t.Target = "127.0.0.1:70000" }, []call.Stage{call.StageConnect}, []call.Execution{call.DidNotRun}},
+		{"refused", nil, func(t *DispatchParams) { t.Target = refused.addr() }, []call.Stage{call.StageRefused}, []call.Execution{call.DidNotRun}},
+		{"no such port", nil, func(t *DispatchParams) { t.Target = "127.0.0.1:70000" }, []call.Stage{call.StageConnect}, []call.Execution{call.DidNotRun}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -93,13 +93,13 @@
 			resp, fail := f.Dispatch(context.Background(), params)
 			c.Assert(resp == nil, qt.IsTrue)
 			c.Assert(fail != nil, qt.IsTrue)
-			comment := qt.Commentf("%v, ran %d", fail, fail.Ran)
+			comment := qt.Commentf("%v, ran %d", fail, fail.Execution)
 			c.Assert(fmt.Sprint(tt.stages), qt.Contains, fail.Stage.String(), comment)
 			if tt.ran != nil {
-				c.Assert(fmt.Sprint(tt.ran), qt.Contains, fmt.Sprint(fail.Ran), comment)
+				c.Assert(fmt.Sprint(tt.ran), qt.Contains, fmt.Sprint(fail.Execution), comment)
 			}
-			c.Assert(fail.Replay, qt.Equals, params.Stream == nil)
-			if fail.Ran == call.DidNotRun {
+			c.Assert(fail.Replayable, qt.Equals, params.Stream == nil)
+			if fail.Execution == call.DidNotRun {
 				c.Assert(target.bytes.Load(), qt.Equals, int64(0), comment)
 			}
 			c.Assert(target.requests.Load() <= 1, qt.IsTrue)
@@ -112,10 +112,10 @@
 func TestWaitForConnectionDoesNotRun(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
-	target := newRaw(t, func(p *peer) {
+	target := newRaw(t, func(p *targetConn) {
 		p.request()
 		<-release
-		p.say(ok)
+		p.write(ok)
 		p.request()
 	})
 	f := New(Config{MaxConns: 1})
@@ -133,14 +133,14 @@
 	params.Target, params.Timeout, params.Stream, params.Length = target.addr(), 10*time.Millisecond, strings.NewReader("gown"), 4
 	_, fail := f.Dispatch(context.Background(), params)
 	c.Assert(fail.Stage, qt.Equals, call.StageTimeout)
-	c.Assert(fail.Ran, qt.Equals, call.DidNotRun)
-	c.Assert(fail.Replay, qt.IsTrue)
+	c.Assert(fail.Execution, qt.Equals, call.DidNotRun)
+	c.Assert(fail.Replayable, qt.IsTrue)
 
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, fail = f.Dispatch(ctx, params)
 	c.Assert(fail.Stage, qt.Equals, call.StageCancelled)
-	c.Assert(fail.Ran, qt.Equals, call.DidNotRun)
+	c.Assert(fail.Execution, qt.Equals, call.DidNotRun)
 	close(release)
 	c.Assert(<-first == nil, qt.IsTrue)
 	c.Assert(target.requests.Load(), qt.Equals, int64(1))
@@ -168,18 +168,18 @@
 		{"PUT", nil, "veil"},
 		{"POST", nil, ""},
 	}
-	ends := map[string]func(*peer){
-		"closed": func(*peer) {},
-		"reset":  (*peer).reset,
-		"half":   func(p *peer) { p.say("HTTP/1.1 200 OK\r\nX") },
+	ends := map[string]func(*targetConn){
+		"closed": func(*targetConn) {},
+		"reset":  (*targetConn).reset,
+		"half":   func(p *targetConn) { p.write("HTTP/1.1 200 OK\r\nX") },
 	}
 	for _, tt := range tests {
 		for name, end := range ends {
 			t.Run(fmt.Sprint(tt.method, tt.header, len(tt.body), name), func(t *testing.T) {
 				c := qt.New(t)
-				target := newRaw(t, func(p *peer) {
+				target := newRaw(t, func(p *targetConn) {
 					p.request()
-					p.say(ok)
+					p.write(ok)
 					if p.request() != nil {
 						end(p)
 					}
@@ -195,9 +195,9 @@
 				for k, v := range tt.header {
 					r.Header[k] = v
 				}
-				_, fail = f.Dispatch(context.Background(), Try{Target: target.addr(), Request: r, Body: []byte(tt.body), Timeout: bound})
+				_, fail = f.Dispatch(context.Background(), DispatchParams{Target: target.addr(), Request: r, Body: []byte(tt.body), Timeout: maxWait})
 				c.Assert(fail != nil, qt.IsTrue, qt.Commentf("request succeeded, %d runs", target.requests.Load()))
-				c.Assert(fail.Ran, qt.Equals, call.MayHaveRun, qt.Commentf("%v", fail))
+				c.Assert(fail.Execution, qt.Equals, call.MayHaveRun, qt.Commentf("%v", fail))
 				c.Assert(target.conns.Load(), qt.Equals, int64(1))
 				c.Assert(target.requests.Load(), qt.Equals, int64(2))
 			})
@@ -208,7 +208,7 @@
 // eventually waits up to maxWait for a condition.
 func eventually(c *qt.C, condition func() bool) {
 	c.Helper()
-	for end := time.Now().Add(bound); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(maxWait); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			c.Fatal("condition not reached before the timeout")
 		}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -48,45 +48,45 @@
 
 // Config of a Forwarder. Zero fields take the defaults.
 type Config struct {
-	MaxConns  int           // connections to one target; default 200
-	MaxHeader int64         // bytes of a response head; default 64 KiB
-	Connect   time.Duration // timeout for a TCP connection; default 1 s
-	Idle      time.Duration // idle connections are closed after this time; default 4 s
-	Stall     time.Duration // longest pause within a response body; default 30 s
-	Whole     int64         // responses up to this many bytes are buffered before they are forwarded; default 32 KiB
+	MaxConns         int           // connections to one target; default 200
+	MaxHeaderBytes   int64         // bytes of a response head; default 64 KiB
+	ConnectTimeout   time.Duration // timeout for a TCP connection; default 1 s
+	IdleTimeout      time.Duration // idle connections are closed after this time; default 4 s
+	StallTimeout     time.Duration // longest pause within a response body; default 30 s
+	MaxBufferedBytes int64         // responses up to this many bytes are buffered before they are forwarded; default 32 KiB
 	// UnackedTimeout is how long sent bytes may stay unacknowledged before the
 	// connection counts as lost; 0 uses the system's default. Without it, each
 	// request sent on a connection that died without a reset waits until its
 	// deadline.
-	Silence time.Duration
+	UnackedTimeout time.Duration
 	// EchoHeader names the header in which callers send an id that targets copy
 	// to their responses. If it is set, end-to-end headers are forwarded
 	// unchanged in both directions, and a response body may end with its
 	// connection. If it is empty, plumpitch's own headers are used.
-	Echo string
+	EchoHeader string
 }
 
 const (
-	defaultMaxConns  = 200
-	defaultMaxHeader = 64 << 10
-	defaultConnect   = time.Second
-	defaultIdle      = 4 * time.Second
-	defaultStall     = 30 * time.Second
-	defaultWhole     = 32 << 10
+	defaultMaxConns         = 200
+	defaultMaxHeaderBytes   = 64 << 10
+	defaultConnectTimeout   = time.Second
+	defaultIdleTimeout      = 4 * time.Second
+	defaultStallTimeout     = 30 * time.Second
+	defaultMaxBufferedBytes = 32 << 10
 )
 
 // Forwarder sends requests to targets. It is safe for concurrent use.
 type Forwarder struct {
-	cfg       Config
-	transport *http.Transport
-	malformed atomic.Uint64
-	sent      atomic.Uint64
+	cfg            Config
+	transport      *http.Transport
+	malformedLoads atomic.Uint64
+	lastID         atomic.Uint64
 }
 
 // New returns a Forwarder with a transport of its own.
 func New(cfg Config) *Forwarder {
 	cfg = cfg.withDefaults()
-	dialer := net.Dialer{Timeout: cfg.Connect, Control: silence(cfg.Silence)}
+	dialer := net.Dialer{Timeout: cfg.ConnectTimeout, Control: unackedTimeout(cfg.UnackedTimeout)}
 	f := &Forwarder{cfg: cfg}
 	f.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -100,8 +100,8 @@
 		MaxIdleConns:           0,
 		MaxIdleConnsPerHost:    cfg.MaxConns,
 		MaxConnsPerHost:        cfg.MaxConns,
-		IdleConnTimeout:        cfg.Idle,
-		MaxResponseHeaderBytes: cfg.MaxHeader,
+		IdleConnTimeout:        cfg.IdleTimeout,
+		MaxResponseHeaderBytes: cfg.MaxHeaderBytes,
 		Protocols:              new(http.Protocols),
 	}
 	f.transport.Protocols.SetHTTP1(true)
@@ -112,20 +112,20 @@
 	if c.MaxConns <= 0 {
 		c.MaxConns = defaultMaxConns
 	}
-	if c.MaxHeader <= 0 {
-		c.MaxHeader = defaultMaxHeader
+	if c.MaxHeaderBytes <= 0 {
+		c.MaxHeaderBytes = defaultMaxHeaderBytes
 	}
-	if c.Connect <= 0 {
-		c.Connect = defaultConnect
+	if c.ConnectTimeout <= 0 {
+		c.ConnectTimeout = defaultConnectTimeout
 	}
-	if c.Idle <= 0 {
-		c.Idle = defaultIdle
+	if c.IdleTimeout <= 0 {
+		c.IdleTimeout = defaultIdleTimeout
 	}
-	if c.Stall <= 0 {
-		c.Stall = defaultStall
+	if c.StallTimeout <= 0 {
+		c.StallTimeout = defaultStallTimeout
 	}
-	if c.Whole <= 0 {
-		c.Whole = defaultWhole
+	if c.MaxBufferedBytes <= 0 {
+		c.MaxBufferedBytes = defaultMaxBufferedBytes
 	}
 	return c
 }
@@ -136,20 +136,20 @@
 }
 
 // MalformedLoads returns how many load reports could not be parsed.
-func (f *Forwarder) Malformed() uint64 {
-	return f.malformed.Load()
+func (f *Forwarder) MalformedLoads() uint64 {
+	return f.malformedLoads.Load()
 }
 
 // Failure describes a dispatch that didn't receive a complete response.
 type Failure struct {
-	Target  string
-	Stage   call.Stage
-	Ran     call.Execution
-	Status  int           // of the response head, if one was received
-	Header  http.Header   // of the response head, if one was received
-	Replay  bool          // the request body can be sent again
-	Connect time.Duration // time until a connection was obtained; 0 if there was none
-	Cause   error
+	Target      string
+	Stage       call.Stage
+	Execution   call.Execution
+	Status      int           // of the response head, if one was received
+	Header      http.Header   // of the response head, if one was received
+	Replayable  bool          // the request body can be sent again
+	ConnectTime time.Duration // time until a connection was obtained; 0 if there was none
+	Cause       error
 }
 
 // Error names the target, the stage and the cause.
@@ -164,11 +164,11 @@
 
 // Causes with which the context of a dispatch is cancelled.
 var (
-	errTimeout  = errors.New("timeout waiting for the response")
-	errStalled  = errors.New("response body stalled")
-	errStale    = errors.New("connection unusable or response received before the request was written")
-	errResent   = errors.New("transport tried to resend the request")
-	errUnframed = errors.New("response has neither Content-Length nor chunked encoding")
-	errUpgrade  = errors.New("response switches protocols without a request to do so")
-	errClosed   = errors.New("response was closed")
+	errTimeout           = errors.New("timeout waiting for the response")
+	errStalled           = errors.New("response body stalled")
+	errStaleConnection   = errors.New("connection unusable or response received before the request was written")
+	errResent            = errors.New("transport tried to resend the request")
+	errUnframed          = errors.New("response has neither Content-Length nor chunked encoding")
+	errUnexpectedUpgrade = errors.New("response switches protocols without a request to do so")
+	errResponseClosed    = errors.New("response was closed")
 )
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -15,18 +15,18 @@
 )
 
 // maxWait is how long a test waits for a condition at most.
-const bound = 10 * time.Second
+const maxWait = 10 * time.Second
 
 // serverAddr returns the host:port of a test server.
-func host(s *httptest.Server) string {
+func serverAddr(s *httptest.Server) string {
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
 // newEntry starts a server that forwards all requests to one target, as an entry does.
-func front(t testing.TB, f *Forwarder, target string, edit func(*Try)) *httptest.Server {
+func newEntry(t testing.TB, f *Forwarder, target string, edit func(*DispatchParams)) *httptest.Server {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		params := Try{Target: target, Request: r, Stream: r.Body, Length: r.ContentLength}
+		params := DispatchParams{Target: target, Request: r, Stream: r.Body, Length: r.ContentLength}
 		if edit != nil {
 			edit(&params)
 		}
@@ -41,7 +41,7 @@
 	return s
 }
 
-func TestDispatchPassesRequestAndAnswer(t *testing.T) {
+func TestDispatch(t *testing.T) {
 	c := qt.New(t)
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -53,9 +53,9 @@
 	f := New(Config{})
 	defer f.Close()
 	r := httptest.NewRequest("POST", "/a%2Fb?x=1", strings.NewReader("veil"))
-	resp, fail := f.Dispatch(context.Background(), Try{Target: host(target), Request: r, Body: []byte("veil"), Timeout: bound})
+	resp, fail := f.Dispatch(context.Background(), DispatchParams{Target: serverAddr(target), Request: r, Body: []byte("veil"), Timeout: maxWait})
 	c.Assert(fail == nil, qt.IsTrue, qt.Commentf("%v", fail))
 	c.Assert(resp.Status, qt.Equals, http.StatusCreated)
-	c.Assert(string(resp.Whole), qt.Equals, "POST veil")
+	c.Assert(string(resp.Buffered), qt.Equals, "POST veil")
 	c.Assert(resp.Header.Get("X-Path"), qt.Equals, "/a%2Fb?x=1")
 }
--- a/internal/forward/header_test.go
+++ b/internal/forward/header_test.go
@@ -27,8 +27,8 @@
 	}
 	r := httptest.NewRequest("GET", "/gowns", nil)
 	r.Header, r.Host, r.RemoteAddr = in, `hall.example:80"`, "[::1]:5000"
-	params := Try{Request: r, Timeout: 250 * time.Millisecond, Attempt: 1, Depth: 2, Header: http.Header{"Traceparent": {"00-1"}}}
-	c.Assert(params.header(), qt.DeepEquals, http.Header{
+	params := DispatchParams{Request: r, Timeout: 250 * time.Millisecond, Attempt: 1, Depth: 2, Header: http.Header{"Traceparent": {"00-1"}}}
+	c.Assert(params.targetHeader(), qt.DeepEquals, http.Header{
 		"Accept": {"a", "b"}, "Te": {"trailers"}, "Plumpitchy": {"1"}, "Idempotency-Key": {"k1"}, "User-Agent": nil,
 		"X-Forwarded-For": {"10.0.0.1, ::1"}, "X-Forwarded-Proto": {"http"}, "X-Forwarded-Host": {`hall.example:80"`},
 		"Forwarded":        {`for=10.0.0.1, for="[::1]";host="hall.example:80\"";proto=http`},
@@ -41,7 +41,7 @@
 
 // An empty body is sent without chunked encoding, and with "content-length: 0" if
 // the method usually has a body.
-func TestFrameOfTheRequest(t *testing.T) {
+func TestRequestFraming(t *testing.T) {
 	tests := []struct {
 		method, body string
 		stream       bool
@@ -57,7 +57,7 @@
 	for _, tt := range tests {
 		c := qt.New(t)
 		heads := make(chan string, 1)
-		target := newRaw(t, func(p *peer) {
+		target := newRaw(t, func(p *targetConn) {
 			var lines []string
 			for {
 				line, err := p.br.ReadString('\n')
@@ -69,10 +69,10 @@
 				}
 			}
 			heads <- strings.Join(lines, ";")
-			p.say(ok)
+			p.write(ok)
 		})
 		f := New(Config{})
-		params := Try{Target: target.addr(), Request: httptest.NewRequest(tt.method, "/", nil), Body: []byte(tt.body), Timeout: bound}
+		params := DispatchParams{Target: target.addr(), Request: httptest.NewRequest(tt.method, "/", nil), Body: []byte(tt.body), Timeout: maxWait}
 		if tt.stream {
 			params.Stream, params.Length = strings.NewReader(tt.body), int64(len(tt.body))
 		}
@@ -88,20 +88,20 @@
 // not-run of another request.
 func TestHeadersForTheCaller(t *testing.T) {
 	c := qt.New(t)
-	target := newRaw(t, func(p *peer) {
+	target := newRaw(t, func(p *targetConn) {
 		p.request()
-		p.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 5\r\nX-A: 1\r\nX-A: 2\r\n" +
+		p.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 5\r\nX-A: 1\r\nX-A: 2\r\n" +
 			"Plumpitch-Outcome: not-run\r\nPlumpitch-Load: inflight=3 leaving\r\n\r\nok")
 	})
 	f := New(Config{})
 	defer f.Close()
-	resp, fail := f.Dispatch(context.Background(), Try{Target: target.addr(), Request: httptest.NewRequest("GET", "/", nil), Timeout: bound})
+	resp, fail := f.Dispatch(context.Background(), DispatchParams{Target: target.addr(), Request: httptest.NewRequest("GET", "/", nil), Timeout: maxWait})
 	c.Assert(fail == nil, qt.IsTrue)
 	c.Assert(resp.Header, qt.DeepEquals, http.Header{"Content-Length": {"2"}, "X-A": {"1", "2"}})
-	c.Assert(resp.Load, qt.Equals, Load{Known: true, Inflight: 3, Leaving: true})
+	c.Assert(resp.Load, qt.Equals, Load{Known: true, InFlight: 3, Leaving: true})
 }
 
-var loads = []struct {
+var loadTests = []struct {
 	in   string
 	want Load
 	ok   bool
@@ -109,37 +109,37 @@
 	{"inflight=3 leaving", Load{true, 3, true, false}, true},
 	{"shed", Load{true, -1, false, true}, true},
 	{" leaving  inflight=0 ", Load{true, 0, true, false}, true},
-	{"", Load{Inflight: -1}, false},
-	{"inflight=", Load{Inflight: -1}, false},
-	{"inflight=-1", Load{Inflight: -1}, false},
-	{"inflight=1048577", Load{Inflight: -1}, false},
-	{"inflight=1 inflight=2", Load{Inflight: -1}, false},
-	{"leaving leaving", Load{Inflight: -1}, false},
-	{"leaving now", Load{Inflight: -1}, false},
-	{"inflight=3" + strings.Repeat(" ", 200), Load{Inflight: -1}, false},
+	{"", Load{InFlight: -1}, false},
+	{"inflight=", Load{InFlight: -1}, false},
+	{"inflight=-1", Load{InFlight: -1}, false},
+	{"inflight=1048577", Load{InFlight: -1}, false},
+	{"inflight=1 inflight=2", Load{InFlight: -1}, false},
+	{"leaving leaving", Load{InFlight: -1}, false},
+	{"leaving now", Load{InFlight: -1}, false},
+	{"inflight=3" + strings.Repeat(" ", 200), Load{InFlight: -1}, false},
 }
 
 func TestParseLoad(t *testing.T) {
 	f := New(Config{})
-	for _, tt := range loads {
+	for _, tt := range loadTests {
 		c := qt.New(t)
 		got, ok := ParseLoad(tt.in)
 		c.Check(got, qt.Equals, tt.want, qt.Commentf("%q", tt.in))
 		c.Check(ok, qt.Equals, tt.ok, qt.Commentf("%q", tt.in))
-		f.load(http.Header{call.HeaderLoad: {tt.in}})
+		f.readLoad(http.Header{call.HeaderLoad: {tt.in}})
 	}
-	f.load(http.Header{call.HeaderLoad: {"leaving", "leaving"}})
-	f.load(http.Header{})
-	qt.Assert(t, f.Malformed(), qt.Equals, uint64(9))
+	f.readLoad(http.Header{call.HeaderLoad: {"leaving", "leaving"}})
+	f.readLoad(http.Header{})
+	qt.Assert(t, f.MalformedLoads(), qt.Equals, uint64(9))
 }
 
 func FuzzParseLoad(f *testing.F) {
-	for _, tt := range loads {
+	for _, tt := range loadTests {
 		f.Add(tt.in)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
 		l, ok := ParseLoad(s)
-		if ok != l.Known || l.Inflight < -1 || l.Inflight > maxInflight || !ok && l != (Load{Inflight: -1}) {
+		if ok != l.Known || l.InFlight < -1 || l.InFlight > maxInFlight || !ok && l != (Load{InFlight: -1}) {
 			t.Fatalf("%q: %+v %v", s, l, ok)
 		}
 	})
@@ -180,7 +180,7 @@
 	b.Run("forward", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, fail := f.Dispatch(b.Context(), Try{Target: host(target), Request: r, Timeout: bound}); fail != nil {
+			if _, fail := f.Dispatch(b.Context(), DispatchParams{Target: serverAddr(target), Request: r, Timeout: maxWait}); fail != nil {
 				b.Fatal(fail)
 			}
 		}
--- a/internal/forward/load.go
+++ b/internal/forward/load.go
@@ -11,26 +11,26 @@
 // Load is the load report of a target, received with a response.
 type Load struct {
 	Known    bool // the response had a valid report
-	Inflight int  // requests that the target is running; negative if not reported
+	InFlight int  // requests that the target is running; negative if not reported
 	Leaving  bool // the target is leaving and must get no new requests
 	Shed     bool // the target did not start this request
 }
 
 const (
-	maxLoad     = 128     // bytes of a report
-	maxInflight = 1 << 20 // largest valid number of requests
+	maxLoadBytes = 128     // bytes of a report
+	maxInFlight  = 1 << 20 // largest valid number of requests
 )
 
 // readLoad returns the load report of a response and counts a malformed one.
-func (f *Forwarder) load(h http.Header) Load {
+func (f *Forwarder) readLoad(h http.Header) Load {
 	values := h[call.HeaderLoad]
 	if len(values) == 0 {
-		return Load{Inflight: -1}
+		return Load{InFlight: -1}
 	}
 	l, ok := ParseLoad(values[0])
 	if !ok || len(values) > 1 {
-		f.malformed.Add(1)
-		return Load{Inflight: -1}
+		f.malformedLoads.Add(1)
+		return Load{InFlight: -1}
 	}
 	return l
 }
@@ -39,13 +39,13 @@
 // separated by spaces, each at most once. A report with any other field is
 // malformed.
 func ParseLoad(s string) (l Load, ok bool) {
-	none := Load{Inflight: -1}
+	none := Load{InFlight: -1}
 	l = none
-	if len(s) > maxLoad {
+	if len(s) > maxLoadBytes {
 		return none, false
 	}
 	for field := range strings.FieldsSeq(s) {
-		if !l.take(field) {
+		if !l.parseField(field) {
 			return none, false
 		}
 		l.Known = true
@@ -54,7 +54,7 @@
 }
 
 // parseField parses one field, and reports whether it is valid and not a repetition.
-func (l *Load) take(field string) bool {
+func (l *Load) parseField(field string) bool {
 	switch field {
 	case "leaving":
 		ok := !l.Leaving
@@ -67,9 +67,9 @@
 	}
 	digits, ok := strings.CutPrefix(field, "inflight=")
 	n, err := strconv.ParseUint(digits, 10, 32)
-	if !ok || err != nil || n > maxInflight || l.Inflight >= 0 {
+	if !ok || err != nil || n > maxInFlight || l.InFlight >= 0 {
 		return false
 	}
-	l.Inflight = int(n)
+	l.InFlight = int(n)
 	return true
 }
--- a/internal/forward/raw_test.go
+++ b/internal/forward/raw_test.go
@@ -16,7 +16,7 @@
 
 // rawTarget is a target for which a test writes each byte of the responses. It
 // counts what it receives, to verify which requests may have run.
-type raw struct {
+type rawTarget struct {
 	net.Listener
 	conns    atomic.Int64
 	bytes    atomic.Int64
@@ -24,18 +24,18 @@
 }
 
 // targetConn is one connection of a rawTarget.
-type peer struct {
+type targetConn struct {
 	net.Conn
 	br     *bufio.Reader
-	target *raw
-	name   string // request id to echo in responses; empty to omit it
+	target *rawTarget
+	echoID string // request id to echo in responses; empty to omit it
 }
 
-func newRaw(t testing.TB, serve func(p *peer)) *raw {
+func newRaw(t testing.TB, serve func(p *targetConn)) *rawTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	r := &raw{Listener: l}
+	r := &rawTarget{Listener: l}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -44,7 +44,7 @@
 				return
 			}
 			r.conns.Add(1)
-			p := &peer{Conn: c, target: r}
+			p := &targetConn{Conn: c, target: r}
 			p.br = bufio.NewReader(p)
 			go func() {
 				defer c.Close()
@@ -55,11 +55,11 @@
 	return r
 }
 
-func (r *raw) addr() string {
+func (r *rawTarget) addr() string {
 	return r.Addr().String()
 }
 
-func (p *peer) Read(b []byte) (int, error) {
+func (p *targetConn) Read(b []byte) (int, error) {
 	n, err := p.Conn.Read(b)
 	p.target.bytes.Add(int64(n))
 	return n, err
@@ -67,7 +67,7 @@
 
 // request reads and counts one complete request. It returns nil if the connection
 // ends first.
-func (p *peer) request() *http.Request {
+func (p *targetConn) request() *http.Request {
 	r, err := http.ReadRequest(p.br)
 	if err != nil {
 		return nil
@@ -80,21 +80,21 @@
 }
 
 // write sends s and ignores errors: the connection may be closed already.
-func (p *peer) say(s string) {
+func (p *targetConn) write(s string) {
 	_, _ = io.WriteString(p.Conn, s)
 }
 
 // respond writes a response, with the request id if one is set.
-func (p *peer) answer(body string) {
-	s := answer(body)
-	if p.name != "" {
-		s = strings.Replace(s, "\r\n", "\r\n"+call.HeaderRequest+": "+p.name+"\r\n", 1)
+func (p *targetConn) respond(body string) {
+	s := okResponse(body)
+	if p.echoID != "" {
+		s = strings.Replace(s, "\r\n", "\r\n"+call.HeaderRequest+": "+p.echoID+"\r\n", 1)
 	}
-	p.say(s)
+	p.write(s)
 }
 
 // reset closes the connection with a TCP RST.
-func (p *peer) reset() {
+func (p *targetConn) reset() {
 	_ = p.Conn.(*net.TCPConn).SetLinger(0)
 	p.Close()
 }
--- a/internal/forward/refuse.go
+++ b/internal/forward/refuse.go
@@ -11,10 +11,10 @@
 
 // refusal is the JSON body of a response that plumpitch generates itself.
 type refusal struct {
-	Outcome string `json:"outcome"`
-	Reason  string `json:"reason"`
-	Detail  string `json:"detail"`
-	Retry   int64  `json:"retry"` // milliseconds
+	Outcome    string `json:"outcome"`
+	Reason     string `json:"reason"`
+	Detail     string `json:"detail"`
+	RetryAfter int64  `json:"retry"` // milliseconds
 }
 
 // Refuse writes a response that plumpitch generates itself.
@@ -25,9 +25,9 @@
 	h.Set("Cache-Control", "no-store")
 	if f.RetryAfter > 0 {
 		h.Set(call.HeaderRetryAfter, strconv.FormatInt(int64((f.RetryAfter+time.Second-1)/time.Second), 10))
-		h.Set(call.HeaderRetry, strconv.FormatInt(millis(f.RetryAfter), 10))
+		h.Set(call.HeaderRetry, strconv.FormatInt(ceilMillis(f.RetryAfter), 10))
 	}
-	body, err := json.Marshal(refusal{f.Outcome.String(), string(f.Reason), f.Detail, millis(f.RetryAfter)})
+	body, err := json.Marshal(refusal{f.Outcome.String(), string(f.Reason), f.Detail, ceilMillis(f.RetryAfter)})
 	if err != nil {
 		body = []byte(`{}`)
 	}
@@ -40,6 +40,6 @@
 }
 
 // ceilMillis rounds up, so that a short delay never becomes 0, an immediate retry.
-func millis(d time.Duration) int64 {
+func ceilMillis(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -22,10 +22,10 @@
 }
 
 // newRequest builds the request for the target.
-func (d *dispatch) request(ctx context.Context) (req *http.Request, err error) {
+func (d *dispatch) newRequest(ctx context.Context) (req *http.Request, err error) {
 	defer func() { err = errors.WithMessage(err, "building the request for the target") }()
-	p, in := d.try, d.try.Request
-	u, err := target(p)
+	p, in := d.params, d.params.Request
+	u, err := targetURL(p)
 	if err != nil {
 		return nil, err
 	}
@@ -33,16 +33,16 @@
 		Method:  in.Method,
 		URL:     u,
 		Host:    in.Host,
-		Header:  d.header(),
-		Trailer: trailer(in.Trailer),
+		Header:  d.requestHeader(),
+		Trailer: declaredTrailer(in.Trailer),
 	}
-	out.Body = d.open(out.Trailer)
-	frame(out, p)
+	out.Body = d.openBody(out.Trailer)
+	setFraming(out, p)
 	return out.WithContext(ctx), nil
 }
 
 // targetURL returns the URL of the request at the target.
-func target(p *Try) (u *url.URL, err error) {
+func targetURL(p *DispatchParams) (u *url.URL, err error) {
 	in := p.Request.URL
 	u = &url.URL{Scheme: "http", Host: p.Target, Path: in.Path, RawPath: in.RawPath, RawQuery: in.RawQuery, ForceQuery: in.ForceQuery}
 	if p.Path == "" {
@@ -55,7 +55,7 @@
 
 // setFraming sets how the end of the body is marked. "identity" stops the
 // transport from reading ahead in an empty body or sending it in chunks.
-func frame(out *http.Request, p *Try) {
+func setFraming(out *http.Request, p *DispatchParams) {
 	length := int64(len(p.Body))
 	if p.Stream != nil {
 		length = p.Length
@@ -69,14 +69,14 @@
 	default:
 		out.ContentLength = -1
 		out.TransferEncoding = []string{"identity"}
-		emptyLength(out)
+		setEmptyLength(out)
 	}
 }
 
 // setEmptyLength adds "content-length: 0" for the methods that usually have a
 // body. The transport drops a Content-Length header with the canonical name, and
 // it isn't given a length here, so the name is written in lower case.
-func emptyLength(out *http.Request) {
+func setEmptyLength(out *http.Request) {
 	switch out.Method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
 		out.Header["content-length"] = []string{"0"}
@@ -85,13 +85,13 @@
 
 // declaredTrailer returns the trailer names to declare to the target. The values
 // follow at the end of the body.
-func trailer(in http.Header) http.Header {
+func declaredTrailer(in http.Header) http.Header {
 	if len(in) == 0 {
 		return nil
 	}
 	out := make(http.Header, len(in))
 	for k := range in {
-		if !own(k) && !hopByHop[k] {
+		if !isOwnHeader(k) && !hopByHop[k] {
 			out[k] = nil
 		}
 	}
@@ -100,44 +100,44 @@
 
 // isOwnHeader reports whether a header is one of plumpitch's. Some servers treat
 // an underscore as a hyphen, so that spelling counts as well.
-func own(name string) bool {
+func isOwnHeader(name string) bool {
 	n := len(call.HeaderPrefix) - 1
 	return len(name) > n && (name[n] == '-' || name[n] == '_') && strings.EqualFold(name[:n], call.HeaderPrefix[:n])
 }
 
 // requestHeader returns the headers for the target. With an echo header, it also
 // sets the id that identifies the response.
-func (d *dispatch) header() http.Header {
-	if d.echo == "" {
-		h := d.try.header()
+func (d *dispatch) requestHeader() http.Header {
+	if d.echoHeader == "" {
+		h := d.params.targetHeader()
 		h[call.HeaderRequest] = []string{d.id}
 		return h
 	}
-	h := make(http.Header, len(d.try.Request.Header)+len(d.try.Header))
-	copyHeader(h, d.try.Request.Header, nil)
+	h := make(http.Header, len(d.params.Request.Header)+len(d.params.Header))
+	copyHeader(h, d.params.Request.Header, nil)
 	if _, ok := h["User-Agent"]; !ok {
 		h["User-Agent"] = nil
 	}
-	for k, v := range d.try.Header {
+	for k, v := range d.params.Header {
 		h[k] = v
 	}
-	d.id = h.Get(d.echo)
+	d.id = h.Get(d.echoHeader)
 	return h
 }
 
 // targetHeader returns the caller's headers that the target may see, and the
 // headers that plumpitch adds.
-func (p *Try) header() http.Header {
+func (p *DispatchParams) targetHeader() http.Header {
 	in := p.Request.Header
 	out := make(http.Header, len(in)+8)
-	copyHeader(out, in, own)
-	if lists(in["Te"], "trailers") {
+	copyHeader(out, in, isOwnHeader)
+	if containsToken(in["Te"], "trailers") {
 		out["Te"] = []string{"trailers"}
 	}
 	if _, ok := out["User-Agent"]; !ok {
 		out["User-Agent"] = nil
 	}
-	p.forwarded(out)
+	p.addForwarded(out)
 	if p.Timeout > 0 {
 		out.Set(call.HeaderTimeout, p.Timeout.String())
 	}
@@ -154,7 +154,7 @@
 func copyHeader(out, in http.Header, skip func(name string) bool) {
 	connection := in["Connection"]
 	for k, v := range in {
-		if hopByHop[k] || skip != nil && skip(k) || len(connection) > 0 && lists(connection, k) {
+		if hopByHop[k] || skip != nil && skip(k) || len(connection) > 0 && containsToken(connection, k) {
 			continue
 		}
 		out[k] = v
@@ -163,7 +163,7 @@
 
 // containsToken reports whether the comma-separated values contain name. Case and
 // parameters are ignored.
-func lists(values []string, name string) bool {
+func containsToken(values []string, name string) bool {
 	for _, v := range values {
 		for part := range strings.SplitSeq(v, ",") {
 			token, _, _ := strings.Cut(part, ";")
@@ -176,7 +176,7 @@
 }
 
 // addForwarded adds the caller to the X-Forwarded-* and Forwarded headers.
-func (p *Try) forwarded(out http.Header) {
+func (p *DispatchParams) addForwarded(out http.Header) {
 	host, _, err := net.SplitHostPort(p.Request.RemoteAddr)
 	if err != nil {
 		host = "unknown"
@@ -185,29 +185,29 @@
 	if p.Request.TLS != nil {
 		proto = "https"
 	}
-	out["X-Forwarded-For"] = []string{appended(out["X-Forwarded-For"], host)}
+	out["X-Forwarded-For"] = []string{joinValues(out["X-Forwarded-For"], host)}
 	out["X-Forwarded-Proto"] = []string{proto}
 	out["X-Forwarded-Host"] = []string{p.Request.Host}
-	out["Forwarded"] = []string{appended(out["Forwarded"], element(host, p.Request.Host, proto))}
+	out["Forwarded"] = []string{joinValues(out["Forwarded"], forwardedElement(host, p.Request.Host, proto))}
 }
 
 // joinValues appends v to a comma-separated list.
-func appended(old []string, v string) string {
+func joinValues(old []string, v string) string {
 	if len(old) == 0 {
 		return v
 	}
 	return strings.Join(old, ", ") + ", " + v
 }
 
-var quoted = strings.NewReplacer(`\`, `\\`, `"`, `\"`)
+var quoteEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`)
 
 // forwardedElement returns one element of a Forwarded header (RFC 7239).
-func element(ip, host, proto string) string {
+func forwardedElement(ip, host, proto string) string {
 	if strings.Contains(ip, ":") {
 		ip = `"[` + ip + `]"`
 	}
 	if strings.ContainsAny(host, `\"`) {
-		host = quoted.Replace(host)
+		host = quoteEscaper.Replace(host)
 	}
 	return "for=" + ip + `;host="` + host + `";proto=` + proto
 }
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -9,7 +9,7 @@
 
 // unackedTimeout returns a net.Dialer Control function that limits how long sent
 // bytes may stay unacknowledged; nil if there is no limit.
-func silence(limit time.Duration) func(network, address string, c syscall.RawConn) error {
+func unackedTimeout(limit time.Duration) func(network, address string, c syscall.RawConn) error {
 	if limit <= 0 {
 		return nil
 	}
--- a/internal/forward/timeout_test.go
+++ b/internal/forward/timeout_test.go
@@ -16,7 +16,7 @@
 
 // A request that waits for a connection sends its target the timeout that remains
 // when it obtains one.
-func TestTimeThatIsLeftAtTheConnection(t *testing.T) {
+func TestRemainingTimeoutAfterConnect(t *testing.T) {
 	const (
 		timeout = 2 * time.Second
 		wait    = 600 * time.Millisecond
@@ -46,15 +46,15 @@
 			}
 			w.Header().Set("Request-Name", r.Header.Get("Request-Name"))
 		}))
-		f := New(Config{MaxConns: 1, Echo: tt.echo})
+		f := New(Config{MaxConns: 1, EchoHeader: tt.echo})
 		var all sync.WaitGroup
 		for range 2 {
 			all.Go(func() {
 				in := httptest.NewRequest(http.MethodGet, "/x", nil)
 				in.Header.Set("Request-Name", "n")
-				resp, fail := f.Dispatch(context.Background(), Try{
+				resp, fail := f.Dispatch(context.Background(), DispatchParams{
 					Target: strings.TrimPrefix(target.URL, "http://"), Request: in, Timeout: timeout,
-					Timed: func(left time.Duration) http.Header { return http.Header{"Time-Left": {left.String()}} },
+					TimeoutHeader: func(left time.Duration) http.Header { return http.Header{"Time-Left": {left.String()}} },
 				})
 				c.Check(fail == nil, qt.IsTrue)
 				if resp != nil {
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -17,14 +17,14 @@
 // validResponse reports whether a response may be forwarded. A success needs the target's
 // signature and the ID of this request. A status that callers take to mean that the
 // request did not run needs the target's confirmation (platform.NotRun).
-func (q *request) validResponse(resp *forward.Answer) bool {
+func (q *request) validResponse(resp *forward.Response) bool {
 	switch {
 	case platform.NotRun(resp.Status, resp.Header):
 		return true
 	case resp.Status < http.StatusOK || impliesNotRun(resp.Status):
 		return false
 	case resp.Status < http.StatusMultipleChoices:
-		return platform.Signed(resp.Header) && platform.RequestID(resp.Header) == q.id
+		return platform.IsSigned(resp.Header) && platform.RequestID(resp.Header) == q.id
 	}
 	return true
 }
@@ -46,12 +46,12 @@
 	d.response = nil
 	q.service.instruments.forwarded.Inc(1)
 	q.service.instruments.latency.RecordDuration(time.Since(q.arrived))
-	q.logResponse(d, resp.Status, resp.Connect)
-	for _, name := range platform.TargetsOnly {
+	q.logResponse(d, resp.Status, resp.ConnectTime)
+	for _, name := range platform.TargetOnlyHeaders {
 		resp.Header.Del(name)
 	}
 	if resp.Body == nil {
-		resp.Header.Set("Content-Length", strconv.Itoa(len(resp.Whole)))
+		resp.Header.Set("Content-Length", strconv.Itoa(len(resp.Buffered)))
 	}
 	forward.Copy(q.w, resp, func(f *forward.Failure) {
 		if f != nil {
@@ -91,7 +91,7 @@
 // refuse responds with status 503: the request has not run and never will.
 func (q *request) refuse(reason string, retry time.Duration) {
 	if retry > 0 {
-		platform.RetryAfter(q.w.Header(), retry)
+		platform.SetRetryAfter(q.w.Header(), retry)
 	}
 	q.respond(http.StatusServiceUnavailable, reason)
 }
--- a/internal/gateway/enroller.go
+++ b/internal/gateway/enroller.go
@@ -89,7 +89,7 @@
 func (e *enroller) writeRecord(ctx context.Context) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	if err = e.gateway.store.Enter(ctx, e.gateway.self); err == nil {
+	if err = e.gateway.store.PutEntry(ctx, e.gateway.self); err == nil {
 		e.gateway.enrolled.Store(true)
 	}
 	return err
@@ -158,7 +158,7 @@
 			continue
 		}
 		e.gateway.log.WithFields(log.Fields{"peer": it.Name, "revision": it.Revision.String()}).Info("removing the record of a dead entry")
-		if err := e.gateway.store.Leave(callCtx, it.Name, it.Revision); err != nil {
+		if err := e.gateway.store.DeleteEntry(callCtx, it.Name, it.Revision); err != nil {
 			e.gateway.log.WithError(err).WithField("peer", it.Name).Info("entry record not removed")
 		}
 	}
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -73,7 +73,7 @@
 func (q *request) logFailure(d *dispatch, fail *forward.Failure) {
 	f := q.logFields()
 	addDecision(f, d)
-	f["stage"], f["ran"], f["connect"] = fail.Stage.String(), executionText(fail.Ran), fail.Connect.Milliseconds()
+	f["stage"], f["ran"], f["connect"] = fail.Stage.String(), executionText(fail.Execution), fail.ConnectTime.Milliseconds()
 	if fail.Stage.MayBeCrash() {
 		f["print"], f["crashes"] = strconv.FormatUint(q.fingerprint, 36), q.gateway.suspects.CrashCount(q.fingerprint)
 	}
--- a/internal/gateway/fresh.go
+++ b/internal/gateway/fresh.go
@@ -42,7 +42,7 @@
 // maxAges returns the ages at which store data is too old to serve requests.
 func (g *Gateway) maxAges() resourceAges {
 	b := g.bounds.Load()
-	return resourceAges{resourceConfig: maxAge(b.Apply), resourceTargets: maxAge(b.Drain), resourceEvacuations: maxAge(b.Evacuate)}
+	return resourceAges{resourceConfig: maxAge(b.ConfigApply), resourceTargets: maxAge(b.Drain), resourceEvacuations: maxAge(b.Evacuate)}
 }
 
 // maxAge returns the bound less the reserve, but at least half of the bound.
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -27,13 +27,13 @@
 		}
 	})
 	mux.HandleFunc(platform.PathResolve, func(w http.ResponseWriter, r *http.Request) {
-		query := platform.ReadQuestion(r)
+		query := platform.ParseResolveRequest(r)
 		addresses := g.view.Load().callerAddresses(query.Host, query.Region, g.self)
 		if len(addresses) == 0 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if err := platform.WriteResolve(w, addresses, min(directoryTTL, g.bounds.Load().MaxTTL)); err != nil {
+		if err := platform.WriteResolveResponse(w, addresses, min(directoryTTL, g.bounds.Load().MaxTTL)); err != nil {
 			g.log.WithError(err).Debug("could not write the directory response")
 		}
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -82,7 +82,7 @@
 	g = &Gateway{
 		cfg: cfg, log: cfg.Log, started: time.Now(), initialized: make(chan struct{}), giveUp: make(chan struct{}),
 		forward: forward.New(forward.Config{
-			Echo: platform.HeaderRequest, Silence: targetAckTimeout, Connect: targetConnectTimeout, Idle: targetIdleTimeout, Whole: maxBufferedResponse,
+			EchoHeader: platform.HeaderRequestID, UnackedTimeout: targetAckTimeout, ConnectTimeout: targetConnectTimeout, IdleTimeout: targetIdleTimeout, MaxBufferedBytes: maxBufferedResponse,
 		}),
 		suspects:    call.NewSuspects(call.SuspectsConfig{CrashLimit: crashLimit}),
 		parseErrors: newParseErrorLog(cfg.Log),
@@ -95,12 +95,12 @@
 	g.view.Store(&view{})
 	g.bounds.Store(&s.Bounds)
 	g.store = platform.NewStore(platform.StoreConfig{
-		Address: s.Store, Name: s.Name, HTTP: storeClient(),
-		Refused: func(kind, name string, err error) { g.parseErrors.logObject(time.Now(), kind, name, err) },
+		Address: s.StoreAddress, Name: s.Name, HTTP: storeClient(),
+		OnDecodeError: func(kind, name string, err error) { g.parseErrors.logObject(time.Now(), kind, name, err) },
 	})
 	g.control = newControl(g)
 	if g.relay, err = relay.New(relay.Config{
-		Address: net.JoinHostPort(s.Address, strconv.Itoa(s.Ports[0])),
+		Address: net.JoinHostPort(s.IP, strconv.Itoa(s.Ports[0])),
 		Source:  g.control, Heard: g.control.enqueuePacket, Log: g.log,
 		Self: func() member.ID { return *g.selfID.Load() },
 		Sent: func(bytes int) { g.instruments.bytesSent.Inc(int64(bytes)) },
@@ -133,8 +133,8 @@
 // capacity returns an entry's capacity in requests per second.
 func capacity(s platform.Settings) float64 {
 	c := s.Cores * requestsPerCore
-	if s.Link > 0 {
-		c = min(c, s.Link*requestsPerMbps)
+	if s.LinkMbps > 0 {
+		c = min(c, s.LinkMbps*requestsPerMbps)
 	}
 	return c
 }
@@ -151,10 +151,10 @@
 		listener *net.Listener
 		addr     string
 	}{
-		{"front", &g.frontListener, s.Front},
-		{"ready", &g.readyListener, s.Ready},
-		{"directory", &g.directoryListener, s.Directory},
-		{"metrics", &g.metricsListener, net.JoinHostPort(s.Address, strconv.Itoa(cfg.MetricsPort))},
+		{"front", &g.frontListener, s.CallerAddress},
+		{"ready", &g.readyListener, s.ReadyAddress},
+		{"directory", &g.directoryListener, s.DirectoryAddress},
+		{"metrics", &g.metricsListener, net.JoinHostPort(s.IP, strconv.Itoa(cfg.MetricsPort))},
 	} {
 		if *l.listener, err = net.Listen("tcp", l.addr); err != nil {
 			g.closeListeners()
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -117,9 +117,9 @@
 	bounds, err := platform.ParseSettings([]byte(settingsText))
 	w.c.Assert(err, qt.IsNil)
 	s := platform.Settings{
-		Name: name, Place: "hall", Region: "metro", Address: "127.0.0.1", Cores: 1,
-		Front: "127.0.0.1:0", Ready: "127.0.0.1:0", Directory: "127.0.0.1:0",
-		Store: strings.TrimPrefix(w.server.URL, "http://"), Bounds: bounds.Bounds,
+		Name: name, Place: "hall", Region: "metro", IP: "127.0.0.1", Cores: 1,
+		CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", DirectoryAddress: "127.0.0.1:0",
+		StoreAddress: strings.TrimPrefix(w.server.URL, "http://"), Bounds: bounds.Bounds,
 	}
 	s.Bounds.Evacuate = w.evacuate
 	s.Bounds.RetryShare = cmp.Or(w.retryShare, s.Bounds.RetryShare)
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -51,7 +51,7 @@
 // maxLoggedFaults bounds the log lines about the faults of one configuration.
 const maxLoggedFaults = 20
 
-func (c *control) logFaults(v route.Version, faults platform.Faults) {
+func (c *control) logFaults(v route.Version, faults platform.FieldErrors) {
 	for _, err := range faults[:min(len(faults), maxLoggedFaults)] {
 		c.gateway.log.WithError(err).WithField("version", uint64(v)).Warn("invalid part of the configuration ignored")
 	}
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -194,7 +194,7 @@
 type reader[T any] struct {
 	gateway       *Gateway
 	resource      resource
-	client        platform.Kind[T]
+	client        platform.KindReader[T]
 	mustList      bool // a watch has failed and may have missed changes
 	listMessage   func(items []roster.Item[T], revision roster.Revision, askedAt time.Time) message
 	changeMessage func(changes []roster.Change[T], revision roster.Revision, askedAt time.Time) message
@@ -286,7 +286,7 @@
 		r.mustList = true
 		if errors.Is(err, context.DeadlineExceeded) {
 			r.gateway.control.enqueue(ctx, watchTimedOut{})
-		} else if !errors.Is(err, platform.ErrHistory) {
+		} else if !errors.Is(err, platform.ErrHistoryLost) {
 			return err
 		}
 	}
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -22,7 +22,7 @@
 
 // parseReport returns the load report in a target's response.
 func (g *Gateway) parseReport(target string, status int, h http.Header) slot.Report {
-	report, err := platform.Report(status, h)
+	report, err := platform.ParseReport(status, h)
 	if err != nil {
 		g.parseErrors.logHeader(time.Now(), target, err)
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -49,13 +49,13 @@
 	began    time.Time
 	timeout  time.Duration // timeout that was sent to the target
 	cancel   context.CancelFunc
-	response *forward.Answer
+	response *forward.Response
 }
 
 // result is the outcome of a dispatch.
 type result struct {
 	dispatch int
-	response *forward.Answer
+	response *forward.Response
 	failure  *forward.Failure
 }
 
@@ -103,7 +103,7 @@
 	q.results = make(chan result, call.MaxDispatches)
 	q.fingerprint = q.computeFingerprint()
 	q.objective = q.arrived.Add(q.route.Objective)
-	if left, ok := platform.RequestTime(q.r.Header); ok {
+	if left, ok := platform.RequestTimeout(q.r.Header); ok {
 		q.objective = q.objective.Add(-q.route.WaitEstimator.Elapsed(left))
 	}
 	q.call = call.New(call.Config{
@@ -119,7 +119,7 @@
 // route's timeout, whichever is earlier.
 func (q *request) deadline() time.Time {
 	timeout := q.route.Timeout
-	if left, ok := platform.RequestTime(q.r.Header); ok {
+	if left, ok := platform.RequestTimeout(q.r.Header); ok {
 		timeout = min(timeout, left)
 	}
 	return q.arrived.Add(timeout)
@@ -216,9 +216,9 @@
 		q.service.instruments.extraDispatches(string(a.Reason)).Inc(1)
 		q.logExtraDispatch(d, a.Reason)
 	}
-	outgoing := forward.Try{
+	outgoing := forward.DispatchParams{
 		Target: d.target.Address, Request: q.r, Path: q.r.URL.EscapedPath(), Body: q.body,
-		Timeout: timeout, Header: platform.Dispatch(d.target.ID), Timed: platform.TimeLeft,
+		Timeout: timeout, Header: platform.TargetHeader(d.target.ID), TimeoutHeader: platform.TimeoutHeader,
 	}
 	go func() {
 		response, failure := q.gateway.forward.Dispatch(ctx, outgoing)
@@ -231,7 +231,7 @@
 	d := &q.dispatches[res.dispatch]
 	completion := slot.Completion{ID: d.id, Report: q.gateway.resultReport(d.target.ID, res)}
 	if res.failure == nil && !q.validResponse(res.response) {
-		res.failure = &forward.Failure{Target: d.target.Address, Stage: call.StageInvalid, Status: res.response.Status, Cause: errInvalidResponse, Replay: true}
+		res.failure = &forward.Failure{Target: d.target.Address, Stage: call.StageInvalid, Status: res.response.Status, Cause: errInvalidResponse, Replayable: true}
 		res.response.Close()
 	}
 	if f := res.failure; f != nil {
@@ -244,7 +244,7 @@
 			quarantined = q.gateway.suspects.RecordCrash(now, q.fingerprint, d.target.Incarnation(), d.began)
 		}
 		q.logFailure(d, f)
-		return q.call.Fail(now, call.Failed{Dispatch: res.dispatch, Stage: f.Stage, Execution: f.Ran, Replayable: true, Quarantined: quarantined})
+		return q.call.Fail(now, call.Failed{Dispatch: res.dispatch, Stage: f.Stage, Execution: f.Execution, Replayable: true, Quarantined: quarantined})
 	}
 	resp := res.response
 	d.response = resp
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -74,7 +74,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config = cfg
-	s.balancer.SetWarmup(now, slot.Warmup{Bound: quota.NewColdBound(cfg.WarmupRate, b.WarmFactor, b.WarmSlack), Duration: cfg.WarmupTime})
+	s.balancer.SetWarmup(now, slot.Warmup{Bound: quota.NewColdBound(cfg.WarmupRate, b.WarmupFactor, b.WarmupSlack), Duration: cfg.WarmupTime})
 }
 
 // setTargets replaces the list of targets.
@@ -183,12 +183,12 @@
 func (s *service) probe(a slot.Action, path string) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	status, header, err := s.gateway.forward.Ask(ctx, a.Target.Address, path)
+	status, header, err := s.gateway.forward.Probe(ctx, a.Target.Address, path)
 	result := slot.ProbeResult{Target: a.Target.ID}
-	if err == nil && platform.Instance(header) == a.Target.ID {
+	if err == nil && platform.InstanceID(header) == a.Target.ID {
 		result.Healthy = status == http.StatusOK
 		result.Report = s.gateway.parseReport(a.Target.ID, status, header)
-		result.ColdFor, result.ColdKnown = platform.Cold(header)
+		result.ColdFor, result.ColdKnown = platform.WarmupRemaining(header)
 	}
 	now := time.Now()
 	s.mu.Lock()
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -41,7 +41,7 @@
 		if !g.enrolled.Load() {
 			return
 		}
-		if err := g.store.Leave(ctx, g.self.Name, 0); err != nil {
+		if err := g.store.DeleteEntry(ctx, g.self.Name, 0); err != nil {
 			g.log.WithError(err).Warn("could not remove this entry's record from the store")
 		}
 	}()
--- a/internal/site/gateways.go
+++ b/internal/site/gateways.go
@@ -108,10 +108,10 @@
 	g, err := gateway.New(gateway.Config{
 		Settings: platform.Settings{
 			Name: fmt.Sprintf("gateway-%d", i+1), Place: cfg.Places[i%len(cfg.Places)], Region: cfg.Region,
-			Front: anyPort, Ready: anyPort, Directory: anyPort, Address: "127.0.0.1", Store: store, Cores: 1,
+			CallerAddress: anyPort, ReadyAddress: anyPort, DirectoryAddress: anyPort, IP: "127.0.0.1", StoreAddress: store, Cores: 1,
 			Bounds: platform.Bounds{
 				Grace: siteGrace, MaxTTL: time.Second, RetryShare: 0.2, RetrySlack: 50,
-				Evacuate: siteEvacuate, WarmFactor: siteWarmFactor, WarmSlack: siteWarmSlack,
+				Evacuate: siteEvacuate, WarmupFactor: siteWarmFactor, WarmupSlack: siteWarmSlack,
 			},
 		},
 		Boot: uint64(time.Now().UnixNano()), Log: cfg.Log,
--- a/upgrade_proof_test.go
+++ b/upgrade_proof_test.go
@@ -149,7 +149,7 @@
 		return 0, true
 	}
 	r.Host = "veil.example"
-	r.Header.Set(platform.HeaderRequest, id)
+	r.Header.Set(platform.HeaderRequestID, id)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 5 * time.Second}
 	res, err := client.Do(r)
 	if err != nil {
