--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -38,26 +38,26 @@
 	Log   log.Interface
 	// ShouldSweep reports whether this entry removes expired records. One of all
 	// entries should.
-	Sweeps func() bool
-	Now    func() time.Time // time.Now when nil
+	ShouldSweep func() bool
+	Now         func() time.Time // time.Now when nil
 	// MaxWriteDelay is how long after its call a write whose response was lost may
 	// still be applied; default 15 s, several times the platform's own figure.
-	Late time.Duration
+	MaxWriteDelay time.Duration
 }
 
-const defaultLate = 15 * time.Second
+const defaultMaxWriteDelay = 15 * time.Second
 
 // Claims keeps keyed requests of an entry from running twice. It is safe for
 // concurrent use.
 type Claims struct {
-	cfg      Config
-	attempts atomic.Uint64
-	life     context.Context // of writes of outcomes to the store
-	end      context.CancelFunc
-	settling sync.WaitGroup
-
-	mu      sync.Mutex // guards the fields below
-	flights map[flightKey]*flight
+	cfg           Config
+	attemptCount  atomic.Uint64
+	writeCtx      context.Context // of writes of outcomes to the store
+	cancelWrites  context.CancelFunc
+	pendingWrites sync.WaitGroup
+
+	mu     sync.Mutex // guards the fields below
+	active map[attemptKey]*attempt
 }
 
 // New returns Claims without any attempts. Close ends its background writes.
@@ -65,24 +65,24 @@
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
-	if cfg.Late <= 0 {
-		cfg.Late = defaultLate
+	if cfg.MaxWriteDelay <= 0 {
+		cfg.MaxWriteDelay = defaultMaxWriteDelay
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Claims{cfg: cfg, life: ctx, end: cancel, flights: make(map[flightKey]*flight)}
+	return &Claims{cfg: cfg, writeCtx: ctx, cancelWrites: cancel, active: make(map[attemptKey]*attempt)}
 }
 
 // Close cancels the pending writes of outcomes. An entry that stops calls Flush first.
 func (c *Claims) Close() {
-	c.end()
-	c.settling.Wait()
+	c.cancelWrites()
+	c.pendingWrites.Wait()
 }
 
 // Flush waits until no write of an outcome is pending, or until ctx ends.
 func (c *Claims) Flush(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
-		c.settling.Wait()
+		c.pendingWrites.Wait()
 		close(done)
 	}()
 	select {
@@ -95,29 +95,29 @@
 
 // Request identifies a request that runs at most once.
 type Request struct {
-	Service  string
-	Key      string
-	Print    uint64    // fingerprint of method, path and body
-	Deadline time.Time // the request isn't dispatched after it
+	Service     string
+	Key         string
+	Fingerprint uint64    // fingerprint of method, path and body
+	Deadline    time.Time // the request isn't dispatched after it
 }
 
 // Run dispatches the request and returns its outcome. It ends with ctx.
 type Run func(ctx context.Context) claim.RunResult
 
-type flightKey struct {
-	service string
-	key     string
-	print   uint64
+type attemptKey struct {
+	service     string
+	key         string
+	fingerprint uint64
 }
 
 // attempt is a run of a key at this entry that hasn't ended, or whose outcome isn't
 // stored yet.
-type flight struct {
+type attempt struct {
 	done chan struct{} // closed when the attempt has ended
 	// resendResult is the result for a resend, set before done is closed. If it is nil,
 	// the resend has to consult the store.
-	again   *claim.Result
-	settled <-chan struct{} // closed when the write of the outcome has ended
+	resendResult *claim.Result
+	settled      <-chan struct{} // closed when the write of the outcome has ended
 }
 
 // Do runs the request unless its key has run or may be running, and returns the result
@@ -125,63 +125,63 @@
 func (c *Claims) Do(ctx context.Context, r Request, run Run) claim.Result {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	key := flightKey{r.Service, r.Key, r.Print}
+	key := attemptKey{r.Service, r.Key, r.Fingerprint}
 	for {
 		a, first := c.join(key)
 		if first {
-			defer c.part(key, a)
-			return c.fly(ctx, r, run, a)
+			defer c.finish(key, a)
+			return c.execute(ctx, r, run, a)
 		}
 		select {
 		case <-ctx.Done():
 			return claim.Result{Kind: claim.Uncertain, Reason: claim.ReasonInProgress, RetryAfter: claim.RetryDelay}
 		case <-a.done:
 		}
-		if a.again != nil {
-			return *a.again
+		if a.resendResult != nil {
+			return *a.resendResult
 		}
 	}
 }
 
-func (c *Claims) join(key flightKey) (a *flight, first bool) {
+func (c *Claims) join(key attemptKey) (a *attempt, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a, ok := c.flights[key]; ok {
+	if a, ok := c.active[key]; ok {
 		return a, false
 	}
-	a = &flight{done: make(chan struct{})}
-	c.flights[key] = a
+	a = &attempt{done: make(chan struct{})}
+	c.active[key] = a
 	return a, true
 }
 
 // finish ends an attempt. An attempt with an outcome stays registered until the outcome
 // is stored. Otherwise a resend in between would find the key in progress.
-func (c *Claims) part(key flightKey, a *flight) {
-	if a.again == nil {
+func (c *Claims) finish(key attemptKey, a *attempt) {
+	if a.resendResult == nil {
 		c.forget(key)
 		close(a.done)
 		return
 	}
 	close(a.done)
-	c.settling.Go(func() {
+	c.pendingWrites.Go(func() {
 		<-a.settled
 		c.forget(key)
 	})
 }
 
-func (c *Claims) forget(key flightKey) {
+func (c *Claims) forget(key attemptKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.flights, key)
+	delete(c.active, key)
 }
 
 // execute claims the key, runs the request and settles the claim.
-func (c *Claims) fly(ctx context.Context, r Request, run Run, a *flight) (result claim.Result) {
-	h := hold{claims: c, name: recordName(r.Service, r.Key), record: claim.Record{
-		Fingerprint: r.Print, ID: fmt.Sprintf("%s#%x.%x", c.cfg.Entry, c.cfg.Boot, c.attempts.Add(1)),
+func (c *Claims) execute(ctx context.Context, r Request, run Run, a *attempt) (result claim.Result) {
+	h := recordHolder{claims: c, name: recordName(r.Service, r.Key), record: claim.Record{
+		Fingerprint: r.Fingerprint, ID: fmt.Sprintf("%s#%x.%x", c.cfg.Entry, c.cfg.Boot, c.attemptCount.Add(1)),
 		ClaimedAt: c.cfg.Now(), DispatchDeadline: r.Deadline,
 	}}
-	if refusal, granted := h.take(ctx); !granted {
+	if refusal, granted := h.acquire(ctx); !granted {
 		return refusal
 	}
 	runResult := claim.RunResult{Outcome: call.NotRun, Reason: claim.ReasonDeadline, RetryAfter: claim.RetryDelay}
@@ -191,8 +191,8 @@
 	result, kept := claim.Finish(runResult)
 	a.settled = h.settle(kept)
 	if kept != nil {
-		resendResult := claim.ResolveExisting(c.cfg.Now(), claim.Record{Fingerprint: r.Print, Response: kept}, r.Print)
-		a.again = &resendResult
+		resendResult := claim.ResolveExisting(c.cfg.Now(), claim.Record{Fingerprint: r.Fingerprint, Response: kept}, r.Fingerprint)
+		a.resendResult = &resendResult
 	}
 	return result
 }
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -18,8 +18,8 @@
 // the recorded response, or the result that the outcome is unknown. It runs only if the
 // first attempt certainly didn't run.
 func TestResend(t *testing.T) {
-	ended := func(e claim.RunResult) func(*site) Run {
-		return func(s *site) Run {
+	ended := func(e claim.RunResult) func(*testEntries) Run {
+		return func(s *testEntries) Run {
 			run := s.run("k")
 			return func(ctx context.Context) claim.RunResult {
 				if e.Outcome != call.NotRun {
@@ -29,10 +29,10 @@
 			}
 		}
 	}
-	oversized := claim.Response{Status: 200, Body: make([]byte, maxKept+1), Complete: true}
+	oversized := claim.Response{Status: 200, Body: make([]byte, maxStoredBody+1), Complete: true}
 	for _, tt := range []struct {
 		name   string
-		first  func(s *site) Run
+		first  func(s *testEntries) Run
 		print  uint64
 		kind   claim.Kind
 		reason claim.Reason
@@ -45,19 +45,19 @@
 		{name: "another body", print: 2, kind: claim.Conflict, reason: claim.ReasonKeyReused, runs: 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newSite(t)
+			s := newTestEntries(t)
 			run := s.run("k")
 			if tt.first != nil {
 				run = tt.first(s)
 			}
-			s.do(0, "k", run)
-			s.settled()
+			s.send(0, "k", run)
+			s.waitSettled()
 			got := s.entries[1].Do(context.Background(), Request{
-				Service: "deposit-ledger", Key: "k", Print: max(tt.print, 1), Deadline: time.Now().Add(time.Second),
+				Service: "deposit-ledger", Key: "k", Fingerprint: max(tt.print, 1), Deadline: time.Now().Add(time.Second),
 			}, s.run("k"))
 			s.c.Assert(got.Kind, qt.Equals, tt.kind)
 			s.c.Assert(got.Reason, qt.Equals, tt.reason)
-			s.c.Assert(s.count("k"), qt.Equals, tt.runs)
+			s.c.Assert(s.runCount("k"), qt.Equals, tt.runs)
 		})
 	}
 }
@@ -71,7 +71,7 @@
 			if o == op && i == n {
 				return f
 			}
-			return none
+			return noFault
 		}
 	}
 	for _, tt := range []struct {
@@ -80,44 +80,44 @@
 		first claim.Kind
 		runs  int // after the first send
 	}{
-		{"claim refused once", only("put", 0, down), claim.Fresh, 1},
-		{"claim's response lost", only("put", 0, lost), claim.Fresh, 1},
-		{"claim applied late", only("put", 0, late), claim.Fresh, 1},
-		{"claim not applied", only("put", 0, timed), claim.Fresh, 1},
+		{"claim refused once", only("put", 0, refused), claim.Fresh, 1},
+		{"claim's response lost", only("put", 0, responseLost), claim.Fresh, 1},
+		{"claim applied late", only("put", 0, appliedLate), claim.Fresh, 1},
+		{"claim not applied", only("put", 0, timedOut), claim.Fresh, 1},
 		{"claim's response lost, then reads fail", func(op string, n int) fault {
 			if op == "put" && n == 0 {
-				return lost
+				return responseLost
 			}
 			if op == "get" && n < 3 {
-				return down
+				return refused
 			}
-			return none
+			return noFault
 		}, claim.Fresh, 1},
-		{"outcome's response lost", only("update", 0, lost), claim.Fresh, 1},
-		{"outcome applied late", only("update", 0, late), claim.Fresh, 1},
+		{"outcome's response lost", only("update", 0, responseLost), claim.Fresh, 1},
+		{"outcome applied late", only("update", 0, appliedLate), claim.Fresh, 1},
 		{"claim applied after the attempt has given up", func(op string, n int) fault {
 			if op == "put" && n == 0 {
-				return later
+				return appliedTooLate
 			}
-			return timed
+			return timedOut
 		}, claim.Uncertain, 0},
-		{"unavailable", func(string, int) fault { return down }, claim.Uncertain, 0},
-		{"no response", func(string, int) fault { return timed }, claim.Uncertain, 0},
+		{"unavailable", func(string, int) fault { return refused }, claim.Uncertain, 0},
+		{"no response", func(string, int) fault { return timedOut }, claim.Uncertain, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
-			s.store.fail(tt.fault)
+			s := newTestEntries(t)
+			s.store.setFaults(tt.fault)
 			start := time.Now()
-			got := s.do(0, "k", s.run("k"))
+			got := s.send(0, "k", s.run("k"))
 			s.c.Assert(time.Since(start) < 2*time.Second, qt.IsTrue)
 			s.c.Assert(got.Kind, qt.Equals, tt.first, qt.Commentf("%+v", got))
-			s.c.Assert(s.count("k"), qt.Equals, tt.runs)
-			s.store.fail(nil)
-			s.settled()
-			time.Sleep(2 * lateness)
-			got = s.do(1, "k", s.run("k"))
-			s.c.Assert(s.count("k") <= 1, qt.IsTrue)
+			s.c.Assert(s.runCount("k"), qt.Equals, tt.runs)
+			s.store.setFaults(nil)
+			s.waitSettled()
+			time.Sleep(2 * lateDelay)
+			got = s.send(1, "k", s.run("k"))
+			s.c.Assert(s.runCount("k") <= 1, qt.IsTrue)
 			s.c.Assert(got.Kind == claim.Replay || got.Kind == claim.Fresh, qt.IsTrue, qt.Commentf("%+v", got))
 		})
 	}
@@ -130,14 +130,14 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
+			s := newTestEntries(t)
 			var mu sync.Mutex
 			rnd := rand.New(rand.NewPCG(seed, 1))
-			s.store.fail(func(string, int) fault {
+			s.store.setFaults(func(string, int) fault {
 				mu.Lock()
 				defer mu.Unlock()
 				if rnd.IntN(3) > 0 {
-					return none
+					return noFault
 				}
 				return fault(1 + rnd.IntN(4))
 			})
@@ -146,7 +146,7 @@
 				key := fmt.Sprint("k", n)
 				for entry := range 4 {
 					senders.Go(func() {
-						got := s.do(entry%2, key, s.run(key))
+						got := s.send(entry%2, key, s.run(key))
 						if got.Kind == claim.Fresh || got.Kind == claim.Replay {
 							s.c.Check(string(got.Response.Body), qt.Equals, key)
 						}
@@ -154,12 +154,12 @@
 				}
 			}
 			senders.Wait()
-			s.store.fail(nil)
-			s.settled()
+			s.store.setFaults(nil)
+			s.waitSettled()
 			for n := range 12 {
 				key := fmt.Sprint("k", n)
-				s.do(n%2, key, s.run(key))
-				s.c.Check(s.count(key) <= 1, qt.IsTrue, qt.Commentf("%s ran %d times, seed %d", key, s.count(key), seed))
+				s.send(n%2, key, s.run(key))
+				s.c.Check(s.runCount(key) <= 1, qt.IsTrue, qt.Commentf("%s ran %d times, seed %d", key, s.runCount(key), seed))
 			}
 		})
 	}
@@ -169,7 +169,7 @@
 // the resend waits for the run; at another one it gets in-progress and a time to retry
 // after.
 func TestResendWhileRunning(t *testing.T) {
-	s := newSite(t)
+	s := newTestEntries(t)
 	started, finish := make(chan struct{}), make(chan struct{})
 	run := s.run("k")
 	slowRun := func(ctx context.Context) claim.RunResult {
@@ -178,72 +178,72 @@
 		return run(ctx)
 	}
 	results := make(chan claim.Result, 2)
-	go func() { results <- s.do(0, "k", slowRun) }()
+	go func() { results <- s.send(0, "k", slowRun) }()
 	<-started
-	got := s.do(1, "k", run)
+	got := s.send(1, "k", run)
 	s.c.Assert(got.Kind, qt.Equals, claim.Uncertain)
 	s.c.Assert(got.Reason, qt.Equals, claim.ReasonInProgress)
 	s.c.Assert(got.RetryAfter > 0, qt.IsTrue)
-	go func() { results <- s.do(0, "k", run) }()
+	go func() { results <- s.send(0, "k", run) }()
 	time.Sleep(20 * time.Millisecond)
 	close(finish)
 	kinds := []claim.Kind{(<-results).Kind, (<-results).Kind}
 	s.c.Assert(kinds, qt.Contains, claim.Fresh)
 	s.c.Assert(kinds, qt.Contains, claim.Replay)
-	s.c.Assert(s.count("k"), qt.Equals, 1)
+	s.c.Assert(s.runCount("k"), qt.Equals, 1)
 }
 
 // A caller sends its key again through the same entry before the outcome is stored. It
 // still gets the recorded response.
 func TestResendBeforeTheOutcomeIsStored(t *testing.T) {
-	s := newSite(t)
-	s.store.fail(func(op string, n int) fault {
+	s := newTestEntries(t)
+	s.store.setFaults(func(op string, n int) fault {
 		if op == "update" && n < 2 {
-			return down
+			return refused
 		}
-		return none
+		return noFault
 	})
-	s.c.Assert(s.do(0, "k", s.run("k")).Kind, qt.Equals, claim.Fresh)
+	s.c.Assert(s.send(0, "k", s.run("k")).Kind, qt.Equals, claim.Fresh)
 	for range 3 {
-		s.c.Assert(s.do(0, "k", s.run("k")).Kind, qt.Equals, claim.Replay)
+		s.c.Assert(s.send(0, "k", s.run("k")).Kind, qt.Equals, claim.Replay)
 	}
-	s.settled()
-	s.c.Assert(s.entries[0].flights, qt.HasLen, 0)
-	s.c.Assert(s.do(1, "k", s.run("k")).Kind, qt.Equals, claim.Replay)
-	s.c.Assert(s.count("k"), qt.Equals, 1)
+	s.waitSettled()
+	s.c.Assert(s.entries[0].active, qt.HasLen, 0)
+	s.c.Assert(s.send(1, "k", s.run("k")).Kind, qt.Equals, claim.Replay)
+	s.c.Assert(s.runCount("k"), qt.Equals, 1)
 }
 
 // An entry is killed between its claim and the write of the outcome. A resend half the
 // retention time later gets run-unknown and isn't run: a claim must not expire earlier.
-func TestKilledHolder(t *testing.T) {
-	s := newSite(t)
-	s.store.fail(func(op string, _ int) fault {
+func TestKilledEntry(t *testing.T) {
+	s := newTestEntries(t)
+	s.store.setFaults(func(op string, _ int) fault {
 		if op == "update" {
-			return down
+			return refused
 		}
-		return none
+		return noFault
 	})
-	s.do(0, "k", s.run("k"))
+	s.send(0, "k", s.run("k"))
 	s.entries[0].Close()
-	s.store.fail(nil)
+	s.store.setFaults(nil)
 	s.now = func() time.Time { return time.Now().Add(claim.Retention / 2) }
-	got := s.do(1, "k", s.run("k"))
+	got := s.send(1, "k", s.run("k"))
 	s.c.Assert(got.Kind, qt.Equals, claim.Uncertain)
 	s.c.Assert(got.Reason, qt.Equals, claim.ReasonRunUnknown)
-	s.c.Assert(s.count("k"), qt.Equals, 1)
+	s.c.Assert(s.runCount("k"), qt.Equals, 1)
 }
 
 // A sweep removes expired records and no others.
 func TestSweep(t *testing.T) {
-	s := newSite(t)
-	s.do(0, "old", s.run("old"))
-	s.settled()
+	s := newTestEntries(t)
+	s.send(0, "old", s.run("old"))
+	s.waitSettled()
 	s.now = func() time.Time { return time.Now().Add(claim.Retention + time.Second) }
-	s.do(0, "new", s.run("new"))
-	s.settled()
+	s.send(0, "new", s.run("new"))
+	s.waitSettled()
 	s.c.Assert(s.entries[0].sweep(t.Context()), qt.IsNil)
 	s.c.Assert(s.store.objects, qt.HasLen, 1)
-	s.c.Assert(s.do(1, "new", s.run("new")).Kind, qt.Equals, claim.Replay)
+	s.c.Assert(s.send(1, "new", s.run("new")).Kind, qt.Equals, claim.Replay)
 }
 
 // A malformed record fails to decode with an error that names the field.
@@ -254,7 +254,7 @@
 		{"no attempt", `{"print":"1"}`, `claim record: id: found nothing.*`},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := decode([]byte(tt.text))
+			_, err := decodeRecord([]byte(tt.text))
 			qt.Assert(t, err, qt.ErrorMatches, tt.want)
 		})
 	}
@@ -277,19 +277,19 @@
 		},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newSite(t)
-			s.store.fail(func(op string, _ int) fault {
+			s := newTestEntries(t)
+			s.store.setFaults(func(op string, _ int) fault {
 				if op == "update" {
-					return down
+					return refused
 				}
-				return none
+				return noFault
 			})
-			s.do(0, "k", func(context.Context) claim.RunResult { return tt.result })
-			s.c.Assert(s.do(0, "k", s.run("k")), qt.DeepEquals, tt.want)
-			s.c.Assert(s.count("k"), qt.Equals, 0)
-			s.store.fail(nil)
-			s.settled()
-			s.c.Assert(s.do(1, "k", s.run("k")).Kind, qt.Equals, tt.want.Kind)
+			s.send(0, "k", func(context.Context) claim.RunResult { return tt.result })
+			s.c.Assert(s.send(0, "k", s.run("k")), qt.DeepEquals, tt.want)
+			s.c.Assert(s.runCount("k"), qt.Equals, 0)
+			s.store.setFaults(nil)
+			s.waitSettled()
+			s.c.Assert(s.send(1, "k", s.run("k")).Kind, qt.Equals, tt.want.Kind)
 		})
 	}
 }
--- a/internal/claims/codec.go
+++ b/internal/claims/codec.go
@@ -13,36 +13,36 @@
 
 // recordJSON is the stored form of a record.
 type recordJSON struct {
-	Print  string      `json:"print"` // hexadecimal, since JSON numbers can't hold all 64-bit integers
-	ID     string      `json:"id"`
-	At     int64       `json:"at"`    // Unix ms of the claim
-	Until  int64       `json:"until"` // Unix ms of the dispatch deadline
-	Answer *answerJSON `json:"answer,omitempty"`
+	Fingerprint      string        `json:"print"` // hexadecimal, since JSON numbers can't hold all 64-bit integers
+	ID               string        `json:"id"`
+	ClaimedAt        int64         `json:"at"`    // Unix ms of the claim
+	DispatchDeadline int64         `json:"until"` // Unix ms of the dispatch deadline
+	Response         *responseJSON `json:"answer,omitempty"`
 }
 
-type answerJSON struct {
-	Ran    bool        `json:"ran"` // false if the outcome is unknown
-	Status int         `json:"status"`
-	Header [][2]string `json:"header"`
-	Body   []byte      `json:"body"`
-	Whole  bool        `json:"whole"`
+type responseJSON struct {
+	Ran      bool        `json:"ran"` // false if the outcome is unknown
+	Status   int         `json:"status"`
+	Header   [][2]string `json:"header"`
+	Body     []byte      `json:"body"`
+	Complete bool        `json:"whole"`
 }
 
 // maxStoredBody is the maximum size of a response body in a record, in bytes. The store
 // accepts values of at most 1 MB, and JSON encodes a body a third larger.
-const maxKept = 512 << 10
+const maxStoredBody = 512 << 10
 
-func encode(r claim.Record) []byte {
+func encodeRecord(r claim.Record) []byte {
 	j := recordJSON{
-		Print: strconv.FormatUint(r.Fingerprint, 16), ID: r.ID, At: r.ClaimedAt.UnixMilli(), Until: r.DispatchDeadline.UnixMilli(),
+		Fingerprint: strconv.FormatUint(r.Fingerprint, 16), ID: r.ID, ClaimedAt: r.ClaimedAt.UnixMilli(), DispatchDeadline: r.DispatchDeadline.UnixMilli(),
 	}
 	if a := r.Response; a != nil {
-		j.Answer = &answerJSON{Ran: a.Outcome == call.Ran, Status: a.Status, Whole: a.Complete && len(a.Body) <= maxKept}
+		j.Response = &responseJSON{Ran: a.Outcome == call.Ran, Status: a.Status, Complete: a.Complete && len(a.Body) <= maxStoredBody}
 		for _, f := range a.Header {
-			j.Answer.Header = append(j.Answer.Header, [2]string{f.Name, f.Value})
+			j.Response.Header = append(j.Response.Header, [2]string{f.Name, f.Value})
 		}
-		if j.Answer.Whole {
-			j.Answer.Body = a.Body
+		if j.Response.Complete {
+			j.Response.Body = a.Body
 		}
 	}
 	b, err := json.Marshal(j)
@@ -52,21 +52,21 @@
 	return b
 }
 
-func decode(b []byte) (r claim.Record, err error) {
+func decodeRecord(b []byte) (r claim.Record, err error) {
 	defer func() { err = errors.WithMessage(err, "claim record") }()
 	var j recordJSON
 	if err := json.Unmarshal(b, &j); err != nil {
 		return r, err
 	}
-	if r.Fingerprint, err = strconv.ParseUint(j.Print, 16, 64); err != nil {
-		return r, errors.Errorf("print: found %q, expected a hexadecimal number", j.Print)
+	if r.Fingerprint, err = strconv.ParseUint(j.Fingerprint, 16, 64); err != nil {
+		return r, errors.Errorf("print: found %q, expected a hexadecimal number", j.Fingerprint)
 	}
 	if j.ID == "" {
 		return r, errors.New("id: found nothing, expected a value")
 	}
-	r.ID, r.ClaimedAt, r.DispatchDeadline = j.ID, time.UnixMilli(j.At), time.UnixMilli(j.Until)
-	if a := j.Answer; a != nil {
-		r.Response = &claim.Response{Outcome: call.Unknown, Status: a.Status, Body: a.Body, Complete: a.Whole}
+	r.ID, r.ClaimedAt, r.DispatchDeadline = j.ID, time.UnixMilli(j.ClaimedAt), time.UnixMilli(j.DispatchDeadline)
+	if a := j.Response; a != nil {
+		r.Response = &claim.Response{Outcome: call.Unknown, Status: a.Status, Body: a.Body, Complete: a.Complete}
 		if a.Ran {
 			r.Response.Outcome = call.Ran
 		}
--- a/internal/claims/fake_test.go
+++ b/internal/claims/fake_test.go
@@ -20,64 +20,64 @@
 type fault uint8
 
 const (
-	none  fault = iota
-	down        // not applied, and the client knows it
-	lost        // applied, response lost
-	late        // applied after lateDelay, response lost
-	timed       // not applied, no response
-	later       // applied after the attempt has given up, response lost
+	noFault        fault = iota
+	refused              // not applied, and the client knows it
+	responseLost         // applied, response lost
+	appliedLate          // applied after lateDelay, response lost
+	timedOut             // not applied, no response
+	appliedTooLate       // applied after the attempt has given up, response lost
 )
 
 // lateDelay is how long after its call a write with the fault appliedLate is applied.
-const lateness = 80 * time.Millisecond
+const lateDelay = 80 * time.Millisecond
 
 // tooLateDelay is longer than an attempt waits for the store, and shorter than
 // maxWriteDelay, for which it looks for its own record.
 const (
-	laterness = claimTime + 300*time.Millisecond
-	lateBound = 2 * time.Second
+	tooLateDelay  = claimTimeout + 300*time.Millisecond
+	maxWriteDelay = 2 * time.Second
 )
 
 // fakeStore holds records in memory.
 type fakeStore struct {
-	mu      sync.Mutex
-	objects map[string]store.Object
-	last    uint64
-	fault   func(op string) fault
+	mu          sync.Mutex
+	objects     map[string]store.Object
+	lastVersion uint64
+	nextFault   func(op string) fault
 }
 
-var errAway = errors.New("unavailable")
+var errUnavailable = errors.New("unavailable")
 
-func (s *fakeStore) hit(op string) fault {
+func (s *fakeStore) takeFault(op string) fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fault == nil {
-		return none
+	if s.nextFault == nil {
+		return noFault
 	}
-	return s.fault(op)
+	return s.nextFault(op)
 }
 
 // call runs f with the fault of this call.
-func (s *fakeStore) do(op string, f func() error) error {
-	switch s.hit(op) {
-	case down:
-		return &store.Unavailable{Cause: errAway, Untouched: true}
-	case timed:
-		return &store.Unavailable{Cause: errAway}
-	case lost:
-		_ = s.locked(f)
-		return &store.Unavailable{Cause: errAway}
-	case later:
-		time.AfterFunc(laterness, func() { _ = s.locked(f) })
-		return &store.Unavailable{Cause: errAway}
-	case late:
-		time.AfterFunc(lateness, func() { _ = s.locked(f) })
-		return &store.Unavailable{Cause: errAway}
+func (s *fakeStore) call(op string, f func() error) error {
+	switch s.takeFault(op) {
+	case refused:
+		return &store.Unavailable{Cause: errUnavailable, Untouched: true}
+	case timedOut:
+		return &store.Unavailable{Cause: errUnavailable}
+	case responseLost:
+		_ = s.withLock(f)
+		return &store.Unavailable{Cause: errUnavailable}
+	case appliedTooLate:
+		time.AfterFunc(tooLateDelay, func() { _ = s.withLock(f) })
+		return &store.Unavailable{Cause: errUnavailable}
+	case appliedLate:
+		time.AfterFunc(lateDelay, func() { _ = s.withLock(f) })
+		return &store.Unavailable{Cause: errUnavailable}
 	}
-	return s.locked(f)
+	return s.withLock(f)
 }
 
-func (s *fakeStore) locked(f func() error) error {
+func (s *fakeStore) withLock(f func() error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return f()
@@ -85,7 +85,7 @@
 
 func (s *fakeStore) Get(_ context.Context, _, name string) (store.Object, error) {
 	var found store.Object
-	err := s.do("get", func() error {
+	err := s.call("get", func() error {
 		var ok bool
 		if found, ok = s.objects[name]; !ok {
 			return store.ErrNotFound
@@ -99,13 +99,13 @@
 }
 
 func (s *fakeStore) List(context.Context, string) (list []store.Object, version uint64, err error) {
-	err = s.do("list", func() error {
+	err = s.call("list", func() error {
 		for _, o := range s.objects {
 			list = append(list, o)
 		}
 		return nil
 	})
-	return list, s.last, err
+	return list, s.lastVersion, err
 }
 
 func (s *fakeStore) Put(_ context.Context, kind, name string, expected uint64, value []byte) (uint64, error) {
@@ -114,12 +114,12 @@
 	if expected > 0 {
 		op = "update"
 	}
-	err := s.do(op, func() error {
+	err := s.call(op, func() error {
 		if o := s.objects[name]; o.Version != expected {
 			return &store.ErrConflict{Expected: expected, Current: o.Version}
 		}
-		s.last++
-		version = s.last
+		s.lastVersion++
+		version = s.lastVersion
 		s.objects[name] = store.Object{Kind: kind, Name: name, Version: version, Value: value}
 		return nil
 	})
@@ -130,7 +130,7 @@
 }
 
 func (s *fakeStore) Delete(_ context.Context, _, name string, expected uint64) error {
-	return s.do("delete", func() error {
+	return s.call("delete", func() error {
 		o, ok := s.objects[name]
 		if !ok {
 			return store.ErrNotFound
@@ -145,13 +145,13 @@
 
 // setFaults sets a function that returns the fault of the nth call of an operation,
 // from 0.
-func (s *fakeStore) fail(f func(op string, n int) fault) {
+func (s *fakeStore) setFaults(f func(op string, n int) fault) {
 	counts := map[string]int{}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = nil
+	s.nextFault = nil
 	if f != nil {
-		s.fault = func(op string) fault {
+		s.nextFault = func(op string) fault {
 			counts[op]++
 			return f(op, counts[op]-1)
 		}
@@ -159,7 +159,7 @@
 }
 
 // testEntries is two entries that share a store.
-type site struct {
+type testEntries struct {
 	c       *qt.C
 	store   *fakeStore
 	entries [2]*Claims
@@ -168,19 +168,19 @@
 	runs    map[string]int
 }
 
-func newSite(t *testing.T) *site {
-	s := &site{c: qt.New(t), store: &fakeStore{objects: map[string]store.Object{}}, runs: map[string]int{}}
+func newTestEntries(t *testing.T) *testEntries {
+	s := &testEntries{c: qt.New(t), store: &fakeStore{objects: map[string]store.Object{}}, runs: map[string]int{}}
 	for i, name := range []string{"a", "b"} {
 		s.entries[i] = New(Config{
 			Entry: name, Boot: 1, Store: s.store, Log: &log.Logger{Handler: discard.New()},
-			Sweeps: func() bool { return true }, Now: s.clock, Late: lateBound,
+			ShouldSweep: func() bool { return true }, Now: s.clock, MaxWriteDelay: maxWriteDelay,
 		})
 		t.Cleanup(s.entries[i].Close)
 	}
 	return s
 }
 
-func (s *site) clock() time.Time {
+func (s *testEntries) clock() time.Time {
 	if s.now != nil {
 		return s.now()
 	}
@@ -188,7 +188,7 @@
 }
 
 // run returns a Run that counts the run of a key and returns the key as its response.
-func (s *site) run(key string) Run {
+func (s *testEntries) run(key string) Run {
 	return func(context.Context) claim.RunResult {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -197,21 +197,21 @@
 	}
 }
 
-func (s *site) count(key string) int {
+func (s *testEntries) runCount(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
 }
 
 // send sends a request with the key through an entry.
-func (s *site) do(entry int, key string, run Run) claim.Result {
+func (s *testEntries) send(entry int, key string, run Run) claim.Result {
 	return s.entries[entry].Do(context.Background(), Request{
-		Service: "deposit-ledger", Key: key, Print: 1, Deadline: time.Now().Add(3 * time.Second),
+		Service: "deposit-ledger", Key: key, Fingerprint: 1, Deadline: time.Now().Add(3 * time.Second),
 	}, run)
 }
 
 // waitSettled waits until no write of an outcome is pending.
-func (s *site) settled() {
+func (s *testEntries) waitSettled() {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for _, e := range s.entries {
--- a/internal/claims/hold.go
+++ b/internal/claims/hold.go
@@ -18,22 +18,22 @@
 	// claimTimeout is how long a request waits for the store, which normally answers
 	// in milliseconds. A caller that is asked to retry loses less time than one that
 	// waits longer.
-	claimTime = time.Second
+	claimTimeout = time.Second
 	// callTimeout limits one call to the store, whose response may be lost. It is
 	// several times the response time of a slow store.
-	writeTime = 300 * time.Millisecond
+	callTimeout = 300 * time.Millisecond
 	// withdrawWait is how long a refusal waits for the removal of the record, so that
 	// a caller that retries at once doesn't find its own claim.
-	withdrawTime = 100 * time.Millisecond
+	withdrawWait = 100 * time.Millisecond
 )
 
 // recordHolder is an attempt that claims, and then holds, the record of its key.
-type hold struct {
-	claims  *Claims
-	name    string
-	record  claim.Record
-	version uint64    // of the record in the store; 0 if unknown
-	written time.Time // time of the last write whose response was lost
+type recordHolder struct {
+	claims             *Claims
+	name               string
+	record             claim.Record
+	version            uint64    // of the record in the store; 0 if unknown
+	lastUncertainWrite time.Time // time of the last write whose response was lost
 }
 
 // acquire creates the record and reports whether this attempt may run the request. If
@@ -42,24 +42,24 @@
 // A write whose response is lost may have been applied, or be applied later. The record
 // holds the ID of its attempt, so a read shows whose it is. If that stays unknown until
 // the timeout, the request isn't dispatched, and the record is removed if it appears.
-func (h *hold) take(ctx context.Context) (refusal claim.Result, granted bool) {
-	limited, cancel := context.WithTimeout(ctx, claimTime)
+func (h *recordHolder) acquire(ctx context.Context) (refusal claim.Result, granted bool) {
+	limited, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	mayExist := false
 	for {
 		err := h.create(limited)
 		if store.IsConflict(err) {
-			if refusal, granted, err = h.look(limited); err == nil {
+			if refusal, granted, err = h.resolveConflict(limited); err == nil {
 				return refusal, granted
 			}
 		}
 		if err == nil {
 			return refusal, true
 		}
-		if !untouched(err) {
-			mayExist, h.written = true, time.Now()
+		if !notSent(err) {
+			mayExist, h.lastUncertainWrite = true, time.Now()
 		}
-		if !store.IsUnavailable(err) || !pause(limited, writeTime/10) {
+		if !store.IsUnavailable(err) || !sleep(limited, callTimeout/10) {
 			h.log(err).Warn("claim: in doubt")
 			break
 		}
@@ -70,17 +70,17 @@
 	return claim.StoreUnreachable(), false
 }
 
-func (h *hold) create(ctx context.Context) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+func (h *recordHolder) create(ctx context.Context) (err error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	h.version, err = h.claims.cfg.Store.Put(ctx, Kind, h.name, 0, encode(h.record))
+	h.version, err = h.claims.cfg.Store.Put(ctx, Kind, h.name, 0, encodeRecord(h.record))
 	return err
 }
 
 // resolveConflict reads the existing record and reports whether it is this attempt's
 // own. If it isn't, refusal is the result for the caller.
-func (h *hold) look(ctx context.Context) (refusal claim.Result, own bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+func (h *recordHolder) resolveConflict(ctx context.Context) (refusal claim.Result, own bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	found, version, err := h.read(ctx)
 	switch {
@@ -95,30 +95,30 @@
 	return claim.ResolveExisting(h.claims.cfg.Now(), found, h.record.Fingerprint), false, nil
 }
 
-func (h *hold) read(ctx context.Context) (found claim.Record, version uint64, err error) {
+func (h *recordHolder) read(ctx context.Context) (found claim.Record, version uint64, err error) {
 	o, err := h.claims.cfg.Store.Get(ctx, Kind, h.name)
 	if err != nil {
 		return found, 0, err
 	}
-	found, err = decode(o.Value)
+	found, err = decodeRecord(o.Value)
 	return found, o.Version, err
 }
 
 // settle records the outcome of the run, or removes the record if kept is nil. It
 // retries in the background while the store is unavailable, for settleTimeout at most.
 // A removal is awaited for up to withdrawWait. settled is closed when the write has ended.
-func (h *hold) settle(kept *claim.Response) (settled <-chan struct{}) {
+func (h *recordHolder) settle(kept *claim.Response) (settled <-chan struct{}) {
 	done := make(chan struct{})
-	h.claims.settling.Go(func() {
+	h.claims.pendingWrites.Go(func() {
 		defer close(done)
-		h.deliver(kept)
+		h.settleWithRetry(kept)
 	})
 	if kept != nil {
 		return done
 	}
 	select {
 	case <-done:
-	case <-time.After(withdrawTime):
+	case <-time.After(withdrawWait):
 	}
 	return done
 }
@@ -127,38 +127,38 @@
 // other entries get in-progress or run-unknown as their reason. If it is unknown whether
 // the record was created, the attempts go on until it can't be created any more.
 const (
-	settleFirst = 50 * time.Millisecond
-	settleMost  = 5 * time.Second
+	minSettleDelay = 50 * time.Millisecond
+	maxSettleDelay = 5 * time.Second
 	// settleTimeout is how long the write of an outcome is retried while the store is
 	// unavailable.
-	settleTime = 15 * time.Minute
+	settleTimeout = 15 * time.Minute
 )
 
-func (h *hold) deliver(kept *claim.Response) {
-	ctx, cancel := context.WithTimeout(h.claims.life, settleTime)
+func (h *recordHolder) settleWithRetry(kept *claim.Response) {
+	ctx, cancel := context.WithTimeout(h.claims.writeCtx, settleTimeout)
 	defer cancel()
-	delay := settleFirst
+	delay := minSettleDelay
 	for {
-		err := h.write(ctx, kept)
+		err := h.writeOutcome(ctx, kept)
 		if err == nil {
 			return
 		}
-		if !pause(ctx, delay) {
+		if !sleep(ctx, delay) {
 			h.log(err).Warn("claim: outcome not recorded")
 			return
 		}
-		delay = min(2*delay, settleMost)
+		delay = min(2*delay, maxSettleDelay)
 	}
 }
 
 // writeOutcome records the outcome, or removes the record if kept is nil. If a response
 // was lost, the known version may be older than the record's; after a conflict the next
 // call reads the record again.
-func (h *hold) write(ctx context.Context, kept *claim.Response) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+func (h *recordHolder) writeOutcome(ctx context.Context, kept *claim.Response) (err error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if h.version == 0 {
-		if done, err := h.locate(ctx); done || err != nil {
+		if done, err := h.findRecord(ctx); done || err != nil {
 			return err
 		}
 	}
@@ -167,7 +167,7 @@
 	} else {
 		record := h.record
 		record.Response = kept
-		_, err = h.claims.cfg.Store.Put(ctx, Kind, h.name, h.version, encode(record))
+		_, err = h.claims.cfg.Store.Put(ctx, Kind, h.name, h.version, encodeRecord(record))
 	}
 	if store.IsConflict(err) {
 		h.version = 0
@@ -182,9 +182,9 @@
 // left to settle. A missing record may still be created by a write that the store
 // applies late, and would then block the key until it expires. So findRecord fails for
 // a missing record until MaxWriteDelay has passed since the last such write.
-func (h *hold) locate(ctx context.Context) (done bool, err error) {
+func (h *recordHolder) findRecord(ctx context.Context) (done bool, err error) {
 	found, version, err := h.read(ctx)
-	if errors.Is(err, store.ErrNotFound) && time.Since(h.written) >= h.claims.cfg.Late {
+	if errors.Is(err, store.ErrNotFound) && time.Since(h.lastUncertainWrite) >= h.claims.cfg.MaxWriteDelay {
 		return true, nil
 	}
 	if err != nil {
@@ -194,18 +194,18 @@
 	return found.ID != h.record.ID || found.Response != nil, nil
 }
 
-func (h *hold) log(err error) log.Interface {
+func (h *recordHolder) log(err error) log.Interface {
 	return h.claims.cfg.Log.WithError(err).WithFields(log.Fields{"record": h.name, "attempt": h.record.ID})
 }
 
 // notSent reports whether a failed call certainly didn't reach the store.
-func untouched(err error) bool {
+func notSent(err error) bool {
 	var u *store.Unavailable
 	return errors.As(err, &u) && u.Untouched
 }
 
 // sleep waits for d and reports whether d passed before ctx ended.
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/claims/sweep.go
+++ b/internal/claims/sweep.go
@@ -12,16 +12,16 @@
 const (
 	// sweepInterval is the interval between removals of expired records. It is a sixth
 	// of the retention time, so that the store holds a sixth more records at most.
-	sweepPeriod = 10 * time.Minute
+	sweepInterval = 10 * time.Minute
 	// sweepDelay is the delay between two deletions. A sweep must leave the store's write
 	// capacity, several hundred writes a second, to requests.
-	sweepGap = 20 * time.Millisecond
+	sweepDelay = 20 * time.Millisecond
 )
 
 // Serve removes expired records until ctx ends.
 func (c *Claims) Serve(ctx context.Context) error {
-	for pause(ctx, sweepPeriod) {
-		if !c.cfg.Sweeps() {
+	for sleep(ctx, sweepInterval) {
+		if !c.cfg.ShouldSweep() {
 			continue
 		}
 		if err := c.sweep(ctx); err != nil {
@@ -39,7 +39,7 @@
 		return err
 	}
 	for _, o := range objects {
-		r, err := decode(o.Value)
+		r, err := decodeRecord(o.Value)
 		if err != nil {
 			c.cfg.Log.WithError(err).WithField("record", o.Name).Error("claims: malformed record; it is not removed")
 			continue
@@ -51,7 +51,7 @@
 		if err != nil && !store.IsConflict(err) && !errors.Is(err, store.ErrNotFound) {
 			return err
 		}
-		if !pause(ctx, sweepGap) {
+		if !sleep(ctx, sweepDelay) {
 			return ctx.Err()
 		}
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -17,10 +17,10 @@
 	client   *peer.Client
 }
 
-// Since returns the changes after a revision, for a peer that has that revision.
-func (s documents) Since(_ context.Context, revision uint64) (change peer.Change, err error) {
+// ChangesSince returns the changes after a revision, for a peer that has that revision.
+func (s documents) ChangesSince(_ context.Context, revision uint64) (change peer.SettingsUpdate, err error) {
 	c := s.settings.Since(revision)
-	return peer.Change{Revision: c.Revision, Document: c.Document, Edits: c.Edits}, nil
+	return peer.SettingsUpdate{Revision: c.Revision, Document: c.Document, Edits: c.Edits}, nil
 }
 
 // pullTimeout limits one pull.
--- a/internal/entry/plane.go
+++ b/internal/entry/plane.go
@@ -29,14 +29,14 @@
 			Seeds: f.Seeds,
 			Rand:  rand.New(rand.NewPCG(e.cfg.Boot, 0)),
 		},
-		Client:     e.client,
-		Behind:     func(from member.Ref, _ member.Revisions) { e.relay.behind(from.Address) },
-		Learned:    func(r member.Rumours) { go e.learned(r) },
-		Superseded: func(member.ID) { e.superseded() },
+		Client:       e.client,
+		OnPeerAhead:  func(from member.Ref, _ member.Revisions) { e.relay.behind(from.Address) },
+		OnRumours:    func(r member.Rumours) { go e.learned(r) },
+		OnSuperseded: func(member.ID) { e.superseded() },
 	})
 	e.claims = claims.New(claims.Config{
 		Entry: f.Name, Boot: e.cfg.Boot, Log: e.log,
-		Store: tracedClaims{e.claimStore(), &e.tracing}, Sweeps: e.sweeps,
+		Store: tracedClaims{e.claimStore(), &e.tracing}, ShouldSweep: e.sweeps,
 	})
 	e.relay = newRelay(e)
 }
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	e.control.tell(ctx, targetLeaves{target, boot})
-	_ = e.members.Tell(ctx, member.Rumours{StopNotices: []member.StopNotice{{Target: target, Boot: boot, Time: time.Now()}}})
+	_ = e.members.SpreadRumours(ctx, member.Rumours{StopNotices: []member.StopNotice{{Target: target, Boot: boot, Time: time.Now()}}})
 }
 
 // announceSuspect spreads the crash count of a request that crashed a target.
@@ -114,7 +114,7 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		_ = e.members.Tell(ctx, member.Rumours{CrashReports: []member.CrashReport{{
+		_ = e.members.SpreadRumours(ctx, member.Rumours{CrashReports: []member.CrashReport{{
 			Fingerprint: fingerprint, Crashes: uint32(s.Crashes), Time: now.Add(-s.Age),
 		}}})
 		cancel()
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -75,10 +75,10 @@
 func (r *relay) revised(ctx context.Context) {
 	e := r.entry
 	revisions := member.Revisions{Settings: e.settings.Document().Revision}
-	if revisions != r.marks && e.members.Revised(ctx, revisions) == nil {
+	if revisions != r.marks && e.members.SetRevisions(ctx, revisions) == nil {
 		r.marks = revisions
 	}
-	if !r.ready && e.Ready() && e.members.Ready(ctx) == nil {
+	if !r.ready && e.Ready() && e.members.SetReady(ctx) == nil {
 		r.ready = true
 	}
 }
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -95,7 +95,7 @@
 func (r *reporter) peerBytes(scope tally.Scope) {
 	c := r.entry.counters
 	for _, k := range c.Counts() {
-		kind := scope.Tagged(map[string]string{"kind": k.Kind.String()})
+		kind := scope.Tagged(map[string]string{"kind": k.Method.String()})
 		kind.Gauge("peer_calls").Update(float64(k.Calls))
 		kind.Gauge("peer_bytes").Update(float64(k.In + k.Out))
 	}
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -54,8 +54,8 @@
 
 // applyPulledEvacuations applies the evacuations in a pull's answer.
 func (c *control) applyPulledEvacuations(e relay.Evacuations) (changed bool) {
-	changed = c.evacuations.Replace(e.List, e.At)
-	c.evacuations.AdvanceLastChange(e.Moved)
+	changed = c.evacuations.Replace(e.List, e.Revision)
+	c.evacuations.AdvanceLastChange(e.LastChange)
 	return changed
 }
 
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -124,10 +124,10 @@
 	c.gateway.bounds.Store(&b)
 	now := c.started.Add(100 * time.Millisecond)
 	c.confirm(now, resourceConfig, now)
-	pullResult{askedAt: now, news: relay.News{
+	pullResult{askedAt: now, news: relay.PullResult{
 		Config: []byte(`{"version":"r1","routes":{},"services":{"gowns":{"healthPath":"/health"}},` +
 			`"limits":{"maxHeaderBytes":1,"maxBodyBytes":1,"headerTimeout":"1s","idleTimeout":"1s"}}`),
-		Targets: relay.Listed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, At: 5, Moved: 5,
+		Targets: relay.TargetsListed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, Revision: 5, LastChange: 5,
 	}}.apply(now, c)
 	c.receiveKnowledge(now, "127.0.0.1:1", relay.Knowledge{Config: 1, Targets: 5, EvacuationsAge: unconfirmedAge})
 	c.publishIfChanged(now)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -101,9 +101,9 @@
 	g.control = newControl(g)
 	if g.relay, err = relay.New(relay.Config{
 		Address: net.JoinHostPort(s.IP, strconv.Itoa(s.Ports[0])),
-		Source:  g.control, Heard: g.control.enqueuePacket, Log: g.log,
-		Self: func() member.ID { return *g.selfID.Load() },
-		Sent: func(bytes int) { g.instruments.bytesSent.Inc(int64(bytes)) },
+		Source:  g.control, OnPacket: g.control.enqueuePacket, Log: g.log,
+		Self:   func() member.ID { return *g.selfID.Load() },
+		OnSent: func(bytes int) { g.instruments.bytesSent.Inc(int64(bytes)) },
 	}); err != nil {
 		g.closeListeners()
 		return nil, err
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -56,7 +56,7 @@
 // rateReport is another entry's report of its request rate for each host.
 type rateReport struct {
 	receivedAt time.Time
-	rates      []relay.Load
+	rates      []relay.HostLoad
 }
 
 // rateReportTTL is how long a report counts: several ticks, since datagrams may be lost.
@@ -66,20 +66,20 @@
 // owners. The first owner decides the owner count by the sum of all reports; the others
 // receive them as well since they may have to take over.
 func (c *control) sendRateReports(now time.Time) {
-	reports := make(map[string][]relay.Load)
+	reports := make(map[string][]relay.HostLoad)
 	for host, r := range c.hosts.rates {
 		if r.mean < minReportedRate || c.assignment == nil {
 			continue
 		}
 		for _, e := range c.assignment.FirstOwners(host) {
 			if e.Name != c.gateway.self.Name {
-				reports[e.PeerAddress] = append(reports[e.PeerAddress], relay.Load{Host: owner.HostID(host), Rate: r.mean})
+				reports[e.PeerAddress] = append(reports[e.PeerAddress], relay.HostLoad{Host: owner.HostID(host), Rate: r.mean})
 			}
 		}
 	}
 	for address, list := range reports {
 		c.send(address, relay.Packet{
-			Kind: relay.Loads, Loads: list, ID: c.members.Self(),
+			Kind: relay.LoadReport, Loads: list, ID: c.members.Self(),
 		})
 	}
 	maps.DeleteFunc(c.rateReports, func(_ string, l rateReport) bool { return now.Sub(l.receivedAt) > rateReportTTL })
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -93,7 +93,7 @@
 func (c *control) handleRequest(now time.Time, p relay.Packet, from string) {
 	for _, a := range c.members.Handle(now, member.Request{Message: p.Message}) {
 		if r, ok := a.(member.Reply); ok {
-			c.send(from, c.packet(now, relay.Answer, p.Exchange, r.Message))
+			c.send(from, c.packet(now, relay.GossipResponse, p.ExchangeID, r.Message))
 			continue
 		}
 		c.perform(now, a)
@@ -104,10 +104,10 @@
 	switch a := a.(type) {
 	case member.Send:
 		c.pending = append(c.pending, pendingExchange{a.ExchangeID, now.Add(a.Timeout)})
-		c.send(a.To.Address, c.packet(now, relay.Ask, a.ExchangeID, a.Message))
+		c.send(a.To.Address, c.packet(now, relay.GossipRequest, a.ExchangeID, a.Message))
 	case member.IndirectPing:
 		c.pending = append(c.pending, pendingExchange{a.ExchangeID, now.Add(a.Timeout)})
-		c.send(a.Via.Address, relay.Packet{Kind: relay.Reach, Exchange: a.ExchangeID, Target: a.Peer.Address})
+		c.send(a.Via.Address, relay.Packet{Kind: relay.IndirectPing, ExchangeID: a.ExchangeID, Address: a.Peer.Address})
 	case member.ViewChanged:
 		c.liveEntries = nil
 		c.updateIdentity()
@@ -125,7 +125,7 @@
 
 func (c *control) packet(now time.Time, kind relay.Kind, exchange uint64, m member.Message) relay.Packet {
 	return relay.Packet{
-		Kind: kind, Exchange: exchange, Message: m, Knowledge: c.knowledge(now), Numbers: c.gossipedCounts.TakeUnsent(maxOwnerCounts, len(m.BucketDigests) > 0 || m.Join),
+		Kind: kind, ExchangeID: exchange, Message: m, Knowledge: c.knowledge(now), OwnerCounts: c.gossipedCounts.TakeUnsent(maxOwnerCounts, len(m.BucketDigests) > 0 || m.Join),
 	}
 }
 
@@ -207,24 +207,24 @@
 func (m packetReceived) apply(now time.Time, c *control) {
 	p := m.packet
 	switch p.Kind {
-	case relay.Ask:
+	case relay.GossipRequest:
 		c.noteWaitingPeer(m.from, p.Knowledge)
 		c.handleRequest(now, p, m.from)
-	case relay.Answer:
-		c.removePending(p.Exchange)
-		c.handleEvent(now, member.Response{ExchangeID: p.Exchange, Message: p.Message})
-	case relay.Reached:
-		c.removePending(p.Exchange)
-		c.handleEvent(now, member.IndirectAck{ExchangeID: p.Exchange, ID: p.ID})
+	case relay.GossipResponse:
+		c.removePending(p.ExchangeID)
+		c.handleEvent(now, member.Response{ExchangeID: p.ExchangeID, Message: p.Message})
+	case relay.IndirectAck:
+		c.removePending(p.ExchangeID)
+		c.handleEvent(now, member.IndirectAck{ExchangeID: p.ExchangeID, ID: p.ID})
 		return
-	case relay.Loads:
+	case relay.LoadReport:
 		c.rateReports[p.ID.Name] = rateReport{now, p.Loads}
 		return
-	case relay.Suspects:
+	case relay.SuspectReport:
 		c.receiveSuspects(now, p.ID.Name, p.Suspects)
 		return
 	}
-	for _, n := range p.Numbers {
+	for _, n := range p.OwnerCounts {
 		if c.gossipedCounts.Merge(n) {
 			c.ownerCountsChanged = true
 		}
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -28,8 +28,8 @@
 		return targetsChanged{changes: []roster.Change[slot.Target]{removed("gone", 20)}, revision: 20, askedAt: asked}
 	}
 	pulled := func(asked time.Time) message {
-		return pullResult{askedAt: asked, news: relay.News{
-			Targets: relay.Changed, Changes: []roster.Change[slot.Target]{removed("gone", 20)}, At: 20, Moved: 20,
+		return pullResult{askedAt: asked, news: relay.PullResult{
+			Targets: relay.TargetsChanged, Changes: []roster.Change[slot.Target]{removed("gone", 20)}, Revision: 20, LastChange: 20,
 		}}
 	}
 	tests := []struct {
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -17,9 +17,9 @@
 
 var _ relay.Source = (*control)(nil)
 
-// News returns what another entry lacks.
-func (c *control) News(ctx context.Context, have relay.Have) (n relay.News, err error) {
-	m := newsRequest{have: have, reply: make(chan relay.News, 1)}
+// AnswerPull returns what another entry lacks.
+func (c *control) AnswerPull(ctx context.Context, have relay.PullQuery) (n relay.PullResult, err error) {
+	m := newsRequest{have: have, reply: make(chan relay.PullResult, 1)}
 	c.enqueue(ctx, m)
 	select {
 	case n = <-m.reply:
@@ -31,42 +31,42 @@
 
 // newsRequest is another entry's pull.
 type newsRequest struct {
-	have  relay.Have
-	reply chan relay.News
+	have  relay.PullQuery
+	reply chan relay.PullResult
 }
 
 func (m newsRequest) apply(now time.Time, c *control) {
-	var n relay.News
+	var n relay.PullResult
 	if m.have.Config < c.config.Version {
 		n.Config = c.configData
 	}
 	if m.have.Targets < c.targets.LastChange() {
-		n.At, n.Moved, n.Age = c.targets.Revision(), c.targets.LastChange(), now.Sub(c.confirmed[resourceTargets])
+		n.Revision, n.LastChange, n.Age = c.targets.Revision(), c.targets.LastChange(), now.Sub(c.confirmed[resourceTargets])
 		n.Targets, n.Changes = c.targetsSince(m.have.Targets)
 	}
 	if m.have.Evacuations < c.evacuations.LastChange() {
 		n.Evacuations = &relay.Evacuations{
-			List: slices.Collect(maps.Values(c.evacuations.Items())), At: c.evacuations.Revision(), Moved: c.evacuations.LastChange(),
+			List: slices.Collect(maps.Values(c.evacuations.Items())), Revision: c.evacuations.Revision(), LastChange: c.evacuations.LastChange(),
 			Age: now.Sub(c.confirmed[resourceEvacuations]),
 		}
 	}
-	if m.have.Entries {
-		n.Entries = c.members.EntriesMissingFrom(m.have.Known)
+	if m.have.WantEntries {
+		n.Entries = c.members.EntriesMissingFrom(m.have.EntryDigests)
 	}
 	m.reply <- n
 }
 
 // targetsSince returns the changes of targets since a revision, or the full list if the
 // recorded changes don't reach back to it.
-func (c *control) targetsSince(since roster.Revision) (e relay.Extent, changes []roster.Change[slot.Target]) {
+func (c *control) targetsSince(since roster.Revision) (e relay.TargetsUpdate, changes []roster.Change[slot.Target]) {
 	changes, ok := c.targets.ChangesSince(since)
 	if ok {
-		return relay.Changed, changes
+		return relay.TargetsChanged, changes
 	}
 	for _, it := range c.targets.Items() {
 		changes = append(changes, roster.Change[slot.Target]{Item: it})
 	}
-	return relay.Listed, changes
+	return relay.TargetsListed, changes
 }
 
 // confirm records that the store confirmed at that time that there is nothing newer.
@@ -120,7 +120,7 @@
 	}
 	c.pullSource, c.pullStarted = from, now
 	c.gateway.instruments.pulls.Inc(1)
-	have := relay.Have{Config: c.config.Version, Targets: c.targets.LastChange(), Evacuations: c.evacuations.LastChange()}
+	have := relay.PullQuery{Config: c.config.Version, Targets: c.targets.LastChange(), Evacuations: c.evacuations.LastChange()}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -133,7 +133,7 @@
 type pullResult struct {
 	askedAt time.Time
 	from    string // address
-	news    relay.News
+	news    relay.PullResult
 	err     error
 }
 
@@ -157,7 +157,7 @@
 			c.handleEvent(now, member.PushNow{})
 		}
 	}
-	if m.news.Targets != relay.Nothing {
+	if m.news.Targets != relay.TargetsUnchanged {
 		// The answer was sent between the request and now, and its transfer may have
 		// taken half a second. Measured from the request, the age of a list is never
 		// underestimated.
@@ -196,8 +196,8 @@
 		return
 	}
 	c.fetchPending, c.lastFetch = true, now
-	have := relay.Have{
-		Config: math.MaxUint64, Targets: math.MaxUint64, Evacuations: math.MaxUint64, Entries: true, Known: c.members.EntryDigests(),
+	have := relay.PullQuery{
+		Config: math.MaxUint64, Targets: math.MaxUint64, Evacuations: math.MaxUint64, WantEntries: true, EntryDigests: c.members.EntryDigests(),
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -223,16 +223,16 @@
 }
 
 // applyPulledTargets applies the targets in a pull's answer.
-func (c *control) applyPulledTargets(n relay.News) (changed bool) {
-	if n.Targets == relay.Changed {
-		changed = c.targets.Merge(n.Changes, n.At)
+func (c *control) applyPulledTargets(n relay.PullResult) (changed bool) {
+	if n.Targets == relay.TargetsChanged {
+		changed = c.targets.Merge(n.Changes, n.Revision)
 	} else {
 		list := make([]roster.Item[slot.Target], 0, len(n.Changes))
 		for _, change := range n.Changes {
 			list = append(list, change.Item)
 		}
-		changed = c.targets.Replace(list, n.At)
+		changed = c.targets.Replace(list, n.Revision)
 	}
-	c.targets.AdvanceLastChange(n.Moved)
+	c.targets.AdvanceLastChange(n.LastChange)
 	return changed
 }
--- a/internal/gateway/pull_test.go
+++ b/internal/gateway/pull_test.go
@@ -19,8 +19,8 @@
 func TestPulledAgeAfterStart(t *testing.T) {
 	c := parkedControl(t)
 	now := c.started.Add(100 * time.Millisecond)
-	pullResult{askedAt: now, news: relay.News{
-		Targets: relay.Listed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, At: 5, Moved: 5, Age: 3 * time.Second,
+	pullResult{askedAt: now, news: relay.PullResult{
+		Targets: relay.TargetsListed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, Revision: 5, LastChange: 5, Age: 3 * time.Second,
 	}}.apply(now, c)
 	qt.Assert(t, c.age(now, resourceTargets) >= 3*time.Second, qt.IsTrue, qt.Commentf("%v", c.age(now, resourceTargets)))
 }
@@ -33,8 +33,8 @@
 	c := parkedControl(t)
 	asked := c.started.Add(time.Second)
 	now := asked.Add(held)
-	pullResult{askedAt: asked, news: relay.News{
-		Targets: relay.Listed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, At: 5, Moved: 5,
+	pullResult{askedAt: asked, news: relay.PullResult{
+		Targets: relay.TargetsListed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, Revision: 5, LastChange: 5,
 	}}.apply(now, c)
 	qt.Assert(t, c.age(now, resourceTargets) >= held, qt.IsTrue, qt.Commentf("%v", c.age(now, resourceTargets)))
 }
@@ -43,15 +43,17 @@
 // change.
 type silentSource struct{}
 
-func (silentSource) News(ctx context.Context, _ relay.Have) (n relay.News, err error) {
+func (silentSource) AnswerPull(ctx context.Context, _ relay.PullQuery) (n relay.PullResult, err error) {
 	<-ctx.Done()
 	return n, ctx.Err()
 }
 
 // fixedSource answers each pull with the same news.
-type fixedSource relay.News
+type fixedSource relay.PullResult
 
-func (n fixedSource) News(context.Context, relay.Have) (relay.News, error) { return relay.News(n), nil }
+func (n fixedSource) AnswerPull(context.Context, relay.PullQuery) (relay.PullResult, error) {
+	return relay.PullResult(n), nil
+}
 
 // An entry advertises that a target has left, and its VM loses power before the others have pulled
 // that. Another entry advertises the same change. The others must pull from it, and not wait until
@@ -63,7 +65,7 @@
 	w.store.Fail(refuseStoreCalls(e))
 	peer := func(name string, s relay.Source) *relay.Relay {
 		r, err := relay.New(relay.Config{
-			Address: "127.0.0.1:0", Source: s, Log: e.log, Heard: func(relay.Packet, string) {}, Sent: func(int) {},
+			Address: "127.0.0.1:0", Source: s, Log: e.log, OnPacket: func(relay.Packet, string) {}, OnSent: func(int) {},
 			Self: func() member.ID { return member.ID{Name: name, Boot: 1} },
 		})
 		w.c.Assert(err, qt.IsNil)
@@ -72,10 +74,10 @@
 		return r
 	}
 	news := roster.NewRevision(1, 1<<40) // newer than all revisions in the store
-	answer := relay.News{
-		Targets: relay.Changed, Changes: []roster.Change[slot.Target]{removed(w.workers[0].ID, news)}, At: news, Moved: news,
+	answer := relay.PullResult{
+		Targets: relay.TargetsChanged, Changes: []roster.Change[slot.Target]{removed(w.workers[0].ID, news)}, Revision: news, LastChange: news,
 	}
-	advertised := relay.Packet{Kind: relay.Tell, Knowledge: relay.Knowledge{Config: 1, Targets: news}}
+	advertised := relay.Packet{Kind: relay.Announcement, Knowledge: relay.Knowledge{Config: 1, Targets: news}}
 	dead, other := peer("dead", silentSource{}), peer("other", fixedSource(answer))
 	w.c.Assert(dead.Send(e.self.PeerAddress, advertised), qt.IsNil)
 	time.Sleep(20 * time.Millisecond)
@@ -94,8 +96,8 @@
 		name string
 		late message
 	}{
-		{"a list", pullResult{news: relay.News{Targets: relay.Listed, Changes: older, At: 12, Moved: 10}}},
-		{"changes", pullResult{news: relay.News{Targets: relay.Changed, Changes: older, At: 12, Moved: 10}}},
+		{"a list", pullResult{news: relay.PullResult{Targets: relay.TargetsListed, Changes: older, Revision: 12, LastChange: 10}}},
+		{"changes", pullResult{news: relay.PullResult{Targets: relay.TargetsChanged, Changes: older, Revision: 12, LastChange: 10}}},
 		{"a watch that began before", targetsChanged{changes: older, revision: 12}},
 	}
 	for _, tt := range tests {
--- a/internal/gateway/spread.go
+++ b/internal/gateway/spread.go
@@ -47,7 +47,7 @@
 // announceRevisions advertises newer versions in force to the waiting and to other entries.
 func (c *control) announceRevisions(now time.Time) {
 	for address := range c.waitingPeers {
-		c.send(address, relay.Packet{Kind: relay.Tell, Knowledge: c.knowledge(now)})
+		c.send(address, relay.Packet{Kind: relay.Announcement, Knowledge: c.knowledge(now)})
 	}
 	if c.config.Version != 0 && c.targets.LastChange() != 0 {
 		clear(c.waitingPeers)
@@ -63,7 +63,7 @@
 func (c *control) announceConfirmation(now time.Time, r resource) {
 	for _, e := range c.readerOrder[r] {
 		if e.Name != c.gateway.self.Name {
-			c.send(e.PeerAddress, relay.Packet{Kind: relay.Tell, Knowledge: c.knowledge(now)})
+			c.send(e.PeerAddress, relay.Packet{Kind: relay.Announcement, Knowledge: c.knowledge(now)})
 		}
 	}
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -62,7 +62,7 @@
 		return
 	}
 	for _, e := range started {
-		c.send(e.PeerAddress, relay.Packet{Kind: relay.Suspects, Suspects: quarantined, ID: c.members.Self()})
+		c.send(e.PeerAddress, relay.Packet{Kind: relay.SuspectReport, Suspects: quarantined, ID: c.members.Self()})
 	}
 }
 
@@ -154,7 +154,7 @@
 		return
 	}
 	for _, e := range c.otherOwners() {
-		c.send(e.PeerAddress, relay.Packet{Kind: relay.Suspects, Suspects: changed, ID: c.members.Self()})
+		c.send(e.PeerAddress, relay.Packet{Kind: relay.SuspectReport, Suspects: changed, ID: c.members.Self()})
 	}
 }
 
--- a/internal/members/calls.go
+++ b/internal/members/calls.go
@@ -10,8 +10,8 @@
 
 // Gossip handles a peer's message and returns the response.
 func (m *Members) Gossip(ctx context.Context, msg member.Message) (response member.Message, err error) {
-	p := post{event: member.Request{Message: msg}, reply: make(chan member.Message, 1)}
-	if err := m.post(ctx, p); err != nil {
+	p := queuedEvent{event: member.Request{Message: msg}, reply: make(chan member.Message, 1)}
+	if err := m.enqueue(ctx, p); err != nil {
 		return response, err
 	}
 	select {
@@ -34,39 +34,39 @@
 }
 
 // SetRevisions announces the revisions that are now in force at this entry.
-func (m *Members) Revised(ctx context.Context, marks member.Revisions) (err error) {
-	return m.tell(ctx, member.SetRevisions{Revisions: marks})
+func (m *Members) SetRevisions(ctx context.Context, marks member.Revisions) (err error) {
+	return m.submit(ctx, member.SetRevisions{Revisions: marks})
 }
 
 // SetReady announces that callers may be sent to this entry.
-func (m *Members) Ready(ctx context.Context) (err error) {
-	return m.tell(ctx, member.Ready{})
+func (m *Members) SetReady(ctx context.Context) (err error) {
+	return m.submit(ctx, member.Ready{})
 }
 
 // SpreadRumours starts spreading rumours to all entries.
-func (m *Members) Tell(ctx context.Context, r member.Rumours) (err error) {
-	return m.tell(ctx, member.SpreadRumours{Rumours: r})
+func (m *Members) SpreadRumours(ctx context.Context, r member.Rumours) (err error) {
+	return m.submit(ctx, member.SpreadRumours{Rumours: r})
 }
 
 // SetSeeds replaces the addresses used for a first contact with other entries.
-func (m *Members) Seeds(ctx context.Context, addresses []string) (err error) {
-	return m.tell(ctx, member.SetSeeds{Addresses: addresses})
+func (m *Members) SetSeeds(ctx context.Context, addresses []string) (err error) {
+	return m.submit(ctx, member.SetSeeds{Addresses: addresses})
 }
 
 // Leave announces that this entry will stop. The entry still serves requests.
 func (m *Members) Leave(ctx context.Context) (err error) {
-	return m.tell(ctx, member.Leave{})
+	return m.submit(ctx, member.Leave{})
 }
 
 // Depart announces that this entry no longer serves requests. It returns once all
 // pending messages are acknowledged or have failed. Serve must still be running.
 func (m *Members) Depart(ctx context.Context) (err error) {
-	if err := m.tell(ctx, member.Depart{}); err != nil {
+	if err := m.submit(ctx, member.Depart{}); err != nil {
 		return err
 	}
 	done := make(chan struct{})
 	go func() {
-		m.sends.Wait()
+		m.pendingSends.Wait()
 		close(done)
 	}()
 	select {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -17,33 +17,33 @@
 // Config configures Members. The callbacks run in the goroutine that owns the table
 // and must not block.
 type Config struct {
-	Member     member.Config
-	Client     *peer.Client
-	Now        func() time.Time                              // time.Now when nil
-	Behind     func(from member.Ref, marks member.Revisions) // a peer has newer revisions
-	Learned    func(r member.Rumours)                        // rumours new to this entry were received
-	Superseded func(by member.ID)                            // a later incarnation of this entry is running
+	Member       member.Config
+	Client       *peer.Client
+	Now          func() time.Time                              // time.Now when nil
+	OnPeerAhead  func(from member.Ref, marks member.Revisions) // a peer has newer revisions
+	OnRumours    func(r member.Rumours)                        // rumours new to this entry were received
+	OnSuperseded func(by member.ID)                            // a later incarnation of this entry is running
 }
 
 // Members is the membership of one entry.
 type Members struct {
-	cfg     Config
-	table   *member.Table // owned by Serve
-	view    atomic.Pointer[member.View]
-	changes chan struct{}
-	posts   chan post
-	sends   sync.WaitGroup
+	cfg          Config
+	table        *member.Table // owned by Serve
+	view         atomic.Pointer[member.View]
+	changes      chan struct{}
+	queue        chan queuedEvent
+	pendingSends sync.WaitGroup
 }
 
 // queuedEvent is an event that waits for the goroutine that owns the table.
-type post struct {
+type queuedEvent struct {
 	event member.Event
 	reply chan member.Message // receives the response; nil if none is expected
 	done  chan struct{}       // closed when the event is handled; may be nil
 }
 
 // queueSize is the maximum number of queued events.
-const postQueue = 256
+const queueSize = 256
 
 // New returns the membership of an entry that knows no other entry yet.
 func New(cfg Config) *Members {
@@ -57,7 +57,7 @@
 		cfg:     cfg,
 		table:   member.New(cfg.Member),
 		changes: make(chan struct{}, 1),
-		posts:   make(chan post, postQueue),
+		queue:   make(chan queuedEvent, queueSize),
 	}
 	m.publish()
 	return m
@@ -83,46 +83,46 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timer.C:
-			m.handle(ctx, post{event: member.Tick{}})
-		case p := <-m.posts:
+			m.handle(ctx, queuedEvent{event: member.Tick{}})
+		case p := <-m.queue:
 			m.handle(ctx, p)
 		}
 		timer.Reset(max(m.table.Next().Sub(m.cfg.Now()), time.Millisecond))
 	}
 }
 
-func (m *Members) handle(ctx context.Context, p post) {
+func (m *Members) handle(ctx context.Context, p queuedEvent) {
 	for _, a := range m.table.Handle(m.cfg.Now(), p.event) {
 		if r, ok := a.(member.Reply); ok {
 			p.reply <- r.Message
 			continue
 		}
-		m.act(ctx, a)
+		m.execute(ctx, a)
 	}
 	if p.done != nil {
 		close(p.done)
 	}
 }
 
-func (m *Members) act(ctx context.Context, a member.Action) {
+func (m *Members) execute(ctx context.Context, a member.Action) {
 	switch a := a.(type) {
 	case member.Send:
-		m.sends.Go(func() { m.send(ctx, a) })
+		m.pendingSends.Go(func() { m.send(ctx, a) })
 	case member.IndirectPing:
-		m.sends.Go(func() { m.reach(ctx, a) })
+		m.pendingSends.Go(func() { m.sendIndirectPing(ctx, a) })
 	case member.ViewChanged, member.RevisionsChanged:
 		m.publish()
 	case member.PeerAhead:
-		if m.cfg.Behind != nil {
-			m.cfg.Behind(a.Peer, a.Revisions)
+		if m.cfg.OnPeerAhead != nil {
+			m.cfg.OnPeerAhead(a.Peer, a.Revisions)
 		}
 	case member.RumoursReceived:
-		if m.cfg.Learned != nil {
-			m.cfg.Learned(a.Rumours)
+		if m.cfg.OnRumours != nil {
+			m.cfg.OnRumours(a.Rumours)
 		}
 	case member.Superseded:
-		if m.cfg.Superseded != nil {
-			m.cfg.Superseded(a.By)
+		if m.cfg.OnSuperseded != nil {
+			m.cfg.OnSuperseded(a.By)
 		}
 	}
 }
@@ -144,23 +144,23 @@
 	if err == nil {
 		ev = member.Response{ExchangeID: s.ExchangeID, Message: response}
 	}
-	_ = m.post(ctx, post{event: ev})
+	_ = m.enqueue(ctx, queuedEvent{event: ev})
 }
 
-func (m *Members) reach(ctx context.Context, r member.IndirectPing) {
+func (m *Members) sendIndirectPing(ctx context.Context, r member.IndirectPing) {
 	var ev member.Event = member.ExchangeFailed{ExchangeID: r.ExchangeID}
 	limited, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
-	id, err := m.cfg.Client.Reach(limited, r.Via.Address, r.Peer.Address)
+	id, err := m.cfg.Client.IndirectPing(limited, r.Via.Address, r.Peer.Address)
 	if err == nil && id != (member.ID{}) {
 		ev = member.IndirectAck{ExchangeID: r.ExchangeID, ID: id}
 	}
-	_ = m.post(ctx, post{event: ev})
+	_ = m.enqueue(ctx, queuedEvent{event: ev})
 }
 
-func (m *Members) post(ctx context.Context, p post) (err error) {
+func (m *Members) enqueue(ctx context.Context, p queuedEvent) (err error) {
 	select {
-	case m.posts <- p:
+	case m.queue <- p:
 		return nil
 	case <-ctx.Done():
 		return errors.WithMessage(ctx.Err(), "membership")
@@ -168,9 +168,9 @@
 }
 
 // submit enqueues an event and waits until it is handled.
-func (m *Members) tell(ctx context.Context, ev member.Event) (err error) {
-	p := post{event: ev, done: make(chan struct{})}
-	if err := m.post(ctx, p); err != nil {
+func (m *Members) submit(ctx context.Context, ev member.Event) (err error) {
+	p := queuedEvent{event: ev, done: make(chan struct{})}
+	if err := m.enqueue(ctx, p); err != nil {
 		return err
 	}
 	select {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -18,18 +18,18 @@
 // node is an entry with a TCP listener and a client.
 type node struct {
 	*Members
-	self     member.Entry
-	cancel   context.CancelFunc
-	server   *http.Server
-	learned  atomic.Int32
-	replaced atomic.Int32
-	behind   atomic.Uint64
+	self          member.Entry
+	cancel        context.CancelFunc
+	server        *http.Server
+	rumours       atomic.Int32
+	superseded    atomic.Int32
+	aheadRevision atomic.Uint64
 }
 
 // speedup makes gossip rounds ten times faster than the defaults.
-const pace = 10
+const speedup = 10
 
-func start(c *qt.C, name string, boot uint64, seeds ...string) *node {
+func startNode(c *qt.C, name string, boot uint64, seeds ...string) *node {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	address := l.Addr().String()
@@ -40,12 +40,12 @@
 	n.Members = New(Config{
 		Member: member.Config{
 			Self: n.self, Seeds: seeds, Rand: rand.New(rand.NewPCG(1, boot)),
-			Period: member.DefaultPeriod / pace, SuspicionTimeout: member.DefaultSuspicionTimeout / pace,
+			Period: member.DefaultPeriod / speedup, SuspicionTimeout: member.DefaultSuspicionTimeout / speedup,
 		},
-		Client:     client,
-		Behind:     func(_ member.Ref, m member.Revisions) { n.behind.Store(m.Settings) },
-		Learned:    func(member.Rumours) { n.learned.Add(1) },
-		Superseded: func(member.ID) { n.replaced.Add(1) },
+		Client:       client,
+		OnPeerAhead:  func(_ member.Ref, m member.Revisions) { n.aheadRevision.Store(m.Settings) },
+		OnRumours:    func(member.Rumours) { n.rumours.Add(1) },
+		OnSuperseded: func(member.ID) { n.superseded.Add(1) },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -84,9 +84,9 @@
 func TestMembers(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
-	a := start(c, "a", 1)
-	b := start(c, "b", 1, a.self.PeerAddress)
-	d := start(c, "d", 1, a.self.PeerAddress)
+	a := startNode(c, "a", 1)
+	b := startNode(c, "b", 1, a.self.PeerAddress)
+	d := startNode(c, "d", 1, a.self.PeerAddress)
 	nodes := []*node{a, b, d}
 	for _, n := range nodes {
 		eventually(c, n.self.ID.Name+" sees all entries", func() bool { return len(n.Serving()) == 3 })
@@ -94,12 +94,12 @@
 		c.Assert(got.CallerAddress, qt.Equals, b.self.CallerAddress)
 	}
 
-	c.Assert(b.Revised(ctx, member.Revisions{Settings: 4}), qt.IsNil)
-	c.Assert(b.Tell(ctx, member.Rumours{StopNotices: []member.StopNotice{{Target: "w", Time: time.Now()}}}), qt.IsNil)
-	c.Assert(b.Ready(ctx), qt.IsNil)
+	c.Assert(b.SetRevisions(ctx, member.Revisions{Settings: 4}), qt.IsNil)
+	c.Assert(b.SpreadRumours(ctx, member.Rumours{StopNotices: []member.StopNotice{{Target: "w", Time: time.Now()}}}), qt.IsNil)
+	c.Assert(b.SetReady(ctx), qt.IsNil)
 	for _, n := range []*node{a, d} {
-		eventually(c, "settings of b", func() bool { return n.behind.Load() == 4 })
-		eventually(c, "rumour of b", func() bool { return n.learned.Load() == 1 })
+		eventually(c, "settings of b", func() bool { return n.aheadRevision.Load() == 4 })
+		eventually(c, "rumour of b", func() bool { return n.rumours.Load() == 1 })
 		eventually(c, "b ready", func() bool {
 			e, _ := n.View().Find("b")
 			return e.Ready
@@ -119,33 +119,33 @@
 
 // A new incarnation starts under the name of an entry that still runs. The old
 // incarnation learns that it is superseded.
-func TestReplaced(t *testing.T) {
+func TestSuperseded(t *testing.T) {
 	c := qt.New(t)
-	a := start(c, "a", 1)
-	b := start(c, "b", 1, a.self.PeerAddress)
+	a := startNode(c, "a", 1)
+	b := startNode(c, "b", 1, a.self.PeerAddress)
 	eventually(c, "both entries have joined", func() bool { return len(a.Serving()) == 2 && len(b.Serving()) == 2 })
-	start(c, "b", 2, a.self.PeerAddress)
-	eventually(c, "the old incarnation learns of the new one", func() bool { return b.replaced.Load() == 1 })
+	startNode(c, "b", 2, a.self.PeerAddress)
+	eventually(c, "the old incarnation learns of the new one", func() bool { return b.superseded.Load() == 1 })
 }
 
 // The seeds are addresses where nothing answers, or where connections are accepted
 // and never answered. Calls must end with their context, and the entry runs alone.
-func TestAlone(t *testing.T) {
+func TestUnreachableSeeds(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts and never answers
 	c.Assert(err, qt.IsNil)
 	defer l.Close()
-	a := start(c, "a", 1, l.Addr().String(), "127.0.0.1:1")
+	a := startNode(c, "a", 1, l.Addr().String(), "127.0.0.1:1")
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_, err = a.Ping(ctx, l.Addr().String())
 	c.Assert(err, qt.ErrorMatches, "ping .*deadline exceeded.*")
-	c.Assert(a.Seeds(ctx, []string{"127.0.0.1:1"}), qt.IsNil)
+	c.Assert(a.SetSeeds(ctx, []string{"127.0.0.1:1"}), qt.IsNil)
 	c.Assert(a.Serving(), qt.HasLen, 1)
 	a.cancel()
 	expiring, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	for range postQueue + 2 {
+	for range queueSize + 2 {
 		err = a.Leave(expiring)
 	}
 	c.Assert(err, qt.ErrorMatches, "membership: .*deadline exceeded")
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -15,7 +15,7 @@
 )
 
 // minimalHeaders removes headers that peers don't read, to save control traffic.
-var smallHeader = &twirp.ClientHooks{
+var minimalHeaders = &twirp.ClientHooks{
 	RequestPrepared: func(ctx context.Context, r *http.Request) (context.Context, error) {
 		r.Header["User-Agent"] = []string{""}
 		r.Header.Del("Accept")
@@ -27,21 +27,21 @@
 
 // ClientConfig configures a Client. Zero values take the defaults.
 type ClientConfig struct {
-	Timeout  time.Duration // of a call whose context has no deadline; default 1 s
-	Dial     time.Duration // timeout of a connect; default 300 ms
-	MaxConns int           // to one peer; default 16
-	Counters *Counters
+	Timeout     time.Duration // of a call whose context has no deadline; default 1 s
+	DialTimeout time.Duration // timeout of a connect; default 300 ms
+	MaxConns    int           // to one peer; default 16
+	Counters    *Counters
 }
 
 // Defaults of a client.
 const (
-	DefaultTimeout  = time.Second
-	DefaultDial     = 300 * time.Millisecond
-	DefaultMaxConns = 16
+	DefaultTimeout     = time.Second
+	DefaultDialTimeout = 300 * time.Millisecond
+	DefaultMaxConns    = 16
 
-	idleTimeout = 20 * time.Second
-	maxIdle     = 1024
-	maxClients  = 4096
+	idleTimeout  = 20 * time.Second
+	maxIdleConns = 1024
+	maxClients   = 4096
 )
 
 // Client calls other entries. It is safe for concurrent use.
@@ -62,8 +62,8 @@
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = DefaultTimeout
 	}
-	if cfg.Dial <= 0 {
-		cfg.Dial = DefaultDial
+	if cfg.DialTimeout <= 0 {
+		cfg.DialTimeout = DefaultDialTimeout
 	}
 	if cfg.MaxConns <= 0 {
 		cfg.MaxConns = DefaultMaxConns
@@ -72,12 +72,12 @@
 		cfg.Counters = &Counters{}
 	}
 	c := &Client{cfg: cfg, clients: make(map[string]wire.Peer)}
-	c.http = &http.Client{Transport: &countTransport{inner: newTransport(cfg), counters: cfg.Counters}}
+	c.http = &http.Client{Transport: &countingTransport{inner: newTransport(cfg), counters: cfg.Counters}}
 	return c
 }
 
 func newTransport(cfg ClientConfig) *http.Transport {
-	dialer := &net.Dialer{Timeout: cfg.Dial}
+	dialer := &net.Dialer{Timeout: cfg.DialTimeout}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
@@ -88,20 +88,20 @@
 		},
 		MaxConnsPerHost:        cfg.MaxConns,
 		MaxIdleConnsPerHost:    cfg.MaxConns,
-		MaxIdleConns:           maxIdle,
+		MaxIdleConns:           maxIdleConns,
 		IdleConnTimeout:        idleTimeout,
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 }
 
-type countTransport struct {
+type countingTransport struct {
 	inner    *http.Transport
 	counters *Counters
 }
 
-func (t *countTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	k := kindOf(r)
+func (t *countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	k := methodOf(r)
 	t.counters.calls[k].Add(1)
 	t.counters.out[k].Add(r.ContentLength)
 	resp, err := t.inner.RoundTrip(r)
@@ -115,7 +115,7 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-func (c *Client) peer(address string) wire.Peer {
+func (c *Client) clientFor(address string) wire.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p, ok := c.clients[address]; ok {
@@ -124,12 +124,12 @@
 	if len(c.clients) >= maxClients {
 		clear(c.clients)
 	}
-	p := wire.NewPeerProtobufClient("http://"+address, c.http, twirp.WithClientHooks(smallHeader))
+	p := wire.NewPeerProtobufClient("http://"+address, c.http, twirp.WithClientHooks(minimalHeaders))
 	c.clients[address] = p
 	return p
 }
 
-func (c *Client) deadline(ctx context.Context) (context.Context, context.CancelFunc) {
+func (c *Client) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
@@ -139,10 +139,10 @@
 // Gossip sends a membership message and returns the response.
 func (c *Client) Gossip(ctx context.Context, address string, m member.Message) (response member.Message, err error) {
 	defer func() { err = errors.WithMessage(err, "gossip with "+address) }()
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withDeadline(ctx)
 	defer cancel()
 	req := &wire.GossipRequest{Version: Version, Gossip: EncodeGossip(time.Now(), m)}
-	reply, err := c.peer(address).Gossip(ctx, req)
+	reply, err := c.clientFor(address).Gossip(ctx, req)
 	if err != nil {
 		return response, err
 	}
@@ -155,9 +155,9 @@
 // Ping returns the ID of the incarnation that listens at an address.
 func (c *Client) Ping(ctx context.Context, address string) (id member.ID, err error) {
 	defer func() { err = errors.WithMessage(err, "ping "+address) }()
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withDeadline(ctx)
 	defer cancel()
-	reply, err := c.peer(address).Ping(ctx, &wire.PingRequest{Version: Version})
+	reply, err := c.clientFor(address).Ping(ctx, &wire.PingRequest{Version: Version})
 	if err != nil {
 		return id, err
 	}
@@ -166,11 +166,11 @@
 
 // IndirectPing asks the entry at via to ping the one at target. It returns a zero ID if
 // target didn't answer via.
-func (c *Client) Reach(ctx context.Context, via, target string) (id member.ID, err error) {
+func (c *Client) IndirectPing(ctx context.Context, via, target string) (id member.ID, err error) {
 	defer func() { err = errors.WithMessage(err, "ping "+target+" through "+via) }()
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withDeadline(ctx)
 	defer cancel()
-	reply, err := c.peer(via).Reach(ctx, &wire.ReachRequest{Version: Version, Peer: target})
+	reply, err := c.clientFor(via).Reach(ctx, &wire.ReachRequest{Version: Version, Peer: target})
 	if err != nil {
 		return id, err
 	}
@@ -178,13 +178,13 @@
 }
 
 // Settings fetches the changes of the settings since a revision.
-func (c *Client) Settings(ctx context.Context, address string, since uint64) (update Change, err error) {
+func (c *Client) Settings(ctx context.Context, address string, since uint64) (update SettingsUpdate, err error) {
 	defer func() { err = errors.WithMessage(err, "settings from "+address) }()
-	ctx, cancel := c.deadline(ctx)
+	ctx, cancel := c.withDeadline(ctx)
 	defer cancel()
-	reply, err := c.peer(address).Settings(ctx, &wire.SettingsRequest{Version: Version, Since: since})
+	reply, err := c.clientFor(address).Settings(ctx, &wire.SettingsRequest{Version: Version, Since: since})
 	if err != nil {
 		return update, err
 	}
-	return Change{Revision: reply.GetRevision(), Document: reply.GetDocument(), Edits: reply.GetEdits()}, nil
+	return SettingsUpdate{Revision: reply.GetRevision(), Document: reply.GetDocument(), Edits: reply.GetEdits()}, nil
 }
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -9,27 +9,27 @@
 )
 
 // Method is a method of the peer protocol.
-type Kind uint8
+type Method uint8
 
 // Methods of the peer protocol. Other stands for requests to unknown paths.
 const (
-	Gossip Kind = iota
+	Gossip Method = iota
 	Ping
 	Reach
 	Settings
 	Other
-	kinds
+	methodCount
 )
 
-var kindNames = [kinds]string{"Gossip", "Ping", "Reach", "Settings", "Other"}
+var methodNames = [methodCount]string{"Gossip", "Ping", "Reach", "Settings", "Other"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k Method) String() string { return methodNames[k] }
 
-func kindOf(r *http.Request) Kind {
+func methodOf(r *http.Request) Method {
 	name := path.Base(r.URL.Path)
-	for k, n := range kindNames {
+	for k, n := range methodNames {
 		if n == name {
-			return Kind(k)
+			return Method(k)
 		}
 	}
 	return Other
@@ -39,9 +39,9 @@
 // and as server. The counters of a method are calls and bytes of message bodies;
 // ConnIn and ConnOut are all bytes of the connections, HTTP headers included.
 type Counters struct {
-	calls [kinds]atomic.Int64
-	in    [kinds]atomic.Int64
-	out   [kinds]atomic.Int64
+	calls [methodCount]atomic.Int64
+	in    [methodCount]atomic.Int64
+	out   [methodCount]atomic.Int64
 
 	ConnIn  atomic.Int64
 	ConnOut atomic.Int64
@@ -49,17 +49,17 @@
 
 // Count is the traffic of one method.
 type Count struct {
-	Kind  Kind
-	Calls int64 // as client and as server
-	In    int64 // bytes received
-	Out   int64 // bytes sent
+	Method Method
+	Calls  int64 // as client and as server
+	In     int64 // bytes received
+	Out    int64 // bytes sent
 }
 
 // Counts returns the traffic of every method.
 func (c *Counters) Counts() []Count {
 	var all []Count
-	for k := range kinds {
-		all = append(all, Count{Kind: k, Calls: c.calls[k].Load(), In: c.in[k].Load(), Out: c.out[k].Load()})
+	for k := range methodCount {
+		all = append(all, Count{Method: k, Calls: c.calls[k].Load(), In: c.in[k].Load(), Out: c.out[k].Load()})
 	}
 	return all
 }
@@ -100,15 +100,15 @@
 // countedBody counts the bytes read from a body, and fails reads past its size limit.
 type countedBody struct {
 	io.ReadCloser
-	total *atomic.Int64
-	left  int64
+	total     *atomic.Int64
+	remaining int64
 }
 
 func (b *countedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	b.total.Add(int64(n))
-	b.left -= int64(n)
-	if b.left < 0 {
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
 		return n, errTooLong
 	}
 	return n, err
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -29,12 +29,12 @@
 
 // encodeAge returns the milliseconds since t. Messages carry ages in place of times,
 // since the clocks of two VMs may differ.
-func encodeAgo(now, t time.Time) uint32 {
+func encodeAge(now, t time.Time) uint32 {
 	ms := now.Sub(t).Milliseconds()
 	return uint32(min(max(ms, 0), math.MaxUint32))
 }
 
-func decodeAgo(now time.Time, ms uint32) time.Time {
+func decodeAge(now time.Time, ms uint32) time.Time {
 	return now.Add(-time.Duration(ms) * time.Millisecond)
 }
 
@@ -45,7 +45,7 @@
 		Sequence: e.Sequence,
 		State:    wire.State(e.State),
 		Ready:    e.Ready,
-		Ago:      encodeAgo(now, e.Since),
+		Ago:      encodeAge(now, e.Since),
 		Caller:   e.CallerAddress,
 		Peer:     e.PeerAddress,
 		Place:    e.Place,
@@ -70,7 +70,7 @@
 		Sequence:      w.GetSequence(),
 		State:         member.State(w.GetState()),
 		Ready:         w.GetReady(),
-		Since:         decodeAgo(now, w.GetAgo()),
+		Since:         decodeAge(now, w.GetAgo()),
 		CallerAddress: w.GetCaller(),
 		PeerAddress:   w.GetPeer(),
 		Place:         w.GetPlace(),
@@ -100,10 +100,10 @@
 		w.Entries = append(w.Entries, EncodeEntry(now, e))
 	}
 	for _, s := range m.Rumours.StopNotices {
-		w.Leaving = append(w.Leaving, &wire.Leaving{Target: s.Target, Boot: s.Boot, Ago: encodeAgo(now, s.Time)})
+		w.Leaving = append(w.Leaving, &wire.Leaving{Target: s.Target, Boot: s.Boot, Ago: encodeAge(now, s.Time)})
 	}
 	for _, c := range m.Rumours.CrashReports {
-		w.Suspects = append(w.Suspects, &wire.Suspect{Print: c.Fingerprint, Crashes: c.Crashes, Ago: encodeAgo(now, c.Time), By: c.Reporter, Sequence: c.Sequence})
+		w.Suspects = append(w.Suspects, &wire.Suspect{Print: c.Fingerprint, Crashes: c.Crashes, Ago: encodeAge(now, c.Time), By: c.Reporter, Sequence: c.Sequence})
 	}
 	return w
 }
@@ -139,10 +139,10 @@
 
 func decodeRumours(now time.Time, w *wire.Gossip) (r member.Rumours) {
 	for _, s := range w.GetLeaving() {
-		r.StopNotices = append(r.StopNotices, member.StopNotice{Target: s.GetTarget(), Boot: s.GetBoot(), Time: decodeAgo(now, s.GetAgo())})
+		r.StopNotices = append(r.StopNotices, member.StopNotice{Target: s.GetTarget(), Boot: s.GetBoot(), Time: decodeAge(now, s.GetAgo())})
 	}
 	for _, c := range w.GetSuspects() {
-		r.CrashReports = append(r.CrashReports, member.CrashReport{Fingerprint: c.GetPrint(), Crashes: c.GetCrashes(), Time: decodeAgo(now, c.GetAgo()), Reporter: c.GetBy(), Sequence: c.GetSequence()})
+		r.CrashReports = append(r.CrashReports, member.CrashReport{Fingerprint: c.GetPrint(), Crashes: c.GetCrashes(), Time: decodeAge(now, c.GetAgo()), Reporter: c.GetBy(), Sequence: c.GetSequence()})
 	}
 	return r
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -49,7 +49,7 @@
 
 // invalidArgument converts an error of a codec to a twirp error, whose text the caller
 // receives.
-func invalid(err error) error {
+func invalidArgument(err error) error {
 	return twirp.NewError(twirp.InvalidArgument, err.Error())
 }
 
@@ -58,7 +58,7 @@
 	value string
 }
 
-func require(fields ...field) error {
+func requireValues(fields ...field) error {
 	for _, f := range fields {
 		if f.value == "" {
 			return &FieldError{Field: f.name, Found: "nothing", Expected: "a value"}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -27,29 +27,29 @@
 
 // fake implements Members and SettingsSource. It echoes messages and counts calls.
 type fake struct {
-	served int
+	calls  int
 	gossip member.Message
 	have   uint64
-	change Change
+	change SettingsUpdate
 }
 
 func (f *fake) Gossip(_ context.Context, m member.Message) (member.Message, error) {
-	f.served++
+	f.calls++
 	f.gossip = m
 	m.From = self
 	return m, nil
 }
 
 func (f *fake) Ping(_ context.Context, address string) (member.ID, error) {
-	f.served++
+	f.calls++
 	if address != "10.0.0.2:1" {
 		return member.ID{}, errors.New("refused")
 	}
 	return other, nil
 }
 
-func (f *fake) Since(_ context.Context, have uint64) (Change, error) {
-	f.served++
+func (f *fake) ChangesSince(_ context.Context, have uint64) (SettingsUpdate, error) {
+	f.calls++
 	f.have = have
 	return f.change, nil
 }
@@ -66,7 +66,7 @@
 func TestCalls(t *testing.T) {
 	c := qt.New(t)
 	f := &fake{
-		change: Change{Revision: 9, Document: []byte("{}"), Edits: [][]byte{[]byte("a"), []byte("b")}},
+		change: SettingsUpdate{Revision: 9, Document: []byte("{}"), Edits: [][]byte{[]byte("a"), []byte("b")}},
 	}
 	counters := &Counters{}
 	address := serve(c, f, counters)
@@ -101,10 +101,10 @@
 	id, err := client.Ping(ctx, address)
 	c.Assert(err, qt.IsNil)
 	c.Assert(id, qt.Equals, self)
-	id, err = client.Reach(ctx, address, "10.0.0.2:1")
+	id, err = client.IndirectPing(ctx, address, "10.0.0.2:1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(id, qt.Equals, other)
-	id, err = client.Reach(ctx, address, "10.0.0.3:1")
+	id, err = client.IndirectPing(ctx, address, "10.0.0.3:1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(id, qt.Equals, member.ID{})
 
@@ -114,8 +114,8 @@
 	c.Assert(f.have, qt.Equals, uint64(2))
 
 	for _, n := range counters.Counts() {
-		if n.Kind != Other {
-			c.Assert(n.Calls >= 2 && n.In > 0 && n.Out > 0, qt.IsTrue, qt.Commentf("%v: %+v", n.Kind, n))
+		if n.Method != Other {
+			c.Assert(n.Calls >= 2 && n.In > 0 && n.Out > 0, qt.IsTrue, qt.Commentf("%v: %+v", n.Method, n))
 		}
 	}
 	// The bytes of the last response are counted in ConnOut before ConnIn.
@@ -126,7 +126,7 @@
 
 // A peer of another version, or with a fault, sends invalid messages. The error names
 // the invalid field, and the message doesn't reach Members or SettingsSource.
-func TestRefusals(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	ident := &wire.Ident{Name: "e1", Boot: 7}
 	tests := []struct {
 		name   string
@@ -164,7 +164,7 @@
 			c.Assert(err, qt.IsNil)
 			c.Assert(resp.StatusCode, qt.Equals, tt.status, qt.Commentf("%s", text))
 			c.Assert(string(text), qt.Contains, tt.want)
-			c.Assert(f.served, qt.Equals, 0)
+			c.Assert(f.calls, qt.Equals, 0)
 		})
 	}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -22,7 +22,7 @@
 }
 
 // SettingsUpdate holds the changes of the settings that a peer lacks.
-type Change struct {
+type SettingsUpdate struct {
 	Revision uint64
 	Document []byte   // full document, if the edits don't go back to the peer's revision
 	Edits    [][]byte // oldest first
@@ -30,7 +30,7 @@
 
 // SettingsSource returns the changes since a peer's revision.
 type SettingsSource interface {
-	Since(ctx context.Context, revision uint64) (Change, error)
+	ChangesSince(ctx context.Context, revision uint64) (SettingsUpdate, error)
 }
 
 // ServerConfig configures the server of the peer protocol.
@@ -69,11 +69,11 @@
 
 func countHandler(inner http.Handler, c *Counters) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		k := kindOf(r)
+		k := methodOf(r)
 		c.calls[k].Add(1)
 		w.Header()["Date"] = nil // peers do not read it
 		if r.ContentLength > MaxRequest {
-			refuseLong(w, r)
+			rejectOversized(w, r)
 			return
 		}
 		r.Body = &countedBody{r.Body, &c.in[k], MaxRequest}
@@ -84,14 +84,14 @@
 // rejectOversized reads up to MaxRequest bytes of the body before it responds. A client
 // that is still writing when the connection closes gets a connection reset in place
 // of the error.
-func refuseLong(w http.ResponseWriter, r *http.Request) {
+func rejectOversized(w http.ResponseWriter, r *http.Request) {
 	io.CopyN(io.Discard, r.Body, MaxRequest)
 	e := &FieldError{
 		Field:    "body",
 		Found:    fmt.Sprintf("%d bytes", r.ContentLength),
 		Expected: fmt.Sprintf("at most %d", MaxRequest),
 	}
-	twirp.WriteError(w, invalid(e))
+	twirp.WriteError(w, invalidArgument(e))
 }
 
 type server struct{ cfg ServerConfig }
@@ -102,7 +102,7 @@
 	}
 	m, err := DecodeGossip(time.Now(), w.GetGossip())
 	if err != nil {
-		return nil, invalid(err)
+		return nil, invalidArgument(err)
 	}
 	response, err := s.cfg.Members.Gossip(ctx, m)
 	if err != nil {
@@ -122,8 +122,8 @@
 	if err := checkVersion(w.GetVersion()); err != nil {
 		return nil, err
 	}
-	if err := require(field{"peer", w.GetPeer()}); err != nil {
-		return nil, invalid(err)
+	if err := requireValues(field{"peer", w.GetPeer()}); err != nil {
+		return nil, invalidArgument(err)
 	}
 	id, err := s.cfg.Members.Ping(ctx, w.GetPeer())
 	if err != nil {
@@ -139,13 +139,13 @@
 	if s.cfg.Settings == nil {
 		return nil, unimplemented(Settings)
 	}
-	update, err := s.cfg.Settings.Since(ctx, w.GetSince())
+	update, err := s.cfg.Settings.ChangesSince(ctx, w.GetSince())
 	if err != nil {
 		return nil, err
 	}
 	return &wire.SettingsReply{Revision: update.Revision, Document: update.Document, Edits: update.Edits}, nil
 }
 
-func unimplemented(k Kind) error {
+func unimplemented(k Method) error {
 	return twirp.NewError(twirp.Unimplemented, k.String()+" is not served here")
 }
--- a/internal/relay/codec.go
+++ b/internal/relay/codec.go
@@ -23,36 +23,36 @@
 	return uint32(min(max(d.Milliseconds(), 0), maxMillis))
 }
 
-func span(ms uint32) time.Duration {
+func fromMillis(ms uint32) time.Duration {
 	return time.Duration(ms) * time.Millisecond
 }
 
 // optionalAge decodes an age that is encoded as 1 more than its milliseconds. A
 // release without that kind of data omits the field: decoded as age 0, that would
 // confirm that no such data exists.
-func known(ms uint32) time.Duration {
+func optionalAge(ms uint32) time.Duration {
 	if ms == 0 {
 		return math.MaxInt64
 	}
-	return span(ms - 1)
+	return fromMillis(ms - 1)
 }
 
 // Formats of a PullReply. Each one includes the features of those before.
 const (
 	// formatLists has full, uncompressed lists. Entries that send no format understand
 	// only this one.
-	formatWhole = 0
+	formatLists = 0
 	// formatChanges has changes in place of full lists, and compressed configurations.
-	formatBrief = 1
+	formatChanges = 1
 	// formatCompressed has compressed lists of targets and entries.
-	formatPacked = 2
+	formatCompressed = 2
 )
 
 // compressLists compresses the lists of a reply if they are large: uncompressed, 720
 // targets take 54 KB and 472 entries take 47 KB.
-func packLists(w *wire.PullReply) (err error) {
+func compressLists(w *wire.PullReply) (err error) {
 	lists := &wire.PullReply{Targets: w.Targets, Entries: w.Entries}
-	if proto.Size(lists) < packFrom {
+	if proto.Size(lists) < minCompressBytes {
 		return nil
 	}
 	plain, err := proto.Marshal(lists)
@@ -60,15 +60,15 @@
 		return err
 	}
 	w.Targets, w.Entries = nil, nil
-	w.Lists, err = pack(plain)
+	w.Lists, err = compress(plain)
 	return err
 }
 
-func unpackLists(w *wire.PullReply) (err error) {
+func decompressLists(w *wire.PullReply) (err error) {
 	if len(w.Lists) == 0 {
 		return nil
 	}
-	plain, err := unpack(w.Lists)
+	plain, err := decompress(w.Lists)
 	if err != nil {
 		return err
 	}
@@ -81,12 +81,12 @@
 }
 
 // minCompressBytes is the size from which a configuration or the lists are compressed.
-const packFrom = 1 << 10
+const minCompressBytes = 1 << 10
 
-func encodeNews(now time.Time, n News) *wire.PullReply {
+func encodeResult(now time.Time, n PullResult) *wire.PullReply {
 	w := &wire.PullReply{
-		Config: n.Config, Listed: n.Targets != Nothing, Changed: n.Targets == Changed,
-		At: uint64(n.At), Moved: uint64(n.Moved), Age: millis(n.Age),
+		Config: n.Config, Listed: n.Targets != TargetsUnchanged, Changed: n.Targets == TargetsChanged,
+		At: uint64(n.Revision), Moved: uint64(n.LastChange), Age: millis(n.Age),
 	}
 	for _, c := range n.Changes {
 		t := c.Value
@@ -100,7 +100,7 @@
 		w.Entries = append(w.Entries, peer.EncodeEntry(now, e))
 	}
 	if e := n.Evacuations; e != nil {
-		w.Evacuations = &wire.Evacuations{At: uint64(e.At), Moved: uint64(e.Moved), Age: millis(e.Age)}
+		w.Evacuations = &wire.Evacuations{At: uint64(e.Revision), Moved: uint64(e.LastChange), Age: millis(e.Age)}
 		for _, it := range e.List {
 			w.Evacuations.List = append(w.Evacuations.List, &wire.Evacuation{Place: it.Name, Revision: uint64(it.Revision)})
 		}
@@ -108,20 +108,20 @@
 	return w
 }
 
-func decodeNews(now time.Time, w *wire.PullReply) (n News, err error) {
-	n = News{Config: w.Config, At: roster.Revision(w.At), Moved: roster.Revision(w.Moved), Age: span(w.Age)}
+func decodeResult(now time.Time, w *wire.PullReply) (n PullResult, err error) {
+	n = PullResult{Config: w.Config, Revision: roster.Revision(w.At), LastChange: roster.Revision(w.Moved), Age: fromMillis(w.Age)}
 	switch {
 	case w.Changed:
-		n.Targets = Changed
+		n.Targets = TargetsChanged
 	case w.Listed:
-		n.Targets = Listed
+		n.Targets = TargetsListed
 	}
 	if len(w.Packed) > 0 {
-		if n.Config, err = unpack(w.Packed); err != nil {
+		if n.Config, err = decompress(w.Packed); err != nil {
 			return n, errors.WithMessage(err, "packed")
 		}
 	}
-	if err := unpackLists(w); err != nil {
+	if err := decompressLists(w); err != nil {
 		return n, errors.WithMessage(err, "lists")
 	}
 	for _, t := range w.Targets {
@@ -130,14 +130,14 @@
 			Slots: int(t.Slots), Leaving: t.Leaving, StartedMillis: t.Born,
 		}
 		if t.Warm > 0 {
-			v.WarmAt = now.Add(span(t.Warm))
+			v.WarmAt = now.Add(fromMillis(t.Warm))
 		}
 		n.Changes = append(n.Changes, roster.Change[slot.Target]{
 			Item: roster.Item[slot.Target]{Name: t.Id, Revision: roster.Revision(t.Revision), Value: v}, Deleted: t.Deleted,
 		})
 	}
 	if e := w.Evacuations; e != nil {
-		n.Evacuations = &Evacuations{At: roster.Revision(e.At), Moved: roster.Revision(e.Moved), Age: span(e.Age)}
+		n.Evacuations = &Evacuations{Revision: roster.Revision(e.At), LastChange: roster.Revision(e.Moved), Age: fromMillis(e.Age)}
 		for _, it := range e.List {
 			n.Evacuations.List = append(n.Evacuations.List, roster.Item[slot.Evacuation]{Name: it.Place, Revision: roster.Revision(it.Revision)})
 		}
@@ -153,26 +153,26 @@
 }
 
 // configCompressor caches the compressed form of the last configuration.
-type packer struct {
-	mu     sync.Mutex
-	plain  []byte
-	packed []byte
+type configCompressor struct {
+	mu         sync.Mutex
+	plain      []byte
+	compressed []byte
 }
 
-func (p *packer) pack(data []byte) (compressed []byte, err error) {
+func (p *configCompressor) compress(data []byte) (compressed []byte, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if bytes.Equal(p.plain, data) {
-		return p.packed, nil
+		return p.compressed, nil
 	}
-	if compressed, err = pack(data); err != nil {
+	if compressed, err = compress(data); err != nil {
 		return nil, err
 	}
-	p.plain, p.packed = data, compressed
+	p.plain, p.compressed = data, compressed
 	return compressed, nil
 }
 
-func pack(data []byte) (compressed []byte, err error) {
+func compress(data []byte) (compressed []byte, err error) {
 	var b bytes.Buffer
 	z, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
 	if err != nil {
@@ -189,16 +189,16 @@
 
 // maxDecompressedBytes limits decompressed data. Objects in the store have at most
 // 1 MB.
-const maxUnpacked = 4 << 20
+const maxDecompressedBytes = 4 << 20
 
-func unpack(compressed []byte) (data []byte, err error) {
+func decompress(compressed []byte) (data []byte, err error) {
 	z, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
-	data, err = io.ReadAll(io.LimitReader(z, maxUnpacked+1))
-	if err == nil && len(data) > maxUnpacked {
-		err = errors.Errorf("decompressed data exceeds %d bytes", maxUnpacked)
+	data, err = io.ReadAll(io.LimitReader(z, maxDecompressedBytes+1))
+	if err == nil && len(data) > maxDecompressedBytes {
+		err = errors.Errorf("decompressed data exceeds %d bytes", maxDecompressedBytes)
 	}
 	return data, err
 }
--- a/internal/relay/packet.go
+++ b/internal/relay/packet.go
@@ -21,15 +21,15 @@
 
 // Types of packets. Relays handle ping and pong themselves.
 const (
-	Ask      Kind = iota + 1 // membership message; answered by a GossipResponse
-	Answer                   // to a GossipRequest, with the same exchange ID
-	Reach                    // asks the receiver to ping Address; answered by an IndirectAck
-	ping                     // sent on behalf of the entry at Address
-	pong                     // answer to a ping, with the same Address
-	Reached                  // the entry that an IndirectPing names has answered
-	Tell                     // Knowledge without a membership message
-	Loads                    // request rate of each host at the sender
-	Suspects                 // requests under which connections to targets broke
+	GossipRequest  Kind = iota + 1 // membership message; answered by a GossipResponse
+	GossipResponse                 // to a GossipRequest, with the same exchange ID
+	IndirectPing                   // asks the receiver to ping Address; answered by an IndirectAck
+	ping                           // sent on behalf of the entry at Address
+	pong                           // answer to a ping, with the same Address
+	IndirectAck                    // the entry that an IndirectPing names has answered
+	Announcement                   // Knowledge without a membership message
+	LoadReport                     // request rate of each host at the sender
+	SuspectReport                  // requests under which connections to targets broke
 )
 
 // Knowledge is the revisions and ages of the store data that an entry has in force.
@@ -45,22 +45,22 @@
 }
 
 // HostLoad is the request rate of one host at an entry.
-type Load struct {
+type HostLoad struct {
 	Host uint32  // hash, from owner.HostID
 	Rate float64 // requests a second
 }
 
 // Packet is the content of one datagram.
 type Packet struct {
-	Kind      Kind
-	Exchange  uint64         // identifies the request that a response belongs to
-	Message   member.Message // of GossipRequest and GossipResponse
-	Knowledge Knowledge      // of GossipRequest, GossipResponse and Announcement
-	Numbers   []owner.Count  // of GossipRequest and GossipResponse
-	Loads     []Load         // of LoadReport
-	Suspects  []call.Suspect // of SuspectReport
-	ID        member.ID      // entry that answered a ping or sends a report
-	Target    string         // entry to ping, or the one to send the acknowledgement to
+	Kind        Kind
+	ExchangeID  uint64         // identifies the request that a response belongs to
+	Message     member.Message // of GossipRequest and GossipResponse
+	Knowledge   Knowledge      // of GossipRequest, GossipResponse and Announcement
+	OwnerCounts []owner.Count  // of GossipRequest and GossipResponse
+	Loads       []HostLoad     // of LoadReport
+	Suspects    []call.Suspect // of SuspectReport
+	ID          member.ID      // entry that answered a ping or sends a report
+	Address     string         // entry to ping, or the one to send the acknowledgement to
 }
 
 // maxLoads and maxSuspects keep a packet within maxPacketBytes. maxLoads also limits the
@@ -77,7 +77,7 @@
 	for {
 		data, err = marshal(now, p)
 		n := len(p.Message.Entries)
-		if err != nil || len(data) <= maxPacket || n == 0 {
+		if err != nil || len(data) <= maxPacketBytes || n == 0 {
 			return data, err
 		}
 		if p.Message.BucketMask != 0 {
@@ -89,17 +89,17 @@
 }
 
 func marshal(now time.Time, p Packet) ([]byte, error) {
-	w := &wire.Datagram{Kind: wire.Kind(p.Kind), Exchange: p.Exchange, Address: p.Target}
-	if p.Kind == Ask || p.Kind == Answer {
+	w := &wire.Datagram{Kind: wire.Kind(p.Kind), Exchange: p.ExchangeID, Address: p.Address}
+	if p.Kind == GossipRequest || p.Kind == GossipResponse {
 		w.Gossip = peer.EncodeGossip(now, p.Message)
 	}
-	if p.Kind == Ask || p.Kind == Answer || p.Kind == Tell {
+	if p.Kind == GossipRequest || p.Kind == GossipResponse || p.Kind == Announcement {
 		w.Knowledge = encodeKnowledge(p.Knowledge)
 	}
 	if p.ID != (member.ID{}) {
 		w.Ident = &peerwire.Ident{Name: p.ID.Name, Boot: p.ID.Boot}
 	}
-	for _, n := range p.Numbers[:min(len(p.Numbers), maxLoads)] {
+	for _, n := range p.OwnerCounts[:min(len(p.OwnerCounts), maxLoads)] {
 		w.Numbers = append(w.Numbers, &wire.Number{Host: n.Host, Owners: uint32(n.Owners), Rate: float32(n.Rate), Sequence: n.Sequence})
 	}
 	for _, l := range p.Loads[:min(len(p.Loads), maxLoads)] {
@@ -121,9 +121,9 @@
 
 func decodeKnowledge(w *wire.Knowledge) Knowledge {
 	return Knowledge{
-		Config: route.Version(w.Config), ConfigAge: span(w.ConfigAge),
-		Targets: roster.Revision(w.Targets), TargetsAge: span(w.TargetsAge),
-		Evacuations: roster.Revision(w.Evacuations), EvacuationsAge: known(w.EvacuationsKnown),
+		Config: route.Version(w.Config), ConfigAge: fromMillis(w.ConfigAge),
+		Targets: roster.Revision(w.Targets), TargetsAge: fromMillis(w.TargetsAge),
+		Evacuations: roster.Revision(w.Evacuations), EvacuationsAge: optionalAge(w.EvacuationsKnown),
 	}
 }
 
@@ -132,11 +132,11 @@
 	if err := proto.Unmarshal(data, &w); err != nil {
 		return p, err
 	}
-	if w.Kind <= 0 || Kind(w.Kind) > Suspects {
-		return p, errors.Errorf("kind: found %d, expected 1 to %d", w.Kind, Suspects)
+	if w.Kind <= 0 || Kind(w.Kind) > SuspectReport {
+		return p, errors.Errorf("kind: found %d, expected 1 to %d", w.Kind, SuspectReport)
 	}
 	p = Packet{
-		Kind: Kind(w.Kind), Exchange: w.Exchange, Target: w.Address,
+		Kind: Kind(w.Kind), ExchangeID: w.Exchange, Address: w.Address,
 		ID: member.ID{Name: w.GetIdent().GetName(), Boot: w.GetIdent().GetBoot()},
 	}
 	if w.Knowledge != nil {
@@ -148,13 +148,13 @@
 		}
 	}
 	for _, n := range w.Numbers {
-		p.Numbers = append(p.Numbers, owner.Count{Host: n.Host, Owners: int(n.Owners), Rate: float64(n.Rate), Sequence: n.Sequence})
+		p.OwnerCounts = append(p.OwnerCounts, owner.Count{Host: n.Host, Owners: int(n.Owners), Rate: float64(n.Rate), Sequence: n.Sequence})
 	}
 	for _, l := range w.Loads {
-		p.Loads = append(p.Loads, Load{Host: l.Host, Rate: float64(l.Rate)})
+		p.Loads = append(p.Loads, HostLoad{Host: l.Host, Rate: float64(l.Rate)})
 	}
 	for _, s := range w.Suspects {
-		p.Suspects = append(p.Suspects, call.Suspect{Fingerprint: s.Print, Crashes: int(s.Crashes), Age: span(s.Ago)})
+		p.Suspects = append(p.Suspects, call.Suspect{Fingerprint: s.Print, Crashes: int(s.Crashes), Age: fromMillis(s.Ago)})
 	}
 	return p, nil
 }
--- a/internal/relay/recent.go
+++ b/internal/relay/recent.go
@@ -11,32 +11,32 @@
 // hundreds of entries start at once, they all pull from the few that have read the
 // store. With a reply built for each pull, half of them waited 0.28 s for three
 // entries of 0.8 cores each.
-type recent struct {
-	mu     sync.Mutex
-	at     time.Time
-	format uint32
-	reply  *wire.PullReply
+type replyCache struct {
+	mu       sync.Mutex
+	cachedAt time.Time
+	format   uint32
+	reply    *wire.PullReply
 }
 
 // replyCacheTime is how long a cached reply is used. The next packet shows its
 // receiver that the reply was stale, and its ages are too low by this time at most.
-const recentTime = 100 * time.Millisecond
+const replyCacheTime = 100 * time.Millisecond
 
-func (r *recent) get(now time.Time, format uint32) *wire.PullReply {
+func (r *replyCache) get(now time.Time, format uint32) *wire.PullReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.reply == nil || r.format != format || now.Sub(r.at) > recentTime {
+	if r.reply == nil || r.format != format || now.Sub(r.cachedAt) > replyCacheTime {
 		return nil
 	}
 	return r.reply
 }
 
 // put caches a reply if it has both a configuration and the full list of targets.
-func (r *recent) put(now time.Time, format uint32, reply *wire.PullReply) {
+func (r *replyCache) put(now time.Time, format uint32, reply *wire.PullReply) {
 	if !reply.Listed || len(reply.Config)+len(reply.Packed) == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.at, r.format, r.reply = now, format, reply
+	r.cachedAt, r.format, r.reply = now, format, reply
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -25,59 +25,59 @@
 )
 
 // PullQuery is a request for data newer than what the caller of Pull has.
-type Have struct {
+type PullQuery struct {
 	Config  route.Version
 	Targets roster.Revision // of the last change; 0 requests the full list
 	// Evacuations is the revision of the last change of evacuations.
-	Evacuations roster.Revision
-	Entries     bool     // whether to return the entries that the caller lacks
-	Known       []uint32 // digests of the entries that the caller has
+	Evacuations  roster.Revision
+	WantEntries  bool     // whether to return the entries that the caller lacks
+	EntryDigests []uint32 // digests of the entries that the caller has
 }
 
 // TargetsUpdate is the kind of update that PullResult.Changes holds.
-type Extent uint8
+type TargetsUpdate uint8
 
 // Kinds of updates of the targets.
 const (
-	Nothing Extent = iota // the caller is up to date
-	Listed                // the full list
-	Changed               // the changes since the caller's revision
+	TargetsUnchanged TargetsUpdate = iota // the caller is up to date
+	TargetsListed                         // the full list
+	TargetsChanged                        // the changes since the caller's revision
 )
 
 // PullResult is the data that is newer than a PullQuery.
-type News struct {
-	Config  []byte // as the operator wrote it; empty if the caller is up to date
-	Targets Extent
-	Changes []roster.Change[slot.Target]
-	At      roster.Revision // up to which the targets are known
-	Moved   roster.Revision // of the last change of targets, heartbeats excluded
-	Age     time.Duration   // since the store last confirmed the targets
-	Entries []member.Entry  // set if the query asks for entries
+type PullResult struct {
+	Config     []byte // as the operator wrote it; empty if the caller is up to date
+	Targets    TargetsUpdate
+	Changes    []roster.Change[slot.Target]
+	Revision   roster.Revision // up to which the targets are known
+	LastChange roster.Revision // of the last change of targets, heartbeats excluded
+	Age        time.Duration   // since the store last confirmed the targets
+	Entries    []member.Entry  // set if the query asks for entries
 	// Evacuations is the full list; nil if the caller is up to date.
 	Evacuations *Evacuations
 }
 
 // Evacuations lists the failure domains that must get no requests.
 type Evacuations struct {
-	List  []roster.Item[slot.Evacuation]
-	At    roster.Revision // up to which the list is known
-	Moved roster.Revision // of the last change
-	Age   time.Duration   // since the store last confirmed the list
+	List       []roster.Item[slot.Evacuation]
+	Revision   roster.Revision // up to which the list is known
+	LastChange roster.Revision // of the last change
+	Age        time.Duration   // since the store last confirmed the list
 }
 
 // Source answers pulls of other entries from the data of this entry.
 type Source interface {
-	News(ctx context.Context, have Have) (News, error)
+	AnswerPull(ctx context.Context, have PullQuery) (PullResult, error)
 }
 
 // Config builds a Relay.
 type Config struct {
-	Address string // host:port, for datagrams and calls
-	Source  Source
-	Self    func() member.ID            // ID of this entry, the answer to pings
-	Heard   func(p Packet, from string) // called by one goroutine for each received packet
-	Sent    func(bytes int)             // called for each sent packet
-	Log     log.Interface
+	Address  string // host:port, for datagrams and calls
+	Source   Source
+	Self     func() member.ID            // ID of this entry, the answer to pings
+	OnPacket func(p Packet, from string) // called by one goroutine for each received packet
+	OnSent   func(bytes int)             // called for each sent packet
+	Log      log.Interface
 }
 
 // Relay sends packets to other entries, receives theirs and serves pulls. It is
@@ -92,41 +92,41 @@
 
 // Timeouts of HTTP calls between entries, whose network latency is about 1 ms.
 const (
-	callTime   = 500 * time.Millisecond
-	idleTime   = 30 * time.Second
-	headerTime = 2 * time.Second
+	callTimeout   = 500 * time.Millisecond
+	idleTimeout   = 30 * time.Second
+	headerTimeout = 2 * time.Second
 )
 
 // maxPacketBytes is the maximum size of a datagram: an IP packet of 1,500 bytes without
 // its IP and UDP headers.
-const maxPacket = 1472
+const maxPacketBytes = 1472
 
 // New opens the sockets, so that a port already in use fails the start early.
 func New(cfg Config) (r *Relay, err error) {
 	defer func() { err = errors.WithMessage(err, "relay") }()
 	r = &Relay{cfg: cfg, client: &http.Client{
-		Timeout:   callTime,
-		Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTime, DisableCompression: true},
+		Timeout:   callTimeout,
+		Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout, DisableCompression: true},
 	}}
 	if err := r.listen(); err != nil {
 		return nil, err
 	}
 	r.server = &http.Server{
 		Handler:           wire.NewRelayServer(&server{source: cfg.Source}),
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       2 * idleTime,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       2 * idleTimeout,
 	}
 	return r, nil
 }
 
 // portAttempts limits the attempts to find a port that is free for both UDP and TCP.
-const freePorts = 20
+const portAttempts = 20
 
 // listen opens UDP and TCP sockets on the same port, so that one address serves
 // both. With port 0 the system chooses a free UDP port, whose TCP counterpart may be
 // in use; listen then tries another port.
 func (r *Relay) listen() (err error) {
-	for range freePorts {
+	for range portAttempts {
 		var addr *net.UDPAddr
 		if addr, err = net.ResolveUDPAddr("udp4", r.cfg.Address); err != nil {
 			return err
@@ -154,7 +154,7 @@
 func (r *Relay) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, r.Close)
 	defer stop()
-	go r.hear()
+	go r.receivePackets()
 	err := r.server.Serve(r.listener)
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -170,8 +170,8 @@
 
 func (r *Relay) String() string { return "relay" }
 
-func (r *Relay) hear() {
-	buf := make([]byte, 2*maxPacket) // larger than maxPacketBytes, so that an oversized datagram isn't truncated
+func (r *Relay) receivePackets() {
+	buf := make([]byte, 2*maxPacketBytes) // larger than maxPacketBytes, so that an oversized datagram isn't truncated
 	for {
 		n, from, err := r.packets.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -186,22 +186,22 @@
 			r.cfg.Log.WithError(err).WithField("from", from.String()).Warn("relay: dropped a malformed packet")
 			continue
 		}
-		r.heard(p, from.String())
+		r.handlePacket(p, from.String())
 	}
 }
 
 // handlePacket answers and forwards pings, and passes other packets to OnPacket.
-func (r *Relay) heard(p Packet, from string) {
+func (r *Relay) handlePacket(p Packet, from string) {
 	var err error
 	switch p.Kind {
-	case Reach:
-		err = r.Send(p.Target, Packet{Kind: ping, Exchange: p.Exchange, Target: from})
+	case IndirectPing:
+		err = r.Send(p.Address, Packet{Kind: ping, ExchangeID: p.ExchangeID, Address: from})
 	case ping:
-		err = r.Send(from, Packet{Kind: pong, Exchange: p.Exchange, Target: p.Target, ID: r.cfg.Self()})
+		err = r.Send(from, Packet{Kind: pong, ExchangeID: p.ExchangeID, Address: p.Address, ID: r.cfg.Self()})
 	case pong:
-		err = r.Send(p.Target, Packet{Kind: Reached, Exchange: p.Exchange, ID: p.ID})
+		err = r.Send(p.Address, Packet{Kind: IndirectAck, ExchangeID: p.ExchangeID, ID: p.ID})
 	default:
-		r.cfg.Heard(p, from)
+		r.cfg.OnPacket(p, from)
 	}
 	if err != nil {
 		r.cfg.Log.WithError(err).WithField("from", from).Debug("relay: sending a ping or its acknowledgement failed")
@@ -221,70 +221,70 @@
 		return err
 	}
 	n, err := r.packets.WriteToUDPAddrPort(data, addr)
-	r.cfg.Sent(n)
+	r.cfg.OnSent(n)
 	return err
 }
 
 // Pull requests the data that is newer than have from the entry at an address.
-func (r *Relay) Pull(ctx context.Context, from string, have Have) (n News, err error) {
+func (r *Relay) Pull(ctx context.Context, from string, have PullQuery) (n PullResult, err error) {
 	defer func() { err = errors.WithMessage(err, "pull from "+from) }()
 	c := wire.NewRelayProtobufClient("http://"+from, r.client)
 	reply, err := c.Pull(ctx, &wire.PullRequest{
-		Config: uint64(have.Config), Targets: uint64(have.Targets), Format: formatPacked,
-		Entries: have.Entries, Known: have.Known, Evacuations: uint64(have.Evacuations),
+		Config: uint64(have.Config), Targets: uint64(have.Targets), Format: formatCompressed,
+		Entries: have.WantEntries, Known: have.EntryDigests, Evacuations: uint64(have.Evacuations),
 	})
 	if err != nil {
 		return n, err
 	}
-	return decodeNews(time.Now(), reply)
+	return decodeResult(time.Now(), reply)
 }
 
 // server serves calls from other entries.
 type server struct {
-	source Source
-	packer packer
-	whole  recent
+	source      Source
+	compressor  configCompressor
+	fullReplies replyCache
 }
 
 // Pull implements wire.Relay.
 func (s *server) Pull(ctx context.Context, r *wire.PullRequest) (w *wire.PullReply, err error) {
 	if r.Config > 0 || r.Targets > 0 || r.Evacuations > 0 || r.Entries {
-		return s.answer(ctx, r)
+		return s.buildReply(ctx, r)
 	}
-	if w = s.whole.get(time.Now(), r.Format); w != nil {
+	if w = s.fullReplies.get(time.Now(), r.Format); w != nil {
 		return w, nil
 	}
-	if w, err = s.answer(ctx, r); err != nil {
+	if w, err = s.buildReply(ctx, r); err != nil {
 		return nil, err
 	}
-	s.whole.put(time.Now(), r.Format, w)
+	s.fullReplies.put(time.Now(), r.Format, w)
 	return w, nil
 }
 
-func (s *server) answer(ctx context.Context, r *wire.PullRequest) (*wire.PullReply, error) {
-	have := Have{
+func (s *server) buildReply(ctx context.Context, r *wire.PullRequest) (*wire.PullReply, error) {
+	have := PullQuery{
 		Config: route.Version(r.Config), Targets: roster.Revision(r.Targets), Evacuations: roster.Revision(r.Evacuations),
-		Entries: r.Entries, Known: r.Known,
+		WantEntries: r.Entries, EntryDigests: r.Known,
 	}
-	n, err := s.source.News(ctx, have)
+	n, err := s.source.AnswerPull(ctx, have)
 	if err != nil {
 		return nil, err
 	}
-	if n.Targets == Changed && r.Format < formatBrief {
+	if n.Targets == TargetsChanged && r.Format < formatChanges {
 		have.Targets = 0
-		if n, err = s.source.News(ctx, have); err != nil {
+		if n, err = s.source.AnswerPull(ctx, have); err != nil {
 			return nil, err
 		}
 	}
-	w := encodeNews(time.Now(), n)
-	if r.Format >= formatBrief && len(n.Config) >= packFrom {
+	w := encodeResult(time.Now(), n)
+	if r.Format >= formatChanges && len(n.Config) >= minCompressBytes {
 		w.Config = nil
-		if w.Packed, err = s.packer.pack(n.Config); err != nil {
+		if w.Packed, err = s.compressor.compress(n.Config); err != nil {
 			return nil, err
 		}
 	}
-	if r.Format >= formatPacked {
-		err = packLists(w)
+	if r.Format >= formatCompressed {
+		err = compressLists(w)
 	}
 	return w, err
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -20,13 +20,13 @@
 	"plumpitch.example/plumpitch/pkg/slot"
 )
 
-type fixed struct{ news News }
+type fixedSource struct{ result PullResult }
 
-func (f fixed) News(context.Context, Have) (News, error) { return f.news, nil }
+func (f fixedSource) AnswerPull(context.Context, PullQuery) (PullResult, error) { return f.result, nil }
 
-func start(t *testing.T, s Source, onPacket func(Packet, string)) *Relay {
+func startRelay(t *testing.T, s Source, onPacket func(Packet, string)) *Relay {
 	r, err := New(Config{
-		Address: "127.0.0.1:0", Source: s, Heard: onPacket, Sent: func(int) {}, Log: &log.Logger{Handler: discard.New()},
+		Address: "127.0.0.1:0", Source: s, OnPacket: onPacket, OnSent: func(int) {}, Log: &log.Logger{Handler: discard.New()},
 		Self: func() member.ID { return member.ID{Name: "self", Boot: 3} },
 	})
 	qt.Assert(t, err, qt.IsNil)
@@ -36,7 +36,7 @@
 	return r
 }
 
-func deaf(Packet, string) {}
+func ignorePacket(Packet, string) {}
 
 // A packet arrives unchanged, with the address of its sender.
 func TestPacket(t *testing.T) {
@@ -47,20 +47,20 @@
 		packet Packet
 	}{
 		{"ask", Packet{
-			Kind: Ask, Exchange: 8, Message: member.Message{From: from, Digest: 5, BucketMask: 1 << 63}, Knowledge: knowledge,
-			Numbers: []owner.Count{{Host: 9, Owners: 3, Rate: 2.5, Sequence: 4}},
+			Kind: GossipRequest, ExchangeID: 8, Message: member.Message{From: from, Digest: 5, BucketMask: 1 << 63}, Knowledge: knowledge,
+			OwnerCounts: []owner.Count{{Host: 9, Owners: 3, Rate: 2.5, Sequence: 4}},
 		}},
-		{"answer", Packet{Kind: Answer, Exchange: 8, Message: member.Message{From: from, BucketDigests: []uint32{1, 2}}, Knowledge: knowledge}},
-		{"knowledge", Packet{Kind: Tell, Knowledge: knowledge}},
-		{"suspects", Packet{Kind: Suspects, ID: from, Suspects: []call.Suspect{{Fingerprint: 5, Crashes: 2, Age: time.Second}}}},
-		{"loads", Packet{Kind: Loads, ID: from, Loads: []Load{{Host: 9, Rate: 2.5}}}},
+		{"answer", Packet{Kind: GossipResponse, ExchangeID: 8, Message: member.Message{From: from, BucketDigests: []uint32{1, 2}}, Knowledge: knowledge}},
+		{"knowledge", Packet{Kind: Announcement, Knowledge: knowledge}},
+		{"suspects", Packet{Kind: SuspectReport, ID: from, Suspects: []call.Suspect{{Fingerprint: 5, Crashes: 2, Age: time.Second}}}},
+		{"loads", Packet{Kind: LoadReport, ID: from, Loads: []HostLoad{{Host: 9, Rate: 2.5}}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			received := make(chan Packet, 1)
 			var sender string
-			to := start(t, fixed{}, func(p Packet, from string) { sender = from; received <- p })
-			from := start(t, fixed{}, deaf)
+			to := startRelay(t, fixedSource{}, func(p Packet, from string) { sender = from; received <- p })
+			from := startRelay(t, fixedSource{}, ignorePacket)
 			qt.Assert(t, from.Send(to.Address(), tt.packet), qt.IsNil)
 			select {
 			case got := <-received:
@@ -76,14 +76,14 @@
 // An entry gets no answer from another one and asks a third entry to ping it. The
 // acknowledgement returns through the third entry, with the ID of the incarnation
 // that answered.
-func TestReach(t *testing.T) {
+func TestIndirectPing(t *testing.T) {
 	received := make(chan Packet, 1)
-	requester := start(t, fixed{}, func(p Packet, _ string) { received <- p })
-	via, target := start(t, fixed{}, deaf), start(t, fixed{}, deaf)
-	qt.Assert(t, requester.Send(via.Address(), Packet{Kind: Reach, Exchange: 6, Target: target.Address()}), qt.IsNil)
+	requester := startRelay(t, fixedSource{}, func(p Packet, _ string) { received <- p })
+	via, target := startRelay(t, fixedSource{}, ignorePacket), startRelay(t, fixedSource{}, ignorePacket)
+	qt.Assert(t, requester.Send(via.Address(), Packet{Kind: IndirectPing, ExchangeID: 6, Address: target.Address()}), qt.IsNil)
 	select {
 	case got := <-received:
-		qt.Assert(t, got, qt.DeepEquals, Packet{Kind: Reached, Exchange: 6, ID: member.ID{Name: "self", Boot: 3}})
+		qt.Assert(t, got, qt.DeepEquals, Packet{Kind: IndirectAck, ExchangeID: 6, ID: member.ID{Name: "self", Boot: 3}})
 	case <-time.After(10 * time.Second):
 		t.Fatal("no acknowledgement received")
 	}
@@ -105,9 +105,9 @@
 		e.ID.Name = fmt.Sprintf("edge-fremantle-hall-%d", 101+i)
 		all = append(all, e)
 	}
-	p := Packet{Kind: Answer, Exchange: 1 << 62, Knowledge: Knowledge{Config: 1 << 40, Targets: 1 << 40, ConfigAge: time.Hour, TargetsAge: time.Hour}}
+	p := Packet{Kind: GossipResponse, ExchangeID: 1 << 62, Knowledge: Knowledge{Config: 1 << 40, Targets: 1 << 40, ConfigAge: time.Hour, TargetsAge: time.Hour}}
 	for i := range 8 {
-		p.Numbers = append(p.Numbers, owner.Count{Host: uint32(i), Owners: 400, Rate: 1, Sequence: 1 << 40})
+		p.OwnerCounts = append(p.OwnerCounts, owner.Count{Host: uint32(i), Owners: 400, Rate: 1, Sequence: 1 << 40})
 	}
 	for _, a := range table.Handle(now, member.Request{Message: member.Message{From: all[0].ID, Digest: 1, Entries: all}}) {
 		if r, ok := a.(member.Reply); ok {
@@ -118,7 +118,7 @@
 	qt.Assert(t, len(p.Message.Entries) > 4, qt.IsTrue)
 	data, err := encodePacket(now, p)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, len(data) <= maxPacket, qt.IsTrue, qt.Commentf("%d bytes", len(data)))
+	qt.Assert(t, len(data) <= maxPacketBytes, qt.IsTrue, qt.Commentf("%d bytes", len(data)))
 	got, err := decodePacket(now, data)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, got.Message.Entries, qt.HasLen, len(p.Message.Entries))
@@ -130,7 +130,7 @@
 	}
 	data, err = encodePacket(now, p)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, len(data) <= maxPacket, qt.IsTrue, qt.Commentf("%d bytes with suspect digests and rumours", len(data)))
+	qt.Assert(t, len(data) <= maxPacketBytes, qt.IsTrue, qt.Commentf("%d bytes with suspect digests and rumours", len(data)))
 }
 
 func TestPull(t *testing.T) {
@@ -148,27 +148,27 @@
 	}
 	tests := []struct {
 		name string
-		news News
+		news PullResult
 	}{
-		{"nothing new", News{}},
-		{"long list", News{Targets: Listed, At: 12, Moved: 9, Changes: manyChanges}},
-		{"list", News{Config: []byte("{}"), Targets: Listed, At: 12, Moved: 9, Age: 30 * time.Millisecond, Changes: changes[:1]}},
-		{"changes", News{Targets: Changed, At: 12, Moved: 9, Changes: changes}},
-		{"entries", News{Entries: []member.Entry{{
+		{"nothing new", PullResult{}},
+		{"long list", PullResult{Targets: TargetsListed, Revision: 12, LastChange: 9, Changes: manyChanges}},
+		{"list", PullResult{Config: []byte("{}"), Targets: TargetsListed, Revision: 12, LastChange: 9, Age: 30 * time.Millisecond, Changes: changes[:1]}},
+		{"changes", PullResult{Targets: TargetsChanged, Revision: 12, LastChange: 9, Changes: changes}},
+		{"entries", PullResult{Entries: []member.Entry{{
 			ID: member.ID{Name: "a", Boot: 7}, Sequence: 3, State: member.Leaving, CallerAddress: "c", PeerAddress: "p", Place: "hall", Region: "metro", Capacity: 128,
 		}}}},
-		{"evacuations", News{Evacuations: &Evacuations{
-			List: []roster.Item[slot.Evacuation]{{Name: "hall", Revision: 4}}, At: 12, Moved: 9, Age: 30 * time.Millisecond,
+		{"evacuations", PullResult{Evacuations: &Evacuations{
+			List: []roster.Item[slot.Evacuation]{{Name: "hall", Revision: 4}}, Revision: 12, LastChange: 9, Age: 30 * time.Millisecond,
 		}}},
-		{"no evacuations any more", News{Evacuations: &Evacuations{At: 12, Moved: 9}}},
-		{"long configuration", News{Config: bytes.Repeat([]byte(`{"route":1}`), 20000)}},
+		{"no evacuations any more", PullResult{Evacuations: &Evacuations{Revision: 12, LastChange: 9}}},
+		{"long configuration", PullResult{Config: bytes.Repeat([]byte(`{"route":1}`), 20000)}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			to := start(t, fixed{tt.news}, deaf)
-			from := start(t, fixed{}, deaf)
+			to := startRelay(t, fixedSource{tt.news}, ignorePacket)
+			from := startRelay(t, fixedSource{}, ignorePacket)
 			for range 2 {
-				got, err := from.Pull(t.Context(), to.Address(), Have{Targets: 1})
+				got, err := from.Pull(t.Context(), to.Address(), PullQuery{Targets: 1})
 				qt.Assert(t, err, qt.IsNil)
 				for i := range got.Entries {
 					got.Entries[i].Since = time.Time{} // encoded as an age
@@ -183,7 +183,7 @@
 // configurations, so it gets the full list and a plain configuration.
 func TestPullByEarlierRelease(t *testing.T) {
 	config := bytes.Repeat([]byte(`{"route":1}`), 200)
-	s := &server{source: since{config}}
+	s := &server{source: changesSource{config}}
 	w, err := s.Pull(t.Context(), &wire.PullRequest{Targets: 3})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, w.Config, qt.DeepEquals, config)
@@ -193,7 +193,7 @@
 // Hundreds of entries start at once and pull all data. A reply is cached for
 // replyCacheTime, so that it isn't built for each of them. Partial replies aren't
 // cached.
-func TestStartOfMany(t *testing.T) {
+func TestReplyCache(t *testing.T) {
 	now := time.Unix(1000, 0)
 	full := &wire.PullReply{Listed: true, Packed: []byte("x")}
 	tests := []struct {
@@ -203,35 +203,35 @@
 		cached bool
 	}{
 		{"at once", full, 0, true},
-		{"within the cache time", full, recentTime, true},
-		{"later", full, recentTime + 1, false},
+		{"within the cache time", full, replyCacheTime, true},
+		{"later", full, replyCacheTime + 1, false},
 		{"targets alone", &wire.PullReply{Listed: true}, 0, false},
 		{"configuration alone", &wire.PullReply{Config: []byte("x")}, 0, false},
 	}
 	for _, tt := range tests {
-		var r recent
-		r.put(now, formatPacked, tt.reply)
-		qt.Assert(t, r.get(now.Add(tt.after), formatPacked) != nil, qt.Equals, tt.cached, qt.Commentf(tt.name))
-		qt.Assert(t, r.get(now.Add(tt.after), formatBrief), qt.IsNil)
+		var r replyCache
+		r.put(now, formatCompressed, tt.reply)
+		qt.Assert(t, r.get(now.Add(tt.after), formatCompressed) != nil, qt.Equals, tt.cached, qt.Commentf(tt.name))
+		qt.Assert(t, r.get(now.Add(tt.after), formatChanges), qt.IsNil)
 	}
 }
 
 // changesSource returns the full list to callers without targets, and changes to others.
-type since struct{ config []byte }
+type changesSource struct{ config []byte }
 
-func (s since) News(_ context.Context, have Have) (News, error) {
+func (s changesSource) AnswerPull(_ context.Context, have PullQuery) (PullResult, error) {
 	if have.Targets == 0 {
-		return News{Config: s.config, Targets: Listed}, nil
+		return PullResult{Config: s.config, Targets: TargetsListed}, nil
 	}
-	return News{Config: s.config, Targets: Changed}, nil
+	return PullResult{Config: s.config, Targets: TargetsChanged}, nil
 }
 
 // A compressed configuration that is truncated, or decompresses to more than
 // maxDecompressedBytes, is rejected.
-func TestUnpack(t *testing.T) {
-	bomb, err := pack(make([]byte, maxUnpacked+1))
+func TestDecompress(t *testing.T) {
+	bomb, err := compress(make([]byte, maxDecompressedBytes+1))
 	qt.Assert(t, err, qt.IsNil)
-	good, err := pack([]byte("{}"))
+	good, err := compress([]byte("{}"))
 	qt.Assert(t, err, qt.IsNil)
 	tests := []struct {
 		name   string
@@ -241,14 +241,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := decodeNews(time.Unix(1, 0), &wire.PullReply{Packed: tt.packed})
+			_, err := decodeResult(time.Unix(1, 0), &wire.PullReply{Packed: tt.packed})
 			qt.Assert(t, err, qt.ErrorMatches, "packed: .*")
 		})
 	}
 }
 
 // Malformed packets are rejected.
-func TestGarbage(t *testing.T) {
+func TestMalformedPackets(t *testing.T) {
 	for _, data := range []string{"", "\xff\xff", "\x0a\x01a", "\x08\x63"} {
 		_, err := decodePacket(time.Unix(1000, 0), []byte(data))
 		qt.Assert(t, err, qt.IsNotNil)
@@ -258,7 +258,7 @@
 // An entry of a release without evacuations sends its knowledge. The missing age
 // decodes to a very old age: as age 0 it would confirm that there are no evacuations,
 // and requests would go on to an evacuated failure domain.
-func TestSilenceOnEvacuationsIsNoWord(t *testing.T) {
+func TestMissingEvacuationsAgeIsUnknown(t *testing.T) {
 	c := qt.New(t)
 	k := decodeKnowledge(&wire.Knowledge{Config: 3, Targets: 9})
 	c.Assert(k.EvacuationsAge > 24*time.Hour, qt.IsTrue, qt.Commentf("%v", k.EvacuationsAge))
