--- a/entry.go
+++ b/entry.go
@@ -30,7 +30,7 @@
 		return exitError{exitInvalid, err}
 	}
 	logger := &log.Logger{Handler: json.New(os.Stderr), Level: log.MustParseLevel(f.Level)}
-	e, err := entry.New(entry.Config{File: f, Boot: uint64(time.Now().UnixNano()), Log: logger, Out: os.Stdout})
+	e, err := entry.New(entry.Config{File: f, Boot: uint64(time.Now().UnixNano()), Log: logger, TraceOutput: os.Stdout})
 	if err != nil {
 		return err
 	}
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -16,12 +16,12 @@
 // maxBufferedBody is the longest request body, in bytes, that is buffered so that
 // it can be sent again by a retry or hedge. A longer one is streamed and sent
 // once.
-const maxHeld = 64 << 10
+const maxBufferedBody = 64 << 10
 
 // lingerTime is how long the rest of a caller's body is read after the response.
 // Closing a connection with unread bytes resets it, and a caller that is still
 // writing would lose the response.
-const linger = 500 * time.Millisecond
+const lingerTime = 500 * time.Millisecond
 
 // errTooLong is returned by a read that passes the body limit.
 var errTooLong = errors.New("body: too long")
@@ -30,39 +30,39 @@
 // records whether the whole body was read.
 type callerBody struct {
 	io.Closer
-	src   io.Reader
-	conn  *http.ResponseController
-	left  int64       // bytes up to the limit; negative is no limit
-	ended atomic.Bool // the whole body was read
-	over  atomic.Bool // the body exceeds the limit
+	src       io.Reader
+	conn      *http.ResponseController
+	remaining int64       // bytes up to the limit; negative is no limit
+	complete  atomic.Bool // the whole body was read
+	tooLong   atomic.Bool // the body exceeds the limit
 }
 
 func newCallerBody(w http.ResponseWriter, r *http.Request) *callerBody {
-	return &callerBody{Closer: r.Body, src: r.Body, conn: http.NewResponseController(w), left: -1}
+	return &callerBody{Closer: r.Body, src: r.Body, conn: http.NewResponseController(w), remaining: -1}
 }
 
 // Read returns errTooLong once the body exceeds the limit.
 func (b *callerBody) Read(p []byte) (n int, err error) {
-	if b.left >= 0 && int64(len(p)) > b.left {
-		p = p[:b.left+1]
+	if b.remaining >= 0 && int64(len(p)) > b.remaining {
+		p = p[:b.remaining+1]
 	}
 	n, err = b.src.Read(p)
-	if b.left >= 0 && int64(n) > b.left {
-		b.over.Store(true)
-		return int(b.left), errTooLong
+	if b.remaining >= 0 && int64(n) > b.remaining {
+		b.tooLong.Store(true)
+		return int(b.remaining), errTooLong
 	}
-	if b.left >= 0 {
-		b.left -= int64(n)
+	if b.remaining >= 0 {
+		b.remaining -= int64(n)
 	}
 	if err == io.EOF {
-		b.ended.Store(true)
+		b.complete.Store(true)
 	}
 	return n, err
 }
 
 // readBefore reads len(p) bytes or up to the end of the body, until a deadline.
 // Without one a caller that stops sending would occupy a connection indefinitely.
-func (b *callerBody) hold(p []byte, deadline time.Time) (n int, err error) {
+func (b *callerBody) readBefore(p []byte, deadline time.Time) (n int, err error) {
 	_ = b.conn.SetReadDeadline(deadline)
 	n, err = io.ReadFull(b, p)
 	_ = b.conn.SetReadDeadline(time.Time{})
@@ -71,9 +71,9 @@
 
 // limitLinger limits reads of the rest of the body to lingerTime, after the
 // request has ended. It also ends a dispatch's read that waits for the caller.
-func (b *callerBody) leave() {
-	if !b.ended.Load() {
-		_ = b.conn.SetReadDeadline(time.Now().Add(linger))
+func (b *callerBody) limitLinger() {
+	if !b.complete.Load() {
+		_ = b.conn.SetReadDeadline(time.Now().Add(lingerTime))
 	}
 }
 
@@ -81,7 +81,7 @@
 // read of a cancelled dispatch: without the interrupt, a caller that stops sending
 // would occupy the target's slot past the deadline.
 func (b *callerBody) interrupt() {
-	if !b.ended.Load() {
+	if !b.complete.Load() {
 		_ = b.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
@@ -90,57 +90,57 @@
 // of unknown length, is streamed; if the request has a key, its start is buffered
 // first.
 func (q *request) readBody() error {
-	n := q.in.ContentLength
+	n := q.incoming.ContentLength
 	if n == 0 {
 		return nil
 	}
 	if n > q.policy.MaxBody {
-		return finalError{q.tooLong(call.NotRun, fmt.Sprintf("%d", n))}
+		return finalError{q.bodyTooLong(call.NotRun, fmt.Sprintf("%d", n))}
 	}
-	q.upload = q.in.Body.(*callerBody)
-	q.upload.left = q.policy.MaxBody
-	if n > 0 && n <= maxHeld {
-		return q.holdBody(n)
+	q.upload = q.incoming.Body.(*callerBody)
+	q.upload.remaining = q.policy.MaxBody
+	if n > 0 && n <= maxBufferedBody {
+		return q.bufferBody(n)
 	}
 	if q.key != "" {
-		return q.holdHead(n)
+		return q.bufferPrefix(n)
 	}
 	q.stream = q.upload
 	return nil
 }
 
-func (q *request) holdBody(n int64) error {
+func (q *request) bufferBody(n int64) error {
 	q.body = make([]byte, n)
-	if _, err := q.upload.hold(q.body, q.deadline); err != nil {
-		return q.notHeld(err)
+	if _, err := q.upload.readBefore(q.body, q.deadline); err != nil {
+		return q.bodyReadError(err)
 	}
-	q.upload.ended.Store(true)
+	q.upload.complete.Store(true)
 	return nil
 }
 
 // bufferPrefix buffers the first maxBufferedBody bytes of a keyed request's body,
 // which the fingerprint needs to detect a key that is reused for another request.
 // If the body is longer, the rest is streamed.
-func (q *request) holdHead(n int64) error {
-	prefix := make([]byte, maxHeld)
-	read, err := q.upload.hold(prefix, q.deadline)
+func (q *request) bufferPrefix(n int64) error {
+	prefix := make([]byte, maxBufferedBody)
+	read, err := q.upload.readBefore(prefix, q.deadline)
 	q.body = prefix[:read]
 	switch err {
 	case io.EOF, io.ErrUnexpectedEOF:
 		return nil
 	case nil:
-		q.print = q.printOf(call.BodyHash(q.body) + uint64(n))
+		q.cachedFingerprint = q.computeFingerprint(call.BodyHash(q.body) + uint64(n))
 		q.stream = io.MultiReader(bytes.NewReader(q.body), q.upload)
 		return nil
 	}
-	return q.notHeld(err)
+	return q.bodyReadError(err)
 }
 
 // bodyReadError returns the final error for a body that couldn't be buffered. The
 // request wasn't dispatched yet.
-func (q *request) notHeld(err error) error {
+func (q *request) bodyReadError(err error) error {
 	if errors.Is(err, errTooLong) {
-		return finalError{q.tooLong(call.NotRun, "more")}
+		return finalError{q.bodyTooLong(call.NotRun, "more")}
 	}
 	if time.Now().After(q.deadline) {
 		return finalError{call.Final{
@@ -151,7 +151,7 @@
 	return malformed("body: found fewer bytes than Content-Length says or a broken chunk")
 }
 
-func (q *request) tooLong(outcome call.Outcome, found string) call.Final {
+func (q *request) bodyTooLong(outcome call.Outcome, found string) call.Final {
 	return call.Final{
 		Outcome: outcome, Reason: call.ReasonMalformed, Status: http.StatusRequestEntityTooLarge,
 		Detail: fmt.Sprintf("body: found %s bytes, expected at most %d", found, q.policy.MaxBody),
@@ -161,14 +161,14 @@
 // uploading reports whether part of a streamed body is still to be read from the
 // caller.
 func (q *request) uploading() bool {
-	return q.stream != nil && !q.upload.ended.Load()
+	return q.stream != nil && !q.upload.complete.Load()
 }
 
 // withBodyError replaces a final response by one about the body limit if the
 // streamed body exceeded it, unless the request ran.
-func (q *request) explain(f call.Final) call.Final {
-	if q.stream == nil || !q.upload.over.Load() || f.Outcome == call.Ran {
+func (q *request) withBodyError(f call.Final) call.Final {
+	if q.stream == nil || !q.upload.tooLong.Load() || f.Outcome == call.Ran {
 		return f
 	}
-	return q.tooLong(f.Outcome, "more")
+	return q.bodyTooLong(f.Outcome, "more")
 }
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -16,7 +16,7 @@
 )
 
 // inboxSize is how many messages can be queued for the control loop.
-const maxInbox = 256
+const inboxSize = 256
 
 // message changes the state of the control loop. All its types are in
 // message.go.
@@ -30,12 +30,12 @@
 type control struct {
 	entry    *Entry
 	inbox    chan message
-	site     *atomic.Pointer[site]
+	snapshot *atomic.Pointer[snapshot]
 	document tree.Document
 	vms      []store.VM
-	listed   bool // the VM list has been read
+	vmsKnown bool // the VM list has been read
 	live     []member.Entry
-	drained  drained
+	drains   drainState
 	services map[string]*service
 	leaving  bool // this entry is stopping and is omitted from locate
 }
@@ -43,8 +43,8 @@
 func newControl(e *Entry) *control {
 	return &control{
 		entry:    e,
-		inbox:    make(chan message, maxInbox),
-		site:     &e.site,
+		inbox:    make(chan message, inboxSize),
+		snapshot: &e.snapshot,
 		document: tree.New(),
 		live:     []member.Entry{e.self()},
 	}
@@ -52,7 +52,7 @@
 
 // enqueue puts a message into the inbox and reports whether it succeeded. It
 // blocks while the inbox is full, until ctx ends.
-func (c *control) tell(ctx context.Context, m message) bool {
+func (c *control) enqueue(ctx context.Context, m message) bool {
 	select {
 	case c.inbox <- m:
 		return true
@@ -68,13 +68,13 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case m := <-c.inbox:
-			c.take(m)
+			c.processMessages(m)
 		}
 	}
 }
 
 // processMessages applies a message and all queued ones, then publishes once.
-func (c *control) take(m message) {
+func (c *control) processMessages(m message) {
 	now := time.Now()
 	m.apply(now, c)
 	for {
@@ -96,12 +96,12 @@
 	defer func() { err = errors.WithMessage(err, "control") }()
 	services := make(map[string]*service)
 	for _, want := range c.document.Services() {
-		sv, err := c.service(now, want)
+		sv, err := c.ensureService(now, want)
 		if err != nil {
 			return err
 		}
-		sv.targets(now, c.targetsOf(want))
-		sv.grant(now, c.share(want))
+		sv.setTargets(now, c.targetsOf(want))
+		sv.setProbeShare(now, c.probeShare(want))
 		services[want.Name] = sv
 	}
 	for name, sv := range c.services {
@@ -110,15 +110,15 @@
 		}
 	}
 	c.services = services
-	c.site.Store(&site{revision: c.document.Revision, services: services, live: c.named(), listed: c.listed})
+	c.snapshot.Store(&snapshot{revision: c.document.Revision, services: services, live: c.locatable(), vmsKnown: c.vmsKnown})
 	return nil
 }
 
 // probeShare returns this entry's share of the probes of a service, which its
 // preferred entries divide by rank. Any other entry receives requests for the
 // service only through stale locate responses and doesn't probe.
-func (c *control) share(want tree.Service) probe.Share {
-	preferred := member.PreferredEntries(c.named(), want.Name, want.Policy.Entries)
+func (c *control) probeShare(want tree.Service) probe.Share {
+	preferred := member.PreferredEntries(c.locatable(), want.Name, want.Policy.Entries)
 	for rank, m := range preferred {
 		if m.ID.Name == c.entry.cfg.File.Name {
 			return probe.Share{Rank: rank, Count: len(preferred)}
@@ -130,20 +130,20 @@
 // locatable returns the entries that locate may return: the live entries that
 // are ready or, if none is ready, all live entries. An entry that starts while
 // the platform is down knows no targets and would refuse every request.
-func (c *control) named() (ready []member.Entry) {
-	for _, m := range c.others() {
+func (c *control) locatable() (ready []member.Entry) {
+	for _, m := range c.remaining() {
 		if m.Ready {
 			ready = append(ready, m)
 		}
 	}
 	if len(ready) == 0 {
-		return c.others()
+		return c.remaining()
 	}
 	return ready
 }
 
 // remaining returns the live entries, without this one while it is leaving.
-func (c *control) others() []member.Entry {
+func (c *control) remaining() []member.Entry {
 	if !c.leaving {
 		return c.live
 	}
@@ -158,16 +158,16 @@
 
 // ensureService returns the service of a name, configured by the given settings.
 // It creates the service if it is new.
-func (c *control) service(now time.Time, want tree.Service) (s *service, err error) {
+func (c *control) ensureService(now time.Time, want tree.Service) (s *service, err error) {
 	if s = c.services[want.Name]; s != nil {
 		return s, s.configure(now, want.Policy)
 	}
 	return newService(serviceConfig{
-		Name:    want.Name,
-		Policy:  want.Policy,
-		Metrics: newServiceMetrics(c.entry.metrics, want.Name),
-		Probe:   c.entry.probe,
-		Left:    c.entry.left,
+		Name:            want.Name,
+		Policy:          want.Policy,
+		Metrics:         newServiceMetrics(c.entry.metrics, want.Name),
+		Probe:           c.entry.probe,
+		AnnounceLeaving: c.entry.announceLeaving,
 	})
 }
 
@@ -178,8 +178,8 @@
 		if vm.Service != want.Name || !inPlaces(want.Policy.Places, vm.Place) {
 			continue
 		}
-		t := pool.Target{ID: vm.ID, Boot: vm.Boot, Addr: vm.Addr, Place: vm.Place, Slots: vm.Slots, Evacuated: c.drained.places[vm.Place]}
-		if vm.State == store.Leaving || c.drained.has(vm) {
+		t := pool.Target{ID: vm.ID, Boot: vm.Boot, Addr: vm.Addr, Place: vm.Place, Slots: vm.Slots, Evacuated: c.drains.places[vm.Place]}
+		if vm.State == store.Leaving || c.drains.includes(vm) {
 			t.State = pool.Leaving
 		}
 		list = append(list, t)
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -19,30 +19,30 @@
 const drainKind = "drain"
 
 // evacuationValue is the value of an object that evacuates a place.
-const placeValue = "place"
+const evacuationValue = "place"
 
 // drainState holds the targets and places that operators excluded from new work.
-type drained struct {
+type drainState struct {
 	targets map[string]uint64 // incarnations of drained targets, by name
 	places  map[string]bool   // evacuated places
 }
 
 // includes reports whether a VM is drained. A later incarnation of a drained
 // target isn't.
-func (d drained) has(vm store.VM) bool {
+func (d drainState) includes(vm store.VM) bool {
 	boot, ok := d.targets[vm.ID]
 	return ok && boot == vm.Boot
 }
 
-func (d drained) equal(o drained) bool {
+func (d drainState) equal(o drainState) bool {
 	return maps.Equal(d.targets, o.targets) && maps.Equal(d.places, o.places)
 }
 
 // parseDrains decodes drain objects. It ignores those with an invalid value.
-func drains(objects []store.Object) drained {
-	d := drained{targets: make(map[string]uint64), places: make(map[string]bool)}
+func parseDrains(objects []store.Object) drainState {
+	d := drainState{targets: make(map[string]uint64), places: make(map[string]bool)}
 	for _, o := range objects {
-		if string(o.Value) == placeValue {
+		if string(o.Value) == evacuationValue {
 			d.places[o.Name] = true
 		} else if boot, err := strconv.ParseUint(string(o.Value), 10, 64); err == nil {
 			d.targets[o.Name] = boot
@@ -52,7 +52,7 @@
 }
 
 // drainResponse reports whether a target is drained.
-type drainAnswer struct {
+type drainResponse struct {
 	Target  string `json:"target"`
 	Boot    uint64 `json:"boot"`
 	Drained bool   `json:"drained"`
@@ -69,7 +69,7 @@
 			return nil, err
 		}
 		_, err = e.store.Get(ctx, drainKind, name)
-		return drainAnswer{name, vm.Boot, err == nil}, nil
+		return drainResponse{name, vm.Boot, err == nil}, nil
 	}
 }
 
@@ -81,23 +81,23 @@
 	if err := e.putDrain(ctx, vm.ID, strconv.FormatUint(vm.Boot, 10)); err != nil {
 		return err
 	}
-	e.left(vm.ID, vm.Boot)
+	e.announceLeaving(vm.ID, vm.Boot)
 	return nil
 }
 
 func (e *Entry) undrain(ctx context.Context, vm store.VM) (err error) {
 	defer func() { err = errors.WithMessage(err, "undrain "+vm.ID) }()
-	return e.dropDrain(ctx, vm.ID)
+	return e.deleteDrain(ctx, vm.ID)
 }
 
 // evacuateResponse reports whether a place is evacuated.
-type evacuateAnswer struct {
+type evacuateResponse struct {
 	Place     string `json:"place"`
 	Evacuated bool   `json:"evacuated"`
 	Targets   int    `json:"targets"` // in the place
 }
 
-func (e *Entry) placeEndpoint(do func(ctx context.Context, place string, targets int) error) endpoint.Endpoint {
+func (e *Entry) evacuateEndpoint(do func(ctx context.Context, place string, targets int) error) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		place := request.(string)
 		list, err := e.store.VMs(ctx)
@@ -114,7 +114,7 @@
 			return nil, err
 		}
 		_, err = e.store.Get(ctx, drainKind, place)
-		return evacuateAnswer{place, err == nil, targets}, nil
+		return evacuateResponse{place, err == nil, targets}, nil
 	}
 }
 
@@ -127,13 +127,13 @@
 	if targets == 0 {
 		return operatorError{http.StatusNotFound, errors.Errorf("name: found %q, expected a place with targets", place)}
 	}
-	return e.putDrain(ctx, place, placeValue)
+	return e.putDrain(ctx, place, evacuationValue)
 }
 
 // restore ends an evacuation.
 func (e *Entry) restore(ctx context.Context, place string, _ int) (err error) {
 	defer func() { err = errors.WithMessage(err, "restore "+place) }()
-	return e.dropDrain(ctx, place)
+	return e.deleteDrain(ctx, place)
 }
 
 // putDrain writes a drain object unless it already has the value.
@@ -150,7 +150,7 @@
 }
 
 // deleteDrain deletes a drain object if it exists.
-func (e *Entry) dropDrain(ctx context.Context, name string) error {
+func (e *Entry) deleteDrain(ctx context.Context, name string) error {
 	o, err := e.store.Get(ctx, drainKind, name)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -32,30 +32,30 @@
 
 // Limits on one entry's reads of the store.
 const (
-	readRate  = 4
-	readBurst = 8
+	storeReadsPerSecond = 4
+	storeReadBurst      = 8
 )
 
 // maxIdleStoreConns limits the idle connections to the store.
-const storeConns = 4
+const maxIdleStoreConns = 4
 
 // Config configures an Entry.
 type Config struct {
-	File File
-	Boot uint64 // incarnation; grows with each start
-	Log  log.Interface
-	Out  io.Writer // for spans, with the stdout exporter
+	File        File
+	Boot        uint64 // incarnation; grows with each start
+	Log         log.Interface
+	TraceOutput io.Writer // for spans, with the stdout exporter
 }
 
 // Entry is one entry process.
 type Entry struct {
-	cfg      Config
-	log      log.Interface
-	quiet    bool          // don't log requests that a target responded to
-	stop     chan struct{} // signals that a later incarnation is running
-	stopping atomic.Bool
+	cfg                 Config
+	log                 log.Interface
+	skipTargetResponses bool          // don't log requests that a target responded to
+	stop                chan struct{} // signals that a later incarnation is running
+	stopping            atomic.Bool
 
-	site     atomic.Pointer[site]
+	snapshot atomic.Pointer[snapshot]
 	forward  *forward.Forwarder
 	suspects *call.Suspects
 	prober   *prober
@@ -91,23 +91,23 @@
 		prober:   newProber(),
 		suspects: call.NewSuspects(call.SuspectsConfig{}),
 	}
-	e.site.Store(&site{})
-	e.quiet = cfg.File.Level != "debug"
-	if e.tracing, err = newTracing(cfg.File.Trace, cfg.Out); err != nil {
+	e.snapshot.Store(&snapshot{})
+	e.skipTargetResponses = cfg.File.Level != "debug"
+	if e.tracing, err = newTracing(cfg.File.Trace, cfg.TraceOutput); err != nil {
 		return nil, err
 	}
 	if err := e.listen(); err != nil {
 		return nil, err
 	}
-	e.store = store.New(store.Config{Addr: cfg.File.Platform, HTTP: e.storeCalls(), Reads: rate.NewLimiter(readRate, readBurst)})
+	e.store = store.New(store.Config{Addr: cfg.File.Platform, HTTP: e.storeHTTPClient(), Reads: rate.NewLimiter(storeReadsPerSecond, storeReadBurst)})
 	e.control = newControl(e)
 	e.build()
 	return e, nil
 }
 
-func (e *Entry) storeCalls() *http.Client {
-	t := &http.Transport{MaxIdleConnsPerHost: storeConns}
-	return &http.Client{Transport: tracedCalls{&e.tracing, "store", t}}
+func (e *Entry) storeHTTPClient() *http.Client {
+	t := &http.Transport{MaxIdleConnsPerHost: maxIdleStoreConns}
+	return &http.Client{Transport: tracedTransport{&e.tracing, "store", t}}
 }
 
 // listen opens all three listeners. On an error it closes those already open.
@@ -123,14 +123,14 @@
 		{"operators", &e.operators, f.Operators},
 	} {
 		if *l.listener, err = net.Listen("tcp", l.addr); err != nil {
-			e.unlisten()
+			e.closeListeners()
 			return errors.WithMessage(err, l.field)
 		}
 	}
 	return nil
 }
 
-func (e *Entry) unlisten() {
+func (e *Entry) closeListeners() {
 	for _, l := range []net.Listener{e.callers, e.peers, e.operators} {
 		if l != nil {
 			l.Close()
@@ -140,8 +140,8 @@
 
 // Ready reports whether settings are in force and the VM list is known.
 func (e *Entry) Ready() bool {
-	s := e.site.Load()
-	return s.revision > 0 && s.listed
+	s := e.snapshot.Load()
+	return s.revision > 0 && s.vmsKnown
 }
 
 // Addresses holds the host:port of each listener. They differ from the settings
@@ -192,7 +192,7 @@
 	e.leave()
 	stopTraffic()
 	<-trafficDone
-	e.depart()
+	e.announceDeparture()
 	stopControl()
 	<-controlDone
 	return err
@@ -219,7 +219,7 @@
 // controlSupervisor runs the control workers. It restarts one that fails without
 // affecting the others; a worker keeps its state across the restart.
 func (e *Entry) controlSupervisor() *suture.Supervisor {
-	s := suture.New("control", suture.Spec{EventHook: e.supervised, Timeout: graceTime})
+	s := suture.New("control", suture.Spec{EventHook: e.logSupervisorEvent, Timeout: stopTimeout})
 	s.Add(e.control)
 	s.Add(e.relay)
 	s.Add(e.members)
@@ -235,27 +235,27 @@
 
 // trafficSupervisor runs the servers for callers and operators.
 func (e *Entry) trafficSupervisor() *suture.Supervisor {
-	s := suture.New("traffic", suture.Spec{EventHook: e.supervised, Timeout: graceTime})
+	s := suture.New("traffic", suture.Spec{EventHook: e.logSupervisorEvent, Timeout: stopTimeout})
 	s.Add(newServer("callers", e.callers, e.callerHandler()))
 	s.Add(newServer("operators", e.operators, e.operatorHandler()))
 	return s
 }
 
-func (e *Entry) supervised(ev suture.Event) {
+func (e *Entry) logSupervisorEvent(ev suture.Event) {
 	e.log.WithFields(log.Fields(ev.Map())).Warn("supervisor: " + ev.String())
 }
 
 // server serves HTTP on one of the entry's listeners.
 type server struct {
-	name string
-	on   net.Listener
-	http *http.Server
+	name     string
+	listener net.Listener
+	http     *http.Server
 }
 
 // newServer returns a server whose time and size limits bound the resources that
 // a slow client can hold.
 func newServer(name string, listener net.Listener, h http.Handler) *server {
-	return &server{name: name, on: listener, http: &http.Server{
+	return &server{name: name, listener: listener, http: &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: 5 * time.Second,
 		IdleTimeout:       time.Minute,
@@ -264,25 +264,25 @@
 }
 
 // stopTimeout limits each step of a graceful stop.
-const graceTime = time.Minute
+const stopTimeout = time.Minute
 
 // shutdownContext returns a context for one step of a stop, which is limited to
 // stopTimeout.
-func closing() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), graceTime)
-	time.AfterFunc(graceTime, cancel)
+func shutdownContext() context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	time.AfterFunc(stopTimeout, cancel)
 	return ctx
 }
 
 // Serve runs until ctx ends, then lets requests in flight finish.
 func (s *server) Serve(ctx context.Context) error {
 	failed := make(chan error, 1)
-	go func() { failed <- s.http.Serve(s.on) }()
+	go func() { failed <- s.http.Serve(s.listener) }()
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
-		return s.http.Shutdown(closing())
+		return s.http.Shutdown(shutdownContext())
 	}
 }
 
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -16,24 +16,24 @@
 
 // headerRequestID carries the caller's request id, or a generated one if the
 // caller sent none or one longer than maxRequestIDBytes.
-const headerID = "X-Request-Id"
+const headerRequestID = "X-Request-Id"
 
 // maxRequestIDBytes is the longest request id that is accepted from a caller.
-const maxID = 128
+const maxRequestIDBytes = 128
 
 // callerHandler serves the callers' listener: locate and requests only.
 func (e *Entry) callerHandler() http.Handler {
 	options := []kithttp.ServerOption{kithttp.ServerErrorEncoder(encodeError)}
-	return e.observed(route{
+	return e.instrument(callerRouter{
 		locate: kithttp.NewServer(e.locateEndpoint(), decodeLocate, encodeLocate, options...),
-		call:   kithttp.NewServer(e.requestEndpoint(), e.decodeRequest, encodeAnswer, options...),
+		call:   kithttp.NewServer(e.requestEndpoint(), e.decodeRequest, encodeResponse, options...),
 	})
 }
 
 // callerRouter selects a handler by path. It replaces http.ServeMux, which
 // redirects paths that contain "//" or "..". Such paths must reach the target
 // unchanged, and a client follows the redirect of a POST with a GET.
-type route struct {
+type callerRouter struct {
 	locate http.Handler
 	call   http.Handler
 }
@@ -41,7 +41,7 @@
 const locatePath = "/v1/locate"
 
 // ServeHTTP serves locate and requests, and rejects every other path.
-func (c route) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c callerRouter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case strings.HasPrefix(r.URL.EscapedPath(), callPrefix):
 		c.call.ServeHTTP(w, r)
@@ -57,25 +57,25 @@
 
 // instrument wraps a handler: each request gets an id and a span, its outcome is
 // counted and logged, and a panic of its handler becomes a final response.
-func (e *Entry) observed(next http.Handler) http.Handler {
+func (e *Entry) instrument(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began := time.Now()
-		id := r.Header.Get(headerID)
-		if id == "" || len(id) > maxID {
+		id := r.Header.Get(headerRequestID)
+		if id == "" || len(id) > maxRequestIDBytes {
 			id = uuid.NewString()
-			r.Header.Set(headerID, id)
+			r.Header.Set(headerRequestID, id)
 		}
-		ctx, span := e.tracing.received(r, id)
+		ctx, span := e.tracing.startRequest(r, id)
 		defer span.End()
 		ow := &outcomeWriter{ResponseWriter: w}
 		in := r.WithContext(ctx)
 		if r.ContentLength != 0 {
 			ow.body = newCallerBody(w, r)
 			in.Body = ow.body
-			defer ow.body.leave()
+			defer ow.body.limitLinger()
 		}
-		defer e.observe(ow, r, id, span, began)
-		defer e.guard(ow, id)
+		defer e.recordOutcome(ow, r, id, span, began)
+		defer e.recoverPanic(ow, id)
 		next.ServeHTTP(ow, in)
 	})
 }
@@ -85,7 +85,7 @@
 // http.ErrAbortHandler on to the server, which then closes the connection: the
 // caller must not take a truncated response for a complete one. A panic after
 // the response has started aborts the connection for the same reason.
-func (e *Entry) guard(w *outcomeWriter, id string) {
+func (e *Entry) recoverPanic(w *outcomeWriter, id string) {
 	r := recover()
 	if r == nil {
 		return
@@ -93,25 +93,25 @@
 	if r != any(http.ErrAbortHandler) {
 		e.logPanic(id, r)
 	}
-	if w.begun || r == any(http.ErrAbortHandler) {
+	if w.started || r == any(http.ErrAbortHandler) {
 		panic(http.ErrAbortHandler)
 	}
 	forward.Refuse(w, call.Final{Outcome: call.Unknown, Reason: call.ReasonPanic, Detail: "a fault in plumpitch itself"})
 }
 
 // recordOutcome counts and logs the outcome of a request.
-func (e *Entry) observe(w *outcomeWriter, r *http.Request, id string, span trace.Span, began time.Time) {
+func (e *Entry) recordOutcome(w *outcomeWriter, r *http.Request, id string, span trace.Span, began time.Time) {
 	name, _ := splitPath(r.URL.EscapedPath())
 	outcome := w.Header().Get(call.HeaderOutcome)
-	if sv, ok := e.site.Load().services[name]; ok {
+	if sv, ok := e.snapshot.Load().services[name]; ok {
 		sv.metrics.latency.RecordDuration(time.Since(began))
 		sv.metrics.count(outcome)
 	}
-	if outcome == "" && e.quiet {
+	if outcome == "" && e.skipTargetResponses {
 		return
 	}
 	l := e.log.WithFields(log.Fields{
-		"request": id, "trace": e.tracing.id(r, span), "service": name, "method": r.Method,
+		"request": id, "trace": e.tracing.traceID(r, span), "service": name, "method": r.Method,
 		"status": w.status, "took": time.Since(began).String(),
 	})
 	if outcome == "" {
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -22,13 +22,13 @@
 )
 
 // waitLimit is how long a test waits for a condition.
-const bound = 20 * time.Second
+const waitLimit = 20 * time.Second
 
 // baseSettings are in force in every test. They keep the stop of an entry short.
-const base = `"timeout": "5s", "locatettl": "100ms", "drainhold": "100ms"`
+const baseSettings = `"timeout": "5s", "locatettl": "100ms", "drainhold": "100ms"`
 
 // testEntry is an entry with a stand-in for the platform and targets of the test.
-type world struct {
+type testEntry struct {
 	*Entry
 	t        *testing.T
 	c        *qt.C
@@ -37,14 +37,14 @@
 }
 
 // testService is a service of a test.
-type served struct {
-	name    string
-	set     string   // in addition to baseSettings
-	targets []string // addresses
+type testService struct {
+	name     string
+	settings string   // in addition to baseSettings
+	targets  []string // addresses
 }
 
 // start runs an entry and waits until it has the targets of every service.
-func start(t *testing.T, services ...served) *world {
+func start(t *testing.T, services ...testService) *testEntry {
 	t.Helper()
 	w := prepare(t, services...)
 	w.serve()
@@ -52,18 +52,18 @@
 }
 
 // prepare builds an entry without running it, so that a test can modify it first.
-func prepare(t *testing.T, services ...served) *world {
+func prepare(t *testing.T, services ...testService) *testEntry {
 	t.Helper()
 	t.Parallel()
-	w := &world{t: t, c: qt.New(t), platform: platform.New(platform.Config{})}
+	w := &testEntry{t: t, c: qt.New(t), platform: platform.New(platform.Config{})}
 	p := httptest.NewServer(w.platform)
 	t.Cleanup(p.Close)
-	text := `{"/": {"kind": "root", "set": {` + base + `}}`
+	text := `{"/": {"kind": "root", "set": {` + baseSettings + `}}`
 	for _, s := range services {
-		text += `, "/` + s.name + `": {"kind": "service", "set": {` + s.set + `}}`
-		w.list(s)
+		text += `, "/` + s.name + `": {"kind": "service", "set": {` + s.settings + `}}`
+		w.addTargets(s)
 	}
-	w.apply(p.URL, text+"}")
+	w.writeSettings(p.URL, text+"}")
 	var err error
 	w.Entry, err = New(Config{
 		File: File{
@@ -71,9 +71,9 @@
 			Callers: "127.0.0.1:0", Peers: "127.0.0.1:0", Operators: "127.0.0.1:0",
 			Platform: p.URL, Trace: traceOff, Level: "warn",
 		},
-		Boot: uint64(time.Now().UnixNano()),
-		Log:  &log.Logger{Handler: discard.New()},
-		Out:  io.Discard,
+		Boot:        uint64(time.Now().UnixNano()),
+		Log:         &log.Logger{Handler: discard.New()},
+		TraceOutput: io.Discard,
 	})
 	w.c.Assert(err, qt.IsNil)
 	w.url = "http://" + w.Addresses().Callers
@@ -81,13 +81,13 @@
 }
 
 // subtest returns the entry for use in a subtest.
-func (w *world) in(t *testing.T) *world {
+func (w *testEntry) subtest(t *testing.T) *testEntry {
 	sub := *w
 	sub.t, sub.c = t, qt.New(t)
 	return &sub
 }
 
-func (w *world) list(s served) {
+func (w *testEntry) addTargets(s testService) {
 	for _, addr := range s.targets {
 		w.platform.PutVM(platform.VM{
 			ID: s.name + " at " + addr, Addr: addr, Place: "fremantle-hall", Service: s.name,
@@ -96,7 +96,7 @@
 	}
 }
 
-func (w *world) apply(addr, text string) {
+func (w *testEntry) writeSettings(addr, text string) {
 	w.t.Helper()
 	d, err := tree.Parse("settings", []byte(text))
 	w.c.Assert(err, qt.IsNil)
@@ -106,7 +106,7 @@
 	w.c.Assert(err, qt.IsNil)
 }
 
-func (w *world) serve() {
+func (w *testEntry) serve() {
 	w.t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -118,14 +118,14 @@
 		stop()
 		<-done
 	})
-	w.until("the entry to be ready", func() bool { return w.Ready() && w.listed() })
+	w.waitFor("the entry to be ready", func() bool { return w.Ready() && w.targetsKnown() })
 }
 
 // targetsKnown reports whether every service has targets.
-func (w *world) listed() bool {
-	for _, sv := range w.site.Load().services {
+func (w *testEntry) targetsKnown() bool {
+	for _, sv := range w.snapshot.Load().services {
 		sv.mu.Lock()
-		n := len(sv.list)
+		n := len(sv.targetList)
 		sv.mu.Unlock()
 		if n == 0 {
 			return false
@@ -134,9 +134,9 @@
 	return true
 }
 
-func (w *world) until(what string, ok func() bool) {
+func (w *testEntry) waitFor(what string, ok func() bool) {
 	w.t.Helper()
-	for deadline := time.Now().Add(bound); !ok(); time.Sleep(2 * time.Millisecond) {
+	for deadline := time.Now().Add(waitLimit); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			w.t.Fatalf("timed out waiting for %s", what)
 		}
@@ -145,34 +145,34 @@
 
 // inFlight returns the number of requests of a service that hold a slot or wait
 // for one.
-func (w *world) inFlight(name string) int {
-	sv := w.site.Load().services[name]
+func (w *testEntry) inFlight(name string) int {
+	sv := w.snapshot.Load().services[name]
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	queued, inFlight := sv.chooser.RequestCounts()
+	queued, inFlight := sv.balancer.RequestCounts()
 	return queued + inFlight
 }
 
 // waitIdle waits until no request of a service holds a slot or waits for one.
-func (w *world) idle(name string) {
+func (w *testEntry) waitIdle(name string) {
 	w.t.Helper()
-	w.until("the slots of "+name+" to be free", func() bool { return w.inFlight(name) == 0 })
+	w.waitFor("the slots of "+name+" to be free", func() bool { return w.inFlight(name) == 0 })
 }
 
 // testResponse is a response with its body.
-type said struct {
+type testResponse struct {
 	*http.Response
 	body string
 }
 
 // outcome returns the values of the outcome and reason headers.
-func (s said) outcome() string {
+func (s testResponse) outcome() string {
 	return strings.TrimSpace(s.Header.Get(call.HeaderOutcome) + " " + s.Header.Get(call.HeaderReason))
 }
 
 // request sends a request and reads the response to its end. header holds names
 // and values in turn.
-func (w *world) ask(method, path string, body io.Reader, header ...string) said {
+func (w *testEntry) request(method, path string, body io.Reader, header ...string) testResponse {
 	w.t.Helper()
 	r, err := http.NewRequest(method, w.url+path, body)
 	w.c.Assert(err, qt.IsNil)
@@ -184,18 +184,18 @@
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
 	w.c.Assert(err, qt.IsNil)
-	return said{res, string(b)}
+	return testResponse{res, string(b)}
 }
 
 // client follows no redirects, so that a test sees the entry's own response.
 var client = &http.Client{
 	Transport:     &http.Transport{MaxIdleConnsPerHost: 8},
-	Timeout:       bound,
+	Timeout:       waitLimit,
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
 // startTarget runs a target with a handler and returns its address.
-func target(t *testing.T, h http.HandlerFunc) string {
+func startTarget(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
@@ -204,7 +204,7 @@
 
 // startRawTarget runs a target that serves each connection with f, for responses
 // that net/http refuses to write. It returns the target's address.
-func raw(t *testing.T, f func(net.Conn)) string {
+func startRawTarget(t *testing.T, f func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/entry/http_test.go
+++ b/internal/entry/http_test.go
@@ -19,9 +19,9 @@
 
 // The entry must not buffer streams. The caller must receive each event as soon as
 // the target sends it, also while the caller is still sending its body.
-func TestStreamingBothWays(t *testing.T) {
+func TestBidirectionalStreaming(t *testing.T) {
 	next := make(chan string)
-	events := target(t, func(w http.ResponseWriter, _ *http.Request) {
+	events := startTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.(http.Flusher).Flush()
 		for e := range next {
@@ -29,7 +29,7 @@
 			w.(http.Flusher).Flush()
 		}
 	})
-	echo := target(t, func(w http.ResponseWriter, r *http.Request) {
+	echo := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		ctl := http.NewResponseController(w)
 		_ = ctl.EnableFullDuplex()
 		_ = ctl.Flush()
@@ -43,7 +43,7 @@
 			_ = ctl.Flush()
 		}
 	})
-	w := start(t, served{name: "events", targets: []string{events}}, served{name: "echo", targets: []string{echo}})
+	w := start(t, testService{name: "events", targets: []string{events}}, testService{name: "echo", targets: []string{echo}})
 	t.Run("events", func(t *testing.T) {
 		c := qt.New(t)
 		res, err := client.Get(w.url + "/v1/call/events/")
@@ -80,22 +80,22 @@
 		_, err = in.ReadByte()
 		c.Assert(err, qt.Equals, io.EOF)
 	})
-	w.idle("events")
-	w.idle("echo")
+	w.waitIdle("events")
+	w.waitIdle("echo")
 }
 
 // Trailers are forwarded in both directions, except for plumpitch's own.
-func TestTrailersBothWays(t *testing.T) {
-	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
+func TestTrailers(t *testing.T) {
+	addr := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Trailer", "X-Sum, Plumpitch-Outcome")
 		_, _ = fmt.Fprintf(w, "%s %v", r.Trailer.Get("X-Check"), r.Trailer.Get("Plumpitch-Depth"))
 		w.Header().Set("X-Sum", "42")
 		w.Header().Set("Plumpitch-Outcome", "not-run")
 	})
-	w := start(t, served{name: "plain", targets: []string{addr}})
+	w := start(t, testService{name: "plain", targets: []string{addr}})
 	for _, key := range []string{"", "trailed"} {
-		r, err := http.NewRequest("POST", w.url+"/v1/call/plain/", chunks{strings.NewReader("veil")})
+		r, err := http.NewRequest("POST", w.url+"/v1/call/plain/", chunkedBody{strings.NewReader("veil")})
 		w.c.Assert(err, qt.IsNil)
 		r.Trailer = http.Header{"X-Check": {"7"}, "Plumpitch-Depth": {"9"}}
 		r.Header.Set("Idempotency-Key", key)
@@ -112,9 +112,9 @@
 // A caller disconnects while its request runs. A request without a key is
 // cancelled at the target and its slot is freed. One with a key continues, and
 // another request with the key gets the recorded response.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	began, cancelled, release := make(chan bool, 1), make(chan bool, 1), make(chan bool)
-	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		began <- true
 		select {
@@ -124,7 +124,7 @@
 			_, _ = io.WriteString(w, "booked")
 		}
 	})
-	w := start(t, served{name: "plain", targets: []string{addr}}, served{name: "hedged", set: `"hedge": true`, targets: []string{addr}})
+	w := start(t, testService{name: "plain", targets: []string{addr}}, testService{name: "hedged", settings: `"hedge": true`, targets: []string{addr}})
 	leave := func(method, service, key string) {
 		ctx, cancel := context.WithCancel(context.Background())
 		r, err := http.NewRequestWithContext(ctx, method, w.url+"/v1/call/"+service+"/", strings.NewReader("veil"))
@@ -141,32 +141,32 @@
 		leave(tt.method, tt.service, "")
 		select {
 		case <-cancelled:
-		case <-time.After(bound):
+		case <-time.After(waitLimit):
 			t.Fatalf("%s at %s was not cancelled", tt.method, tt.service)
 		}
-		w.idle(tt.service)
+		w.waitIdle(tt.service)
 	}
 	leave("POST", "plain", "k")
 	release <- true
-	got := w.ask("POST", "/v1/call/plain/", strings.NewReader("veil"), "Idempotency-Key", "k")
+	got := w.request("POST", "/v1/call/plain/", strings.NewReader("veil"), "Idempotency-Key", "k")
 	w.c.Assert(got.body, qt.Equals, "booked")
 	w.c.Assert(got.Header.Get(headerReplay), qt.Equals, "true")
-	w.idle("plain")
+	w.waitIdle("plain")
 }
 
 // Hop-by-hop headers aren't forwarded in either direction, and the X-Forwarded
 // headers identify the caller to the target.
-func TestHeadersOfTheHop(t *testing.T) {
+func TestHopByHopHeaders(t *testing.T) {
 	var seen atomic.Pointer[http.Request]
-	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		seen.Store(r)
 		w.Header().Set("Connection", "X-Private")
 		w.Header().Set("X-Private", "1")
 		w.Header().Set("Keep-Alive", "timeout=9")
 		w.Header().Set("X-Kept", "1")
 	})
-	w := start(t, served{name: "plain", targets: []string{addr}})
-	got := w.ask(
+	w := start(t, testService{name: "plain", targets: []string{addr}})
+	got := w.request(
 		"GET", "/v1/call/plain/", nil, "Connection", "X-Hop", "X-Hop", "1", "Proxy-Connection", "x", "Keep-Alive", "x", "Te", "gzip",
 		"Upgrade", "websocket", "Proxy-Authorization", "secret", "X-Forwarded-For", "10.1.1.1", "X-End", "1", "X-Request-Id", "r1",
 	)
@@ -187,8 +187,8 @@
 
 // Responses without a body keep their status and headers, and the connection
 // serves the next request.
-func TestAnswersWithoutBody(t *testing.T) {
-	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
+func TestResponsesWithoutBody(t *testing.T) {
+	addr := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Etag", `"1"`)
 		switch r.URL.Path {
 		case "/204":
@@ -200,24 +200,24 @@
 			_, _ = io.WriteString(w, "twelve bytes")
 		}
 	})
-	w := start(t, served{name: "plain", targets: []string{addr}})
+	w := start(t, testService{name: "plain", targets: []string{addr}})
 	for _, tt := range []struct {
 		method, path string
 		status       int
 		length       int64
 	}{{"HEAD", "/", 200, 12}, {"GET", "/204", 204, 0}, {"GET", "/304", 304, 0}, {"HEAD", "/304", 304, 0}, {"GET", "/", 200, 12}} {
-		got := w.ask(tt.method, "/v1/call/plain"+tt.path, nil)
+		got := w.request(tt.method, "/v1/call/plain"+tt.path, nil)
 		w.c.Check(got.StatusCode, qt.Equals, tt.status)
 		w.c.Check(got.Header.Get("Etag"), qt.Equals, `"1"`)
 		w.c.Check(max(got.ContentLength, 0), qt.Equals, tt.length, qt.Commentf("%s %s", tt.method, tt.path))
 	}
-	w.idle("plain")
+	w.waitIdle("plain")
 }
 
 // A caller sends Expect: 100-continue. It gets the status 100 if the request is
 // accepted, and a final response without sending the body otherwise.
 func TestExpectContinue(t *testing.T) {
-	w := start(t, served{name: "plain", set: `"maxbody": "1KB"`, targets: []string{counted(t, new(atomic.Int64))}})
+	w := start(t, testService{name: "plain", settings: `"maxbody": "1KB"`, targets: []string{startCountingTarget(t, new(atomic.Int64))}})
 	for _, tt := range []struct {
 		size, status int
 		continued    bool
@@ -230,7 +230,7 @@
 		r, err := http.NewRequestWithContext(ctx, "POST", w.url+"/v1/call/plain/", strings.NewReader(strings.Repeat("x", tt.size)))
 		w.c.Assert(err, qt.IsNil)
 		r.Header.Set("Expect", "100-continue")
-		waiting := &http.Client{Transport: &http.Transport{ExpectContinueTimeout: bound, DisableKeepAlives: true}}
+		waiting := &http.Client{Transport: &http.Transport{ExpectContinueTimeout: waitLimit, DisableKeepAlives: true}}
 		res, err := waiting.Do(r)
 		w.c.Assert(err, qt.IsNil)
 		res.Body.Close()
@@ -242,19 +242,19 @@
 // Large bodies are forwarded completely in both directions, with and without
 // Content-Length.
 func TestLargeBodies(t *testing.T) {
-	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength > 0 {
 			w.Header().Set("Content-Length", fmt.Sprint(r.ContentLength))
 		}
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		_, _ = io.Copy(w, r.Body)
 	})
-	w := start(t, served{name: "plain", targets: []string{addr}})
+	w := start(t, testService{name: "plain", targets: []string{addr}})
 	large := strings.Repeat("veil and gown, ", 400_000)
-	for _, body := range []io.Reader{strings.NewReader(large), chunks{strings.NewReader(large)}} {
-		got := w.ask("POST", "/v1/call/plain/", body)
+	for _, body := range []io.Reader{strings.NewReader(large), chunkedBody{strings.NewReader(large)}} {
+		got := w.request("POST", "/v1/call/plain/", body)
 		w.c.Assert(got.StatusCode, qt.Equals, http.StatusOK)
 		w.c.Assert(sha256.Sum256([]byte(got.body)), qt.Equals, sha256.Sum256([]byte(large)))
 	}
-	w.idle("plain")
+	w.waitIdle("plain")
 }
--- a/internal/entry/key_test.go
+++ b/internal/entry/key_test.go
@@ -15,15 +15,15 @@
 // recorded response, otherwise a final response with outcome not-run. Neither
 // reaches the target, also if the body is chunked or longer than
 // maxBufferedBody.
-func TestKeySentAgain(t *testing.T) {
+func TestRepeatedKey(t *testing.T) {
 	var runs atomic.Int64
-	addr := target(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		w.Header().Set("X-Run", "yes")
 		w.WriteHeader(http.StatusCreated)
 		_, _ = fmt.Fprintf(w, "run %d of %d bytes", runs.Add(1), len(b))
 	})
-	w := start(t, served{name: "keyed", set: `"requirekey": true`, targets: []string{addr}})
+	w := start(t, testService{name: "keyed", settings: `"requirekey": true`, targets: []string{addr}})
 	long := strings.Repeat("x", 100<<10)
 	for n, tt := range []struct {
 		name, first, second, path string
@@ -40,13 +40,13 @@
 		{name: "other path", first: "veil", second: "veil", path: "other", reused: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			w := w.in(t)
-			send := func(path, body string) said {
+			w := w.subtest(t)
+			send := func(path, body string) testResponse {
 				var r io.Reader = strings.NewReader(body)
 				if tt.chunked {
-					r = chunks{r}
+					r = chunkedBody{r}
 				}
-				return w.ask("POST", "/v1/call/keyed/"+path, r, "Idempotency-Key", fmt.Sprintf("key-%d", n))
+				return w.request("POST", "/v1/call/keyed/"+path, r, "Idempotency-Key", fmt.Sprintf("key-%d", n))
 			}
 			first := send("", tt.first)
 			w.c.Assert(first.StatusCode, qt.Equals, http.StatusCreated)
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -11,7 +11,7 @@
 )
 
 // maxKeyBytes is the longest idempotency key that is accepted.
-const maxKey = 255
+const maxKeyBytes = 255
 
 // headerReplay marks a response that was recorded for an earlier request with the
 // same key.
@@ -22,7 +22,7 @@
 	if q.idempotent() {
 		return nil
 	}
-	values := q.in.Header.Values(call.HeaderKey)
+	values := q.incoming.Header.Values(call.HeaderKey)
 	switch {
 	case len(values) > 1:
 		return malformed(call.HeaderKey + ": found several values, expected one")
@@ -39,7 +39,7 @@
 }
 
 func validKey(key string) bool {
-	if len(key) > maxKey {
+	if len(key) > maxKeyBytes {
 		return false
 	}
 	for _, c := range []byte(key) {
@@ -53,7 +53,7 @@
 // serveKeyed runs a keyed non-idempotent request at most once. Once the claim is
 // granted, the run continues even if the caller disconnects: its response is
 // recorded, and the caller's retry gets it instead of an unknown outcome.
-func (e *Entry) serveKeyed(ctx context.Context, q *request) (*passing, error) {
+func (e *Entry) serveKeyed(ctx context.Context, q *request) (*openResponse, error) {
 	ctx, span := e.tracing.start(ctx, "claim")
 	defer span.End()
 	r := keyedRun{entry: e, q: q}
@@ -62,20 +62,20 @@
 		Service: q.service.name, Key: q.key, Fingerprint: q.fingerprint(), Deadline: q.deadline,
 	}, func(context.Context) claim.RunResult { return r.run(context.WithoutCancel(ctx)) })
 	switch {
-	case result.Kind == claim.Fresh && r.own != nil:
-		return r.take(), nil
+	case result.Kind == claim.Fresh && r.response != nil:
+		return r.takeResponse(), nil
 	case result.Kind == claim.Replay && result.Response.Complete:
-		return &passing{replay: &result.Response}, nil
+		return &openResponse{replay: &result.Response}, nil
 	}
-	return nil, finalError{q.explain(finalOf(result))}
+	return nil, finalError{q.withBodyError(finalOfClaim(result))}
 }
 
 // keyedRun is the run of a keyed request. Its response is closed by release unless
 // takeResponse has returned it for copying to the caller.
 type keyedRun struct {
-	entry *Entry
-	q     *request
-	own   *passing
+	entry    *Entry
+	q        *request
+	response *openResponse
 }
 
 // run executes the request. It returns a panic as an outcome: without one, the
@@ -83,33 +83,33 @@
 func (r *keyedRun) run(ctx context.Context) (result claim.RunResult) {
 	defer func() {
 		if v := recover(); v != nil {
-			r.entry.logPanic(r.q.in.Header.Get(headerID), v)
+			r.entry.logPanic(r.q.incoming.Header.Get(headerRequestID), v)
 			result = claim.RunResult{Outcome: call.Unknown, Reason: claim.Reason(call.ReasonPanic)}
 		}
 	}()
-	p, final := r.entry.drive(ctx, r.q)
+	p, final := r.entry.run(ctx, r.q)
 	if p == nil {
 		return claim.RunResult{Outcome: final.Outcome, Reason: claim.Reason(final.Reason), RetryAfter: final.RetryAfter}
 	}
-	r.own = p
-	return claim.RunResult{Outcome: call.Ran, Response: recorded(p.answer)}
+	r.response = p
+	return claim.RunResult{Outcome: call.Ran, Response: recordedResponse(p.response)}
 }
 
 // takeResponse returns the response, which release then no longer closes.
-func (r *keyedRun) take() (p *passing) {
-	p, r.own = r.own, nil
+func (r *keyedRun) takeResponse() (p *openResponse) {
+	p, r.response = r.response, nil
 	return p
 }
 
 func (r *keyedRun) release() {
-	if r.own != nil {
-		r.own.release()
+	if r.response != nil {
+		r.response.release()
 	}
 }
 
 // finalOfClaim returns the final response for a claim's result that has no
 // response to copy.
-func finalOf(r claim.Result) call.Final {
+func finalOfClaim(r claim.Result) call.Final {
 	f := call.Final{Outcome: call.Unknown, Reason: call.Reason(r.Reason), RetryAfter: r.RetryAfter}
 	switch r.Kind {
 	case claim.NotRun:
@@ -126,7 +126,7 @@
 
 // recordedResponse converts a response to the form in which a claim records it.
 // The body of a streamed response isn't recorded.
-func recorded(a *forward.Response) claim.Response {
+func recordedResponse(a *forward.Response) claim.Response {
 	out := claim.Response{Outcome: call.Ran, Status: a.Status, Complete: a.Body == nil, Body: a.Buffered}
 	for name, values := range a.Header {
 		for _, v := range values {
--- a/internal/entry/kind.go
+++ b/internal/entry/kind.go
@@ -10,7 +10,7 @@
 
 // outcomeOfStatus returns the outcome that a complete response counts as for its
 // target.
-func kindOf(status int) pool.Outcome {
+func outcomeOfStatus(status int) pool.Outcome {
 	if status >= http.StatusInternalServerError {
 		return pool.Failed
 	}
@@ -19,7 +19,7 @@
 
 // outcomeOfStage returns the outcome that a failed dispatch counts as for its
 // target.
-func kindOfStage(s call.Stage) pool.Outcome {
+func outcomeOfStage(s call.Stage) pool.Outcome {
 	switch s {
 	case call.StageConnect, call.StageRefused, call.StageUnsent:
 		return pool.ConnectFailed
@@ -31,12 +31,12 @@
 	return pool.ConnectionLost
 }
 
-func loadOf(l forward.Load) pool.Load {
+func poolLoad(l forward.Load) pool.Load {
 	return pool.Load{InFlight: max(l.InFlight, 0), HasInFlight: l.InFlight >= 0, Leaving: l.Leaving}
 }
 
 // refusalReason returns the reason that a caller gets for a balancer's refusal.
-func reasonOf(r pool.Reason) call.Reason {
+func refusalReason(r pool.Reason) call.Reason {
 	switch r {
 	case pool.QueueFull:
 		return call.ReasonOverload
--- a/internal/entry/locate.go
+++ b/internal/entry/locate.go
@@ -16,7 +16,7 @@
 	service string
 }
 
-type locateAnswer struct {
+type locateResponse struct {
 	service   string
 	addresses []string // host:port, the preferred one first
 	ttl       time.Duration
@@ -27,7 +27,7 @@
 		_, span := e.tracing.start(ctx, "locate")
 		defer span.End()
 		q := request.(locateRequest)
-		addrs, ttl, ok := e.site.Load().locate(q.service)
+		addrs, ttl, ok := e.snapshot.Load().locate(q.service)
 		if !ok {
 			return nil, unknownService(q.service)
 		}
@@ -37,7 +37,7 @@
 				Detail: "no entry is live", RetryAfter: time.Second,
 			}}
 		}
-		return locateAnswer{q.service, addrs, ttl}, nil
+		return locateResponse{q.service, addrs, ttl}, nil
 	}
 }
 
@@ -50,7 +50,7 @@
 }
 
 func encodeLocate(_ context.Context, w http.ResponseWriter, response any) error {
-	a := response.(locateAnswer)
+	a := response.(locateResponse)
 	w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(w).Encode(struct {
 		Service   string   `json:"service"`
--- a/internal/entry/malformed_test.go
+++ b/internal/entry/malformed_test.go
@@ -14,12 +14,12 @@
 )
 
 // chunkedBody hides the length of a body, so that it is sent in chunks.
-type chunks struct{ io.Reader }
+type chunkedBody struct{ io.Reader }
 
 // startCountingTarget runs a target that counts the requests that it starts to
 // serve.
-func counted(t *testing.T, began *atomic.Int64) string {
-	return target(t, func(w http.ResponseWriter, r *http.Request) {
+func startCountingTarget(t *testing.T, began *atomic.Int64) string {
+	return startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		began.Add(1)
 		b, _ := io.ReadAll(r.Body)
 		_, _ = fmt.Fprintf(w, "%d bytes", len(b))
@@ -31,11 +31,11 @@
 // body that is already being streamed.
 func TestBadRequests(t *testing.T) {
 	var began atomic.Int64
-	addr := counted(t, &began)
+	addr := startCountingTarget(t, &began)
 	w := start(
 		t,
-		served{name: "plain", set: `"maxbody": "100KB"`, targets: []string{addr}},
-		served{name: "keyed", set: `"requirekey": true`, targets: []string{addr}},
+		testService{name: "plain", settings: `"maxbody": "100KB"`, targets: []string{addr}},
+		testService{name: "keyed", settings: `"requirekey": true`, targets: []string{addr}},
 	)
 	long := strings.Repeat("x", 200<<10)
 	for _, tt := range []struct {
@@ -66,25 +66,25 @@
 		{name: "two keys", method: "POST", path: "/v1/call/keyed/", header: []string{"Idempotency-Key", "a", "Idempotency-Key", "b"}, status: 400, outcome: "not-run malformed", detail: "found several values"},
 		{name: "over-long header", header: []string{"X-Veil", long}, status: 431},
 		{name: "over-long body", method: "POST", body: strings.NewReader(long), status: 413, outcome: "not-run malformed", detail: "body: found 204800 bytes, expected at most 102400"},
-		{name: "over-long body in chunks", method: "POST", body: chunks{strings.NewReader(long)}, status: 413, outcome: "unknown malformed", detail: "body: found more bytes, expected at most 102400", begins: true},
-		{name: "over-long body in chunks with a key", method: "POST", body: chunks{strings.NewReader(long)}, header: []string{"Idempotency-Key", "long"}, status: 413, outcome: "unknown malformed", detail: "expected at most 102400", begins: true},
-		{name: "body of just the limit", method: "POST", body: chunks{strings.NewReader(long[:100<<10])}, status: 200, detail: "102400 bytes", begins: true},
+		{name: "over-long body in chunks", method: "POST", body: chunkedBody{strings.NewReader(long)}, status: 413, outcome: "unknown malformed", detail: "body: found more bytes, expected at most 102400", begins: true},
+		{name: "over-long body in chunks with a key", method: "POST", body: chunkedBody{strings.NewReader(long)}, header: []string{"Idempotency-Key", "long"}, status: 413, outcome: "unknown malformed", detail: "expected at most 102400", begins: true},
+		{name: "body of just the limit", method: "POST", body: chunkedBody{strings.NewReader(long[:100<<10])}, status: 200, detail: "102400 bytes", begins: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			w := w.in(t)
+			w := w.subtest(t)
 			before := began.Load()
 			if tt.path == "" {
 				tt.path = "/v1/call/plain/"
 			}
-			got := w.ask(tt.method, tt.path, tt.body, tt.header...)
+			got := w.request(tt.method, tt.path, tt.body, tt.header...)
 			w.c.Assert(got.StatusCode, qt.Equals, tt.status, qt.Commentf("%s", got.body))
 			w.c.Assert(got.outcome(), qt.Equals, tt.outcome)
 			w.c.Assert(got.body, qt.Contains, tt.detail)
 			if !tt.begins {
 				w.c.Assert(began.Load(), qt.Equals, before)
 			}
-			w.idle("plain")
-			w.idle("keyed")
+			w.waitIdle("plain")
+			w.waitIdle("keyed")
 		})
 	}
 }
@@ -92,20 +92,20 @@
 // A path that contains "//" or ".." reaches the target unchanged. A redirect to
 // the cleaned path would make a client send a GET in place of its POST.
 func TestPathReachesTargetAsSent(t *testing.T) {
-	addr := target(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.Method+" "+r.RequestURI) })
-	w := start(t, served{name: "plain", targets: []string{addr}})
+	addr := startTarget(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.Method+" "+r.RequestURI) })
+	w := start(t, testService{name: "plain", targets: []string{addr}})
 	for _, path := range []string{"/a//b", "/a/../b", "/a/./b/", "/a%2Fb?x=%2F", "//", "/?"} {
-		w.c.Assert(w.ask("POST", "/v1/call/plain"+path, nil).body, qt.Equals, "POST "+path)
+		w.c.Assert(w.request("POST", "/v1/call/plain"+path, nil).body, qt.Equals, "POST "+path)
 	}
 }
 
 // dial opens a connection to the entry and sends the start of a request.
-func (w *world) dial(text string) net.Conn {
+func (w *testEntry) dial(text string) net.Conn {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", w.Addresses().Callers)
 	w.c.Assert(err, qt.IsNil)
 	w.t.Cleanup(func() { conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(bound))
+	_ = conn.SetDeadline(time.Now().Add(waitLimit))
 	_, err = io.WriteString(conn, text)
 	w.c.Assert(err, qt.IsNil)
 	return conn
@@ -116,7 +116,7 @@
 // target, and the entry closes the connection.
 func TestSlowBody(t *testing.T) {
 	var began atomic.Int64
-	w := start(t, served{name: "plain", targets: []string{counted(t, &began)}})
+	w := start(t, testService{name: "plain", targets: []string{startCountingTarget(t, &began)}})
 	for _, tt := range []struct {
 		name, method, path, framing, sent string
 		header                            string
@@ -129,28 +129,28 @@
 		{name: "of an unknown service", path: "/v1/call/nosuch/", framing: "Content-Length: 10", sent: "veil", response: []string{"404", "not-run"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			w := w.in(t)
+			w := w.subtest(t)
 			conn := w.dial("POST " + tt.path + " HTTP/1.1\r\nHost: h\r\nPlumpitch-Timeout: 300ms\r\n" + tt.header + tt.framing + "\r\n\r\n" + tt.sent)
 			b, err := io.ReadAll(conn)
 			w.c.Assert(err, qt.IsNil)
 			for _, part := range tt.response {
 				w.c.Assert(string(b), qt.Contains, part)
 			}
-			w.idle("plain")
+			w.waitIdle("plain")
 		})
 	}
-	sv := w.site.Load().services["plain"]
+	sv := w.snapshot.Load().services["plain"]
 	for _, row := range sv.explain(time.Now()) {
-		w.c.Assert(row.Fail, qt.Equals, 0.0)
+		w.c.Assert(row.FailEvidence, qt.Equals, 0.0)
 	}
 }
 
 // A caller never completes the head of its request. The entry closes the
 // connection.
 func TestSlowHeader(t *testing.T) {
-	w := start(t, served{name: "plain", targets: []string{counted(t, new(atomic.Int64))}})
+	w := start(t, testService{name: "plain", targets: []string{startCountingTarget(t, new(atomic.Int64))}})
 	began := time.Now()
 	_, err := io.ReadAll(w.dial("GET /v1/call/plain/ HTTP/1.1\r\nHost: h\r\n"))
 	w.c.Assert(err, qt.IsNil)
-	w.c.Assert(time.Since(began) < bound, qt.IsTrue)
+	w.c.Assert(time.Since(began) < waitLimit, qt.IsTrue)
 }
--- a/internal/entry/message.go
+++ b/internal/entry/message.go
@@ -23,35 +23,35 @@
 // vmsListed carries the platform's list of VMs.
 type vmsListed struct{ list []store.VM }
 
-func (m vmsListed) apply(_ time.Time, c *control) { c.vms, c.listed = m.list, true }
+func (m vmsListed) apply(_ time.Time, c *control) { c.vms, c.vmsKnown = m.list, true }
 
 // drainsListed carries the targets and places that operators drain.
-type drainsListed struct{ drains drained }
+type drainsListed struct{ drains drainState }
 
-func (m drainsListed) apply(_ time.Time, c *control) { c.drained = m.drains }
+func (m drainsListed) apply(_ time.Time, c *control) { c.drains = m.drains }
 
 // membersChanged carries the live entries, including this one.
 type membersChanged struct{ live []member.Entry }
 
 func (m membersChanged) apply(_ time.Time, c *control) {
 	c.live = m.live
-	c.entry.claimRate.SetLimit(claimWrites / rate.Limit(max(len(m.live), 1)))
+	c.entry.claimRate.SetLimit(claimWritesPerSecond / rate.Limit(max(len(m.live), 1)))
 }
 
 // targetLeaving reports that an incarnation of a target is leaving. The VM list
 // may not contain the target yet.
-type targetLeaves struct {
+type targetLeaving struct {
 	target string
 	boot   uint64
 }
 
-func (m targetLeaves) apply(now time.Time, c *control) {
+func (m targetLeaving) apply(now time.Time, c *control) {
 	for _, sv := range c.services {
-		sv.leave(now, m.target, m.boot)
+		sv.markLeaving(now, m.target, m.boot)
 	}
 }
 
 // entryLeaving removes this entry from locate.
-type stopping struct{}
+type entryLeaving struct{}
 
-func (stopping) apply(_ time.Time, c *control) { c.leaving = true }
+func (entryLeaving) apply(_ time.Time, c *control) { c.leaving = true }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -10,18 +10,18 @@
 // serviceMetrics holds the instruments of one service. They are created once, so
 // that the request path needs no lookups.
 type serviceMetrics struct {
-	latency  tally.Histogram
-	ran      tally.Counter
-	notRun   tally.Counter
-	unknown  tally.Counter
-	firsts   tally.Counter // the retry budget is a share of these
-	retries  tally.Counter
-	hedges   tally.Counter
-	share    tally.Gauge // limit of retries and hedges, per first dispatch
-	probes   tally.Counter
-	inflight tally.Gauge
-	queue    tally.Gauge
-	ejected  tally.Gauge
+	latency         tally.Histogram
+	ran             tally.Counter
+	notRun          tally.Counter
+	unknown         tally.Counter
+	firstDispatches tally.Counter // the retry budget is a share of these
+	retries         tally.Counter
+	hedges          tally.Counter
+	retryShare      tally.Gauge // limit of retries and hedges, per first dispatch
+	probes          tally.Counter
+	inflight        tally.Gauge
+	queue           tally.Gauge
+	ejected         tally.Gauge
 }
 
 func newServiceMetrics(m metrics.Metrics, name string) serviceMetrics {
@@ -30,18 +30,18 @@
 		return s.Tagged(map[string]string{"outcome": o}).Counter("requests")
 	}
 	return serviceMetrics{
-		latency:  s.Histogram("latency", metrics.LatencyBuckets),
-		ran:      outcome("ran"),
-		notRun:   outcome("not-run"),
-		unknown:  outcome("unknown"),
-		firsts:   s.Counter("dispatches"),
-		retries:  s.Counter("retries"),
-		share:    s.Gauge("retry_share"),
-		hedges:   s.Counter("hedges"),
-		probes:   s.Counter("probes"),
-		inflight: s.Gauge("inflight"),
-		queue:    s.Gauge("queue"),
-		ejected:  s.Gauge("ejected"),
+		latency:         s.Histogram("latency", metrics.LatencyBuckets),
+		ran:             outcome("ran"),
+		notRun:          outcome("not-run"),
+		unknown:         outcome("unknown"),
+		firstDispatches: s.Counter("dispatches"),
+		retries:         s.Counter("retries"),
+		retryShare:      s.Gauge("retry_share"),
+		hedges:          s.Counter("hedges"),
+		probes:          s.Counter("probes"),
+		inflight:        s.Gauge("inflight"),
+		queue:           s.Gauge("queue"),
+		ejected:         s.Gauge("ejected"),
 	}
 }
 
@@ -50,7 +50,7 @@
 func (m serviceMetrics) dispatched(index, inFlight int) {
 	switch {
 	case index == 0:
-		m.firsts.Inc(1)
+		m.firstDispatches.Inc(1)
 	case inFlight > 0:
 		m.hedges.Inc(1)
 	default:
--- a/internal/entry/metrics_test.go
+++ b/internal/entry/metrics_test.go
@@ -12,7 +12,7 @@
 )
 
 // scrape returns the values of a service's metrics, by name.
-func (w *world) scrape(service string) map[string]string {
+func (w *testEntry) scrape(service string) map[string]string {
 	w.t.Helper()
 	res, err := client.Get("http://" + w.Addresses().Operators + "/metrics")
 	w.c.Assert(err, qt.IsNil)
@@ -33,7 +33,7 @@
 // share that limits retries and hedges.
 func TestRetriesAndHedgesAreCounted(t *testing.T) {
 	var bad, slow atomic.Int64
-	retried := target(t, func(_ http.ResponseWriter, r *http.Request) {
+	retried := startTarget(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/bad" && bad.Add(1) == 1 {
 			panic(http.ErrAbortHandler)
 		}
@@ -45,14 +45,14 @@
 	}
 	w := start(
 		t,
-		served{name: "retried", set: `"retryshare": "100%"`, targets: []string{retried}},
-		served{name: "hedged", set: `"retryshare": "100%", "hedge": true, "hedgeafter": "20ms"`, targets: []string{target(t, slowOnce), target(t, slowOnce)}},
+		testService{name: "retried", settings: `"retryshare": "100%"`, targets: []string{retried}},
+		testService{name: "hedged", settings: `"retryshare": "100%", "hedge": true, "hedgeafter": "20ms"`, targets: []string{startTarget(t, slowOnce), startTarget(t, slowOnce)}},
 	)
 	for _, path := range []string{"retried/", "retried/", "retried/bad", "hedged/", "hedged/", "hedged/slow"} {
-		w.c.Assert(w.ask("GET", "/v1/call/"+path, nil).StatusCode, qt.Equals, http.StatusOK)
+		w.c.Assert(w.request("GET", "/v1/call/"+path, nil).StatusCode, qt.Equals, http.StatusOK)
 	}
 	for service, want := range map[string][3]string{"retried": {"3", "1", "0"}, "hedged": {"3", "0", "1"}} {
-		w.until("the metrics of "+service, func() bool {
+		w.waitFor("the metrics of "+service, func() bool {
 			m := w.scrape(service)
 			got := [3]string{m["plumpitch_dispatches"], m["plumpitch_retries"], m["plumpitch_hedges"]}
 			return got == want && m["plumpitch_retry_share"] == "1"
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -21,17 +21,17 @@
 	mux.HandleFunc("GET /readyz", e.serveReady)
 	mux.Handle("GET /metrics", e.metrics.Handler)
 	mux.Handle("/v1/settings/", settings.Handler(e.settings))
-	mux.Handle("GET /v1/status", operation(e.statusEndpoint()))
-	mux.Handle("GET /v1/explain", operation(e.explainEndpoint()))
-	mux.Handle("POST /v1/drain", operation(e.drainEndpoint(e.drain)))
-	mux.Handle("POST /v1/undrain", operation(e.drainEndpoint(e.undrain)))
-	mux.Handle("POST /v1/evacuate", operation(e.placeEndpoint(e.evacuate)))
-	mux.Handle("POST /v1/restore", operation(e.placeEndpoint(e.restore)))
+	mux.Handle("GET /v1/status", operatorEndpoint(e.statusEndpoint()))
+	mux.Handle("GET /v1/explain", operatorEndpoint(e.explainEndpoint()))
+	mux.Handle("POST /v1/drain", operatorEndpoint(e.drainEndpoint(e.drain)))
+	mux.Handle("POST /v1/undrain", operatorEndpoint(e.drainEndpoint(e.undrain)))
+	mux.Handle("POST /v1/evacuate", operatorEndpoint(e.evacuateEndpoint(e.evacuate)))
+	mux.Handle("POST /v1/restore", operatorEndpoint(e.evacuateEndpoint(e.restore)))
 	return mux
 }
 
 // operatorEndpoint serves an endpoint whose request is the value of ?name=.
-func operation(ep endpoint.Endpoint) http.Handler {
+func operatorEndpoint(ep endpoint.Endpoint) http.Handler {
 	decode := func(_ context.Context, r *http.Request) (any, error) { return r.URL.Query().Get("name"), nil }
 	return kithttp.NewServer(ep, decode, kithttp.EncodeJSONResponse, kithttp.ServerErrorEncoder(encodeOperatorError))
 }
@@ -71,21 +71,21 @@
 
 // explainRow explains why the balancer would or wouldn't choose a target.
 type explainRow struct {
-	Target   string  `json:"target"`
-	Chosen   bool    `json:"chosen"`
-	Why      string  `json:"why"`
-	InFlight int     `json:"inflight"`
-	Limit    int     `json:"limit"`
-	Foreign  float64 `json:"foreign"`
-	Slow     float64 `json:"slow"`
-	Fail     float64 `json:"fail"`
-	Until    string  `json:"until,omitempty"`
+	Target        string  `json:"target"`
+	Chosen        bool    `json:"chosen"`
+	Why           string  `json:"why"`
+	InFlight      int     `json:"inflight"`
+	Limit         int     `json:"limit"`
+	OtherInFlight float64 `json:"foreign"`
+	SlowEvidence  float64 `json:"slow"`
+	FailEvidence  float64 `json:"fail"`
+	Until         string  `json:"until,omitempty"`
 }
 
 func (e *Entry) explainEndpoint() endpoint.Endpoint {
 	return func(_ context.Context, request any) (any, error) {
 		name := request.(string)
-		sv, ok := e.site.Load().services[name]
+		sv, ok := e.snapshot.Load().services[name]
 		if !ok {
 			return nil, operatorError{http.StatusNotFound, errors.Errorf("name: found %q, expected a service of the settings tree", name)}
 		}
@@ -96,7 +96,7 @@
 func (s *service) explain(now time.Time) (rows []explainRow) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, r := range s.chooser.Explain(now) {
+	for _, r := range s.balancer.Explain(now) {
 		row := explainRow{r.Target, r.Chosen, r.Why, r.InFlight, r.Limit, r.OtherInFlight, r.SlowEvidence, r.FailEvidence, ""}
 		if !r.Until.IsZero() {
 			row.Until = r.Until.UTC().Format(time.RFC3339Nano)
--- a/internal/entry/panic_test.go
+++ b/internal/entry/panic_test.go
@@ -15,12 +15,12 @@
 
 // panickingTracer panics at the start of the span "dispatch" while it is armed. It
 // simulates an internal error during a dispatch.
-type bomb struct {
+type panickingTracer struct {
 	noop.Tracer
 	armed atomic.Bool
 }
 
-func (b *bomb) Start(ctx context.Context, name string, o ...trace.SpanStartOption) (context.Context, trace.Span) {
+func (b *panickingTracer) Start(ctx context.Context, name string, o ...trace.SpanStartOption) (context.Context, trace.Span) {
 	if name == "dispatch" && b.armed.Load() {
 		panic("panic in a dispatch")
 	}
@@ -32,10 +32,10 @@
 // unrecovered panic in the goroutine of a dispatch that may be hedged would end
 // the process with all its requests.
 func TestPanicEndsOneRequestOnly(t *testing.T) {
-	addr := target(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "fine") })
-	w := prepare(t, served{name: "plain", targets: []string{addr}}, served{name: "hedged", set: `"hedge": true`, targets: []string{addr}})
-	b := &bomb{}
-	w.tracing.on, w.tracing.tracer = true, b
+	addr := startTarget(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "fine") })
+	w := prepare(t, testService{name: "plain", targets: []string{addr}}, testService{name: "hedged", settings: `"hedge": true`, targets: []string{addr}})
+	b := &panickingTracer{}
+	w.tracing.enabled, w.tracing.tracer = true, b
 	w.serve()
 	for _, tt := range []struct {
 		name, method, service string
@@ -48,15 +48,15 @@
 		{name: "keyed", method: "POST", service: "plain", key: "k1", repeated: "unknown run-unknown"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			w := w.in(t)
+			w := w.subtest(t)
 			c := w.c
-			ask := func(key string) said {
-				return w.ask(tt.method, "/v1/call/"+tt.service+"/", strings.NewReader("veil"), "Idempotency-Key", key)
+			ask := func(key string) testResponse {
+				return w.request(tt.method, "/v1/call/"+tt.service+"/", strings.NewReader("veil"), "Idempotency-Key", key)
 			}
 			b.armed.Store(true)
 			c.Assert(ask(tt.key).outcome(), qt.Equals, "unknown panic")
 			b.armed.Store(false)
-			w.idle(tt.service)
+			w.waitIdle(tt.service)
 			if tt.key != "" {
 				c.Assert(ask(tt.key).outcome(), qt.Equals, tt.repeated)
 			}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -12,34 +12,34 @@
 )
 
 // settingsSync exchanges settings with peers.
-type documents struct {
+type settingsSync struct {
 	settings *settings.Settings
 	client   *peer.Client
 }
 
 // ChangesSince returns the changes after a revision, for a peer that has that revision.
-func (s documents) ChangesSince(_ context.Context, revision uint64) (change peer.SettingsUpdate, err error) {
+func (s settingsSync) ChangesSince(_ context.Context, revision uint64) (change peer.SettingsUpdate, err error) {
 	c := s.settings.Since(revision)
 	return peer.SettingsUpdate{Revision: c.Revision, Document: c.Document, Edits: c.Edits}, nil
 }
 
 // pullTimeout limits one pull.
-const fetchTime = 3 * time.Second
+const pullTimeout = 3 * time.Second
 
 // pull gets newer settings from a peer. If the peer's edits don't connect to this
 // entry's revision, it pulls the whole document.
-func (s documents) fetch(ctx context.Context, address string) (err error) {
+func (s settingsSync) pull(ctx context.Context, address string) (err error) {
 	defer func() { err = errors.WithMessagef(err, "pull settings from %s", address) }()
-	ctx, cancel := context.WithTimeout(ctx, fetchTime)
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	err = s.fetchSince(ctx, address, s.settings.Document().Revision)
+	err = s.pullSince(ctx, address, s.settings.Document().Revision)
 	if errors.Is(err, tree.ErrGap) {
-		err = s.fetchSince(ctx, address, 0)
+		err = s.pullSince(ctx, address, 0)
 	}
 	return err
 }
 
-func (s documents) fetchSince(ctx context.Context, address string, revision uint64) error {
+func (s settingsSync) pullSince(ctx context.Context, address string, revision uint64) error {
 	change, err := s.client.Settings(ctx, address, revision)
 	if err != nil {
 		return err
--- a/internal/entry/plane.go
+++ b/internal/entry/plane.go
@@ -22,7 +22,7 @@
 	f := e.cfg.File
 	e.counters = &peer.Counters{}
 	e.client = peer.NewClient(peer.ClientConfig{Counters: e.counters})
-	e.settings = settings.New(settings.Config{Store: e.store, Peers: firstPeer{e}, Log: e.log})
+	e.settings = settings.New(settings.Config{Store: e.store, Peers: peerSettings{e}, Log: e.log})
 	e.members = members.New(members.Config{
 		Member: member.Config{
 			Self:  e.self(),
@@ -30,33 +30,33 @@
 			Rand:  rand.New(rand.NewPCG(e.cfg.Boot, 0)),
 		},
 		Client:       e.client,
-		OnPeerAhead:  func(from member.Ref, _ member.Revisions) { e.relay.behind(from.Address) },
-		OnRumours:    func(r member.Rumours) { go e.learned(r) },
+		OnPeerAhead:  func(from member.Ref, _ member.Revisions) { e.relay.requestPull(from.Address) },
+		OnRumours:    func(r member.Rumours) { go e.receiveRumours(r) },
 		OnSuperseded: func(member.ID) { e.superseded() },
 	})
 	e.claims = claims.New(claims.Config{
 		Entry: f.Name, Boot: e.cfg.Boot, Log: e.log,
-		Store: tracedClaims{e.claimStore(), &e.tracing}, ShouldSweep: e.sweeps,
+		Store: tracedClaims{e.claimStore(), &e.tracing}, ShouldSweep: e.sweepsClaims,
 	})
 	e.relay = newRelay(e)
 }
 
 // claimWritesPerSecond limits the claim writes of all entries together. A keyed
 // request takes two writes, and the platform handles several hundred a second.
-const claimWrites = 300
+const claimWritesPerSecond = 300
 
 // claimStore returns a separate store client for claims, so that claims and
 // other store calls don't delay each other.
 func (e *Entry) claimStore() *store.Client {
-	e.claimRate = rate.NewLimiter(claimWrites, claimWrites/10)
+	e.claimRate = rate.NewLimiter(claimWritesPerSecond, claimWritesPerSecond/10)
 	return store.New(store.Config{
-		Addr: e.cfg.File.Platform, HTTP: e.storeCalls(), Writes: e.claimRate, Reads: rate.NewLimiter(claimWrites, claimWrites/10),
+		Addr: e.cfg.File.Platform, HTTP: e.storeHTTPClient(), Writes: e.claimRate, Reads: rate.NewLimiter(claimWritesPerSecond, claimWritesPerSecond/10),
 	})
 }
 
 // sweepsClaims reports whether this entry removes expired claims. The live entry
 // with the lowest name does so for all.
-func (e *Entry) sweeps() bool {
+func (e *Entry) sweepsClaims() bool {
 	for _, m := range e.members.Serving() {
 		if m.ID.Name < e.cfg.File.Name {
 			return false
@@ -66,19 +66,19 @@
 }
 
 // settingsSync returns the exchange of settings with peers.
-func (e *Entry) documents() documents {
-	return documents{settings: e.settings, client: e.client}
+func (e *Entry) settingsSync() settingsSync {
+	return settingsSync{settings: e.settings, client: e.client}
 }
 
 // peerServer returns the server for other entries.
 func (e *Entry) peerServer() *server {
 	return &server{
-		name: "peers",
-		on:   e.counters.Listener(e.peers),
+		name:     "peers",
+		listener: e.counters.Listener(e.peers),
 		http: peer.NewServer(peer.ServerConfig{
 			Self:     e.self().ID,
 			Members:  e.members,
-			Settings: e.documents(),
+			Settings: e.settingsSync(),
 			Counters: e.counters,
 		}),
 	}
@@ -86,11 +86,11 @@
 
 // receiveRumours applies rumours that are new to this entry: leaving targets and
 // requests that crash targets.
-func (e *Entry) learned(r member.Rumours) {
+func (e *Entry) receiveRumours(r member.Rumours) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	for _, s := range r.StopNotices {
-		e.control.tell(ctx, targetLeaves{s.Target, s.Boot})
+		e.control.enqueue(ctx, targetLeaving{s.Target, s.Boot})
 	}
 	now := time.Now()
 	for _, c := range r.CrashReports {
@@ -99,17 +99,17 @@
 }
 
 // announceLeaving marks a target as leaving and spreads that to all entries.
-func (e *Entry) left(target string, boot uint64) {
+func (e *Entry) announceLeaving(target string, boot uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	e.control.tell(ctx, targetLeaves{target, boot})
+	e.control.enqueue(ctx, targetLeaving{target, boot})
 	_ = e.members.SpreadRumours(ctx, member.Rumours{StopNotices: []member.StopNotice{{Target: target, Boot: boot, Time: time.Now()}}})
 }
 
 // announceSuspect spreads the crash count of a request that crashed a target.
-func (e *Entry) tellSuspect(fingerprint uint64) {
+func (e *Entry) announceSuspect(fingerprint uint64) {
 	now := time.Now()
-	for _, s := range e.suspects.Export(now, maxSuspects) {
+	for _, s := range e.suspects.Export(now, maxExportedSuspects) {
 		if s.Fingerprint != fingerprint {
 			continue
 		}
@@ -123,16 +123,16 @@
 
 // maxExportedSuspects limits the suspects that are searched for the one to
 // spread.
-const maxSuspects = 64
+const maxExportedSuspects = 64
 
 // peerSettings pulls the settings from a live peer, for an entry that starts
 // while the store is down.
-type firstPeer struct{ entry *Entry }
+type peerSettings struct{ entry *Entry }
 
 // Settings pulls the changes after a revision from a live peer, chosen at random
 // at each call.
-func (p firstPeer) Settings(ctx context.Context, since uint64) (c settings.Change, err error) {
-	address, ok := p.entry.anyPeer()
+func (p peerSettings) Settings(ctx context.Context, since uint64) (c settings.Change, err error) {
+	address, ok := p.entry.randomPeer()
 	if !ok {
 		return c, errNoPeer
 	}
@@ -141,7 +141,7 @@
 }
 
 // randomPeer returns the peer address of a random live entry other than this one.
-func (e *Entry) anyPeer() (address string, ok bool) {
+func (e *Entry) randomPeer() (address string, ok bool) {
 	var addresses []string
 	for _, m := range e.members.Serving() {
 		if m.ID.Name != e.cfg.File.Name {
--- a/internal/entry/platform.go
+++ b/internal/entry/platform.go
@@ -17,11 +17,11 @@
 // changes to the control loop. While the platform is down, the last lists stay in
 // force.
 type platformWorker struct {
-	store   *store.Client
-	control *control
-	vms     []store.VM
-	drained drained
-	known   bool // drains have been read at least once
+	store       *store.Client
+	control     *control
+	vms         []store.VM
+	drained     drainState
+	drainsKnown bool // drains have been read at least once
 }
 
 // Serve runs until ctx ends.
@@ -44,21 +44,21 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*platformPeriod)
 	defer cancel()
 	if objects, _, err := p.store.List(ctx, drainKind); err == nil {
-		p.readDrains(ctx, drains(objects))
+		p.readDrains(ctx, parseDrains(objects))
 	}
-	if !p.known {
+	if !p.drainsKnown {
 		// Without the drains, a starting entry would send requests to an
 		// evacuated place.
 		return
 	}
-	if list, err := p.store.VMs(ctx); err == nil && !slices.Equal(list, p.vms) && p.control.tell(ctx, vmsListed{list}) {
+	if list, err := p.store.VMs(ctx); err == nil && !slices.Equal(list, p.vms) && p.control.enqueue(ctx, vmsListed{list}) {
 		p.vms = list
 	}
 }
 
-func (p *platformWorker) readDrains(ctx context.Context, d drained) {
-	p.known = true
-	if !d.equal(p.drained) && p.control.tell(ctx, drainsListed{d}) {
+func (p *platformWorker) readDrains(ctx context.Context, d drainState) {
+	p.drainsKnown = true
+	if !d.equal(p.drained) && p.control.enqueue(ctx, drainsListed{d}) {
 		p.drained = d
 	}
 }
--- a/internal/entry/policy_test.go
+++ b/internal/entry/policy_test.go
@@ -18,11 +18,11 @@
 // Package tree defines the policy names of the settings separately from package
 // pool. A name that pool doesn't have would prevent the settings from being
 // applied at all.
-func TestEveryPolicyOfTheSettingsIsAPools(t *testing.T) {
+func TestSettingsPoliciesMatchPool(t *testing.T) {
 	names := []string{tree.FreeSlot, tree.LeastInFlight, tree.TwoChoices, tree.RoundRobin, tree.Random}
 	qt.Assert(t, names, qt.ContentEquals, pool.PolicyNames())
 	for _, name := range names {
-		_, err := newChooser(tree.Policy{Policy: name}, probe.New(probe.Config{}))
+		_, err := newBalancer(tree.Policy{Policy: name}, probe.New(probe.Config{}))
 		qt.Check(t, err, qt.IsNil, qt.Commentf("%s", name))
 	}
 }
@@ -30,15 +30,15 @@
 // A target reports in a response that it is leaving, and the VM list doesn't show
 // that yet. A changed limit then replaces the balancer. The target must get no new
 // work from the new balancer, which inherits the leaving notice.
-func TestLeavingWordOutlivesItsPool(t *testing.T) {
+func TestLeavingNoticeSurvivesBalancerReplacement(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
 	p := tree.Policy{Policy: tree.FreeSlot, Slots: 2, LeaveHold: time.Minute}
-	s, err := newService(serviceConfig{Name: "s", Policy: p, Left: func(string, uint64) {}})
+	s, err := newService(serviceConfig{Name: "s", Policy: p, AnnounceLeaving: func(string, uint64) {}})
 	c.Assert(err, qt.IsNil)
 	defer s.close()
-	s.targets(now, []pool.Target{{ID: "t1", Boot: 1, Addr: "127.0.0.1:1"}})
-	s.leave(now, "t1", 1)
+	s.setTargets(now, []pool.Target{{ID: "t1", Boot: 1, Addr: "127.0.0.1:1"}})
+	s.markLeaving(now, "t1", 1)
 	c.Assert(s.explain(now)[0].Why, qt.Equals, "leaving")
 	p.Slots = 3
 	c.Assert(s.configure(now, p), qt.IsNil)
@@ -48,17 +48,17 @@
 // A request crashes its target in the middle of a streamed response. The received
 // head must not clear the request from suspicion: repeated, it would crash one
 // target after another.
-func TestCrashInAStreamedAnswerCounts(t *testing.T) {
+func TestCrashInStreamedResponseCounts(t *testing.T) {
 	var runs atomic.Int64
 	crashing := func() string {
-		return target(t, func(w http.ResponseWriter, _ *http.Request) {
+		return startTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 			runs.Add(1)
 			_, _ = io.WriteString(w, strings.Repeat("x", 100_000))
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		})
 	}
-	w := start(t, served{name: "crash", targets: []string{crashing(), crashing(), crashing(), crashing()}})
+	w := start(t, testService{name: "crash", targets: []string{crashing(), crashing(), crashing(), crashing()}})
 	for range 20 {
 		res, err := http.Get(w.url + "/v1/call/crash/")
 		w.c.Assert(err, qt.IsNil)
@@ -66,5 +66,5 @@
 		res.Body.Close()
 	}
 	w.c.Assert(runs.Load() <= 4, qt.IsTrue, qt.Commentf("%d runs", runs.Load()))
-	w.c.Assert(w.ask("GET", "/v1/call/crash/", nil).outcome(), qt.Equals, "not-run quarantined")
+	w.c.Assert(w.request("GET", "/v1/call/crash/", nil).outcome(), qt.Equals, "not-run quarantined")
 }
--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -16,15 +16,15 @@
 // prober sends probes. The balancer decides when to send one, within the probe
 // budget.
 type prober struct {
-	client *http.Client
-	sent   atomic.Uint64
-	spent  atomic.Int64 // total duration of the probes, in nanoseconds
+	client     *http.Client
+	sent       atomic.Uint64
+	totalNanos atomic.Int64 // total duration of the probes, in nanoseconds
 }
 
 // Times of the probe budget.
 const (
-	probeWindow = 100 * time.Millisecond
-	probeSettle = 5 * time.Second // until all entries have learned of a membership change
+	probeWindow     = 100 * time.Millisecond
+	probeSettleTime = 5 * time.Second // until all entries have learned of a membership change
 )
 
 // setProbeShare sets the probe budget of the service: a share of the time of all
@@ -32,12 +32,12 @@
 // budget starts without a share and gets one only after probeSettleTime, when the
 // other entries have given up theirs. A change of settings or targets therefore
 // never exceeds the total budget.
-func (s *service) grant(now time.Time, share probe.Share) {
+func (s *service) setProbeShare(now time.Time, share probe.Share) {
 	p := s.policy.Load()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slots := 0
-	for _, t := range s.list {
+	for _, t := range s.targetList {
 		n := t.Slots
 		if n == 0 {
 			n = p.Slots
@@ -48,13 +48,13 @@
 		Window:     probeWindow,
 		Budget:     time.Duration(p.ProbeShare * float64(slots) * float64(probeWindow)),
 		Cost:       p.ProbeCost,
-		SettleTime: probeSettle,
+		SettleTime: probeSettleTime,
 	}
-	if cfg != s.granted {
-		s.granted = cfg
-		*s.probes = *probe.New(cfg)
+	if cfg != s.probeConfig {
+		s.probeConfig = cfg
+		*s.probeBudget = *probe.New(cfg)
 	}
-	s.probes.SetShare(now, share)
+	s.probeBudget.SetShare(now, share)
 }
 
 // maxProbeBody is how much of a probe's response body is read, in bytes.
@@ -66,7 +66,7 @@
 
 // Probes returns how many probes the entry has sent and their total duration.
 func (e *Entry) Probes() (sent uint64, took time.Duration) {
-	return e.prober.sent.Load(), time.Duration(e.prober.spent.Load())
+	return e.prober.sent.Load(), time.Duration(e.prober.totalNanos.Load())
 }
 
 // probe sends a health probe to a target and reports the result to the balancer.
@@ -76,15 +76,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), p.ProbeCost)
 	defer cancel()
 	began := time.Now()
-	load, ok := e.prober.ask(ctx, "http://"+a.Addr+p.ProbePath)
+	load, ok := e.prober.send(ctx, "http://"+a.Addr+p.ProbePath)
 	took := time.Since(began)
 	e.prober.sent.Add(1)
-	e.prober.spent.Add(int64(took))
+	e.prober.totalNanos.Add(int64(took))
 	s.metrics.probes.Inc(1)
-	s.probed(time.Now(), pool.ProbeResult{Target: a.Target, OK: ok, Took: took, Load: load})
+	s.probeDone(time.Now(), pool.ProbeResult{Target: a.Target, OK: ok, Took: took, Load: load})
 }
 
-func (p *prober) ask(ctx context.Context, url string) (load pool.Load, ok bool) {
+func (p *prober) send(ctx context.Context, url string) (load pool.Load, ok bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return load, false
@@ -96,7 +96,7 @@
 	defer res.Body.Close()
 	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxProbeBody))
 	if l, known := forward.ParseLoad(res.Header.Get(call.HeaderLoad)); known {
-		load = loadOf(l)
+		load = poolLoad(l)
 	}
 	return load, res.StatusCode < http.StatusInternalServerError
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -15,24 +15,24 @@
 // live entries to the control loop, and this entry's settings revision and
 // readiness to membership. It also pulls newer settings from peers.
 type relay struct {
-	entry *Entry
-	fetch chan string // address of a peer with newer settings
-	marks member.Revisions
-	ready bool
+	entry               *Entry
+	pulls               chan string // address of a peer with newer settings
+	advertisedRevisions member.Revisions
+	advertisedReady     bool
 }
 
 // readyPeriod is how often the entry checks whether it is ready.
 const readyPeriod = 200 * time.Millisecond
 
-func newRelay(e *Entry) *relay { return &relay{entry: e, fetch: make(chan string, 1)} }
+func newRelay(e *Entry) *relay { return &relay{entry: e, pulls: make(chan string, 1)} }
 
 func (r *relay) String() string { return "relay" }
 
 // requestPull requests a pull from the peer at an address, which has newer
 // settings. It drops the request if another is queued: gossip rounds repeat it.
-func (r *relay) behind(address string) {
+func (r *relay) requestPull(address string) {
 	select {
-	case r.fetch <- address:
+	case r.pulls <- address:
 	default:
 	}
 }
@@ -42,43 +42,43 @@
 	e := r.entry
 	tick := time.NewTicker(readyPeriod)
 	defer tick.Stop()
-	r.document(ctx)
-	r.membership(ctx)
+	r.sendDocument(ctx)
+	r.sendMembers(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-e.settings.Changed():
-			r.document(ctx)
+			r.sendDocument(ctx)
 		case <-e.members.Changes():
-			r.membership(ctx)
-		case address := <-r.fetch:
-			if err := e.documents().fetch(ctx, address); err != nil {
+			r.sendMembers(ctx)
+		case address := <-r.pulls:
+			if err := e.settingsSync().pull(ctx, address); err != nil {
 				e.log.WithError(err).Warn("cannot pull newer settings from a peer")
 			}
 		case <-tick.C:
 		}
-		r.revised(ctx)
+		r.advertise(ctx)
 	}
 }
 
-func (r *relay) document(ctx context.Context) {
-	r.entry.control.tell(ctx, documentChanged{*r.entry.settings.Document()})
+func (r *relay) sendDocument(ctx context.Context) {
+	r.entry.control.enqueue(ctx, documentChanged{*r.entry.settings.Document()})
 }
 
-func (r *relay) membership(ctx context.Context) {
-	r.entry.control.tell(ctx, membersChanged{r.entry.members.Serving()})
+func (r *relay) sendMembers(ctx context.Context) {
+	r.entry.control.enqueue(ctx, membersChanged{r.entry.members.Serving()})
 }
 
 // advertise passes a new settings revision and the change to ready to membership,
 // which gossips them.
-func (r *relay) revised(ctx context.Context) {
+func (r *relay) advertise(ctx context.Context) {
 	e := r.entry
 	revisions := member.Revisions{Settings: e.settings.Document().Revision}
-	if revisions != r.marks && e.members.SetRevisions(ctx, revisions) == nil {
-		r.marks = revisions
+	if revisions != r.advertisedRevisions && e.members.SetRevisions(ctx, revisions) == nil {
+		r.advertisedRevisions = revisions
 	}
-	if !r.ready && e.Ready() && e.members.SetReady(ctx) == nil {
-		r.ready = true
+	if !r.advertisedReady && e.Ready() && e.members.SetReady(ctx) == nil {
+		r.advertisedReady = true
 	}
 }
--- a/internal/entry/release.go
+++ b/internal/entry/release.go
@@ -14,29 +14,29 @@
 
 // cancel ends a dispatch whose response isn't needed. If the dispatch is still in
 // flight in its goroutine, discardLateResults frees its slot later.
-func (d *drive) cancel(try int) {
-	sent := &d.tries[try]
+func (d *dispatcher) cancel(try int) {
+	sent := &d.dispatches[try]
 	sent.cancel()
-	if sent.answer == nil {
+	if sent.response == nil {
 		return
 	}
-	sent.answer.Close()
-	outcome := kindOf(sent.answer.Status)
-	if sent.answer.Load.Shed {
+	sent.response.Close()
+	outcome := outcomeOfStatus(sent.response.Status)
+	if sent.response.Load.Shed {
 		outcome = pool.Shed
 	}
-	sent.ticket.done(time.Now(), outcome, loadOf(sent.answer.Load))
+	sent.ticket.done(time.Now(), outcome, poolLoad(sent.response.Load))
 }
 
 // discardLateResults receives the results that arrive after the request has ended
 // and frees their slots.
-func (d *drive) reap() {
-	for ; d.flying > 0; d.flying-- {
+func (d *dispatcher) discardLateResults() {
+	for ; d.inFlight > 0; d.inFlight-- {
 		r := <-d.results
-		sent := &d.tries[r.try]
+		sent := &d.dispatches[r.index]
 		sent.cancel()
-		if r.answer != nil {
-			r.answer.Close()
+		if r.response != nil {
+			r.response.Close()
 		}
 		sent.ticket.done(time.Now(), pool.Cancelled, pool.Load{})
 	}
@@ -46,27 +46,27 @@
 // A slot that isn't freed would stay occupied for as long as the entry runs, and a
 // few such requests would leave the service without slots. The balancer ignores
 // the cancellation of a request that has already ended.
-func (d *drive) abandon() {
+func (d *dispatcher) releaseAll() {
 	now := time.Now()
-	d.seek.drop(now)
-	d.wait.End()
-	for i := range d.tries {
-		sent := &d.tries[i]
+	d.pending.cancelIfSet(now)
+	d.queueSpan.End()
+	for i := range d.dispatches {
+		sent := &d.dispatches[i]
 		if sent.cancel != nil {
 			sent.cancel()
 		}
-		if sent.answer != nil {
-			sent.answer.Close()
+		if sent.response != nil {
+			sent.response.Close()
 		}
-		sent.ticket.drop(now)
+		sent.ticket.cancelIfSet(now)
 	}
-	if d.flying > 0 {
-		go d.reap()
+	if d.inFlight > 0 {
+		go d.discardLateResults()
 	}
 }
 
 // cancelIfSet cancels the ticket unless it is the zero value.
-func (t ticket) drop(now time.Time) {
+func (t ticket) cancelIfSet(now time.Time) {
 	if t.service != nil {
 		t.cancel(now)
 	}
@@ -75,12 +75,12 @@
 // sendAsync sends a dispatch from a separate goroutine. An unrecovered panic there
 // would end the process with all its requests, so it is passed as a result and
 // raised again in the request's goroutine.
-func (d *drive) sendApart(ctx context.Context, a call.Action, to pool.Action) {
-	r := result{try: a.Dispatch}
+func (d *dispatcher) sendAsync(ctx context.Context, a call.Action, to pool.Action) {
+	r := dispatchResult{index: a.Dispatch}
 	defer func() {
 		if v := recover(); v != nil {
 			d.entry.log.WithField("stack", string(debug.Stack())).Errorf("panic in a dispatch: %v", v)
-			r = result{try: a.Dispatch, panicked: v}
+			r = dispatchResult{index: a.Dispatch, panicValue: v}
 		}
 		d.results <- r
 	}()
@@ -88,28 +88,28 @@
 }
 
 // finish frees the slot once the response is copied completely or has failed.
-func (o *passing) end(f *forward.Failure) {
+func (o *openResponse) finish(f *forward.Failure) {
 	now := time.Now()
-	outcome := kindOf(o.answer.Status)
+	outcome := outcomeOfStatus(o.response.Status)
 	if f != nil {
-		outcome = kindOfStage(f.Stage)
-		o.drive.crashed(now, f, o.began)
-	} else if o.answer.Body != nil {
-		o.drive.entry.suspects.RecordResponse(now, o.drive.q.fingerprint())
+		outcome = outcomeOfStage(f.Stage)
+		o.dispatcher.recordCrash(now, f, o.dispatchedAt)
+	} else if o.response.Body != nil {
+		o.dispatcher.entry.suspects.RecordResponse(now, o.dispatcher.q.fingerprint())
 	}
-	o.ended = true
-	o.ticket.done(now, outcome, loadOf(o.answer.Load))
+	o.finished = true
+	o.ticket.done(now, outcome, poolLoad(o.response.Load))
 }
 
 // release closes a response that wasn't finished, so that a panic while it is
 // copied doesn't leave the slot occupied.
-func (o *passing) release() {
+func (o *openResponse) release() {
 	o.cancel()
-	if o.ended {
+	if o.finished {
 		return
 	}
-	o.ended = true
-	o.answer.Close()
+	o.finished = true
+	o.response.Close()
 	o.ticket.done(time.Now(), pool.ConnectionLost, pool.Load{})
 }
 
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -16,8 +16,8 @@
 // reporter updates the gauges of control state and copies the counters of the
 // store and peer clients to tally.
 type reporter struct {
-	entry *Entry
-	store store.Counts
+	entry           *Entry
+	lastStoreCounts store.Counts
 }
 
 func (r *reporter) String() string { return "reporter" }
@@ -38,13 +38,13 @@
 
 func (r *reporter) report(now time.Time) {
 	e := r.entry
-	s := e.site.Load()
+	s := e.snapshot.Load()
 	scope := e.metrics.Scope
 	scope.Gauge("settings_revision").Update(float64(s.revision))
 	scope.Gauge("entries_live").Update(float64(len(s.live)))
-	scope.Gauge("probe_ms").Update(float64(e.prober.spent.Load()) / float64(time.Millisecond))
+	scope.Gauge("probe_ms").Update(float64(e.prober.totalNanos.Load()) / float64(time.Millisecond))
 	for _, sv := range s.services {
-		sv.gauges(now)
+		sv.updateGauges(now)
 	}
 	r.storeCalls(scope)
 	r.peerBytes(scope)
@@ -52,15 +52,15 @@
 
 // poolStatus reads the balancer's state under the lock. It unlocks with defer: a
 // panic that left the service locked would block all its requests.
-func (s *service) look(now time.Time) (queued, inFlight int, rows []pool.TargetStatus) {
+func (s *service) poolStatus(now time.Time) (queued, inFlight int, rows []pool.TargetStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	queued, inFlight = s.chooser.RequestCounts()
-	return queued, inFlight, s.chooser.Explain(now)
+	queued, inFlight = s.balancer.RequestCounts()
+	return queued, inFlight, s.balancer.Explain(now)
 }
 
-func (s *service) gauges(now time.Time) {
-	queued, inFlight, rows := s.look(now)
+func (s *service) updateGauges(now time.Time) {
+	queued, inFlight, rows := s.poolStatus(now)
 	ejected := 0
 	for _, row := range rows {
 		if !row.Until.IsZero() {
@@ -70,7 +70,7 @@
 	s.metrics.queue.Update(float64(queued))
 	s.metrics.inflight.Update(float64(inFlight))
 	s.metrics.ejected.Update(float64(ejected))
-	s.metrics.share.Update(s.policy.Load().RetryShare)
+	s.metrics.retryShare.Update(s.policy.Load().RetryShare)
 }
 
 func (r *reporter) storeCalls(scope tally.Scope) {
@@ -79,15 +79,15 @@
 		kind      string
 		now, last uint64
 	}{
-		{"read", now.Reads + now.VMs, r.store.Reads + r.store.VMs},
-		{"write", now.Writes, r.store.Writes},
-		{"watch", now.Watches, r.store.Watches},
-		{"retry", now.Retries, r.store.Retries},
-		{"failed", now.Failed, r.store.Failed},
+		{"read", now.Reads + now.VMs, r.lastStoreCounts.Reads + r.lastStoreCounts.VMs},
+		{"write", now.Writes, r.lastStoreCounts.Writes},
+		{"watch", now.Watches, r.lastStoreCounts.Watches},
+		{"retry", now.Retries, r.lastStoreCounts.Retries},
+		{"failed", now.Failed, r.lastStoreCounts.Failed},
 	} {
 		scope.Tagged(map[string]string{"kind": c.kind}).Counter("store_calls").Inc(int64(c.now - c.last))
 	}
-	r.store = now
+	r.lastStoreCounts = now
 }
 
 // peerBytes updates the gauges of calls and bytes exchanged with peers since the
--- a/internal/entry/report_test.go
+++ b/internal/entry/report_test.go
@@ -12,22 +12,22 @@
 )
 
 // panickingBalancer panics when its status is read for the gauges.
-type brokenChooser struct{ pool.Balancer }
+type panickingBalancer struct{ pool.Balancer }
 
-func (brokenChooser) Explain(time.Time) []pool.TargetStatus { panic("broken") }
+func (panickingBalancer) Explain(time.Time) []pool.TargetStatus { panic("broken") }
 
 // The reporter panics while it reads a balancer under the service's lock. Requests
 // must not block on that lock afterwards.
-func TestPanicOfReporterKeepsTraffic(t *testing.T) {
-	addr := target(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "fine") })
-	w := start(t, served{name: "plain", targets: []string{addr}})
-	sv := w.site.Load().services["plain"]
+func TestReporterPanicDoesNotBlockTraffic(t *testing.T) {
+	addr := startTarget(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "fine") })
+	w := start(t, testService{name: "plain", targets: []string{addr}})
+	sv := w.snapshot.Load().services["plain"]
 	sv.mu.Lock()
-	sv.chooser = brokenChooser{sv.chooser}
+	sv.balancer = panickingBalancer{sv.balancer}
 	sv.mu.Unlock()
 	func() {
 		defer func() { w.c.Assert(recover(), qt.Not(qt.IsNil)) }()
-		sv.gauges(time.Now())
+		sv.updateGauges(time.Now())
 	}()
-	w.c.Assert(w.ask("GET", "/v1/call/plain/", nil).body, qt.Equals, "fine")
+	w.c.Assert(w.request("GET", "/v1/call/plain/", nil).body, qt.Equals, "fine")
 }
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -20,18 +20,18 @@
 
 // request is a caller's request while the entry handles it.
 type request struct {
-	in       *http.Request
-	service  *service
-	policy   *tree.Policy
-	path     string // sent to the target, escaped
-	arrived  time.Time
-	deadline time.Time
-	body     []byte
-	stream   io.Reader // set instead of body if the body is streamed
-	upload   *callerBody
-	header   call.Header
-	key      string // of a non-idempotent request
-	print    uint64 // computed on first use; 0 is not computed
+	incoming          *http.Request
+	service           *service
+	policy            *tree.Policy
+	path              string // sent to the target, escaped
+	arrived           time.Time
+	deadline          time.Time
+	body              []byte
+	stream            io.Reader // set instead of body if the body is streamed
+	upload            *callerBody
+	header            call.Header
+	key               string // of a non-idempotent request
+	cachedFingerprint uint64 // computed on first use; 0 is not computed
 }
 
 // decodeRequest reads a request for a service: its headers, its key and, if it is
@@ -39,11 +39,11 @@
 func (e *Entry) decodeRequest(_ context.Context, r *http.Request) (any, error) {
 	now := time.Now()
 	name, path := splitPath(r.URL.EscapedPath())
-	sv, ok := e.site.Load().services[name]
+	sv, ok := e.snapshot.Load().services[name]
 	if !ok {
 		return nil, unknownService(name)
 	}
-	q := &request{in: r, service: sv, policy: sv.policy.Load(), path: path, arrived: now}
+	q := &request{incoming: r, service: sv, policy: sv.policy.Load(), path: path, arrived: now}
 	if err := q.readHeaders(now); err != nil {
 		return nil, err
 	}
@@ -66,21 +66,21 @@
 // streamed body, which isn't buffered, except for a keyed request, whose body
 // prefix and length are included.
 func (q *request) fingerprint() uint64 {
-	if q.print == 0 {
-		q.print = q.printOf(call.BodyHash(q.body))
+	if q.cachedFingerprint == 0 {
+		q.cachedFingerprint = q.computeFingerprint(call.BodyHash(q.body))
 	}
-	return q.print
+	return q.cachedFingerprint
 }
 
 // computeFingerprint hashes the request with the given hash of its body.
-func (q *request) printOf(body uint64) uint64 {
-	return call.Fingerprint(q.service.name, q.in.Method, q.path, q.in.URL.RawQuery, body)
+func (q *request) computeFingerprint(body uint64) uint64 {
+	return call.Fingerprint(q.service.name, q.incoming.Method, q.path, q.incoming.URL.RawQuery, body)
 }
 
 // idempotent reports whether the policy declares the method idempotent.
 func (q *request) idempotent() bool {
 	for _, m := range q.policy.Idempotent {
-		if m == q.in.Method {
+		if m == q.incoming.Method {
 			return true
 		}
 	}
@@ -98,8 +98,8 @@
 }
 
 // serve runs the request and returns the target's response or a finalError.
-func (e *Entry) serve(ctx context.Context, q *request) (*passing, error) {
-	p, final := e.drive(ctx, q)
+func (e *Entry) serve(ctx context.Context, q *request) (*openResponse, error) {
+	p, final := e.run(ctx, q)
 	if p == nil {
 		return nil, finalError{final}
 	}
@@ -108,14 +108,14 @@
 
 // run executes the request until its deadline. The context of a returned
 // response is cancelled by its release.
-func (e *Entry) drive(ctx context.Context, q *request) (p *passing, final call.Final) {
+func (e *Entry) run(ctx context.Context, q *request) (p *openResponse, final call.Final) {
 	ctx, cancel := context.WithDeadline(ctx, q.deadline)
 	defer func() {
 		if p == nil {
 			cancel()
 		}
 	}()
-	p, final = newDrive(ctx, e, q).run()
+	p, final = newDispatcher(ctx, e, q).run()
 	if p != nil {
 		p.cancel = cancel
 	}
@@ -124,23 +124,23 @@
 
 // openResponse is a response that is being copied to the caller and still holds
 // its target's slot.
-type passing struct {
-	drive  *drive
-	began  time.Time
-	answer *forward.Response
-	ticket ticket
-	cancel context.CancelFunc
-	ended  bool
-	replay *claim.Response // recorded response; the other fields are unset
+type openResponse struct {
+	dispatcher   *dispatcher
+	dispatchedAt time.Time
+	response     *forward.Response
+	ticket       ticket
+	cancel       context.CancelFunc
+	finished     bool
+	replay       *claim.Response // recorded response; the other fields are unset
 }
 
-func encodeAnswer(_ context.Context, w http.ResponseWriter, response any) error {
-	o := response.(*passing)
+func encodeResponse(_ context.Context, w http.ResponseWriter, response any) error {
+	o := response.(*openResponse)
 	if o.replay != nil {
 		writeReplay(w, o.replay)
 		return nil
 	}
 	defer o.release()
-	forward.Copy(w, o.answer, o.end)
+	forward.Copy(w, o.response, o.finish)
 	return nil
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -18,56 +18,56 @@
 // lock, and the requests that wait for a decision. The lock is held for one
 // decision at a time, a few microseconds.
 type service struct {
-	name    string
-	metrics serviceMetrics
-	policy  atomic.Pointer[tree.Policy]
-	budget  atomic.Pointer[call.Budget] // of retries and hedges; nil allows none
-	probe   func(s *service, a pool.Action)
-	left    func(target string, boot uint64)
-
-	mu      sync.Mutex
-	probes  *probe.Budget // shared with the balancer
-	granted probe.Config  // of the probe budget
-	chooser pool.Balancer
-	retired []pool.Balancer // replaced balancers that still have requests
-	waiting map[uint64]chan pool.Action
-	list    []pool.Target
-	scratch []pool.Action
-	last    uint64       // id of the last request
-	alarm   *alarm.Alarm // for the balancers' ticks
-	closed  bool
+	name            string
+	metrics         serviceMetrics
+	policy          atomic.Pointer[tree.Policy]
+	retryBudget     atomic.Pointer[call.Budget] // of retries and hedges; nil allows none
+	probe           func(s *service, a pool.Action)
+	announceLeaving func(target string, boot uint64)
+
+	mu          sync.Mutex
+	probeBudget *probe.Budget // shared with the balancer
+	probeConfig probe.Config  // of the probe budget
+	balancer    pool.Balancer
+	retired     []pool.Balancer // replaced balancers that still have requests
+	pending     map[uint64]chan pool.Action
+	targetList  []pool.Target
+	scratch     []pool.Action
+	lastID      uint64       // id of the last request
+	alarm       *alarm.Alarm // for the balancers' ticks
+	closed      bool
 }
 
 // retiredTickPeriod is how often replaced balancers are ticked.
-const retiredTick = 2 * time.Millisecond
+const retiredTickPeriod = 2 * time.Millisecond
 
 // serviceConfig configures a service.
 type serviceConfig struct {
-	Name    string
-	Policy  tree.Policy
-	Metrics serviceMetrics
-	Probe   func(s *service, a pool.Action)
-	Left    func(target string, boot uint64)
+	Name            string
+	Policy          tree.Policy
+	Metrics         serviceMetrics
+	Probe           func(s *service, a pool.Action)
+	AnnounceLeaving func(target string, boot uint64)
 }
 
 func newService(cfg serviceConfig) (s *service, err error) {
 	s = &service{
-		name:    cfg.Name,
-		metrics: cfg.Metrics,
-		probe:   cfg.Probe,
-		left:    cfg.Left,
-		waiting: make(map[uint64]chan pool.Action),
+		name:            cfg.Name,
+		metrics:         cfg.Metrics,
+		probe:           cfg.Probe,
+		announceLeaving: cfg.AnnounceLeaving,
+		pending:         make(map[uint64]chan pool.Action),
 	}
 	s.policy.Store(&cfg.Policy)
-	s.budget.Store(newBudget(cfg.Policy))
-	s.probes = probe.New(probe.Config{})
-	s.chooser, err = newChooser(cfg.Policy, s.probes)
+	s.retryBudget.Store(newRetryBudget(cfg.Policy))
+	s.probeBudget = probe.New(probe.Config{})
+	s.balancer, err = newBalancer(cfg.Policy, s.probeBudget)
 	s.alarm = alarm.New(s.tick)
 	return s, err
 }
 
 // newBalancer returns a balancer of the type that the policy names.
-func newChooser(p tree.Policy, budget *probe.Budget) (b pool.Balancer, err error) {
+func newBalancer(p tree.Policy, budget *probe.Budget) (b pool.Balancer, err error) {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	cfg := poolConfig(p)
 	cfg.ProbeBudget = budget
@@ -76,7 +76,7 @@
 
 // newRetryBudget returns the budget of retries and hedges, or nil if the policy
 // allows none.
-func newBudget(p tree.Policy) *call.Budget {
+func newRetryBudget(p tree.Policy) *call.Budget {
 	if p.RetryShare == 0 {
 		return nil
 	}
@@ -104,62 +104,62 @@
 	old := *s.policy.Load()
 	s.policy.Store(&p)
 	if p.RetryShare != old.RetryShare {
-		s.budget.Store(newBudget(p))
+		s.retryBudget.Store(newRetryBudget(p))
 	}
 	if p.Policy == old.Policy && reflect.DeepEqual(poolConfig(p), poolConfig(old)) {
 		return nil
 	}
-	b, err := newChooser(p, s.probes)
+	b, err := newBalancer(p, s.probeBudget)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	notices := s.chooser.LeavingNotices(now)
-	s.retired = append(s.retired, s.chooser)
-	s.chooser = b
+	notices := s.balancer.LeavingNotices(now)
+	s.retired = append(s.retired, s.balancer)
+	s.balancer = b
 	for _, n := range notices {
-		s.act(now, b.MarkLeaving(now, n.Target, n.Boot, s.scratch[:0]))
+		s.perform(now, b.MarkLeaving(now, n.Target, n.Boot, s.scratch[:0]))
 	}
-	s.act(now, b.SetTargets(now, s.list, s.scratch[:0]))
+	s.perform(now, b.SetTargets(now, s.targetList, s.scratch[:0]))
 	return nil
 }
 
 // setTargets replaces the list of the service's targets.
-func (s *service) targets(now time.Time, list []pool.Target) {
+func (s *service) setTargets(now time.Time, list []pool.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list = list
-	s.act(now, s.chooser.SetTargets(now, list, s.scratch[:0]))
+	s.targetList = list
+	s.perform(now, s.balancer.SetTargets(now, list, s.scratch[:0]))
 }
 
 // markLeaving notes that an incarnation of a target is leaving.
-func (s *service) leave(now time.Time, target string, boot uint64) {
+func (s *service) markLeaving(now time.Time, target string, boot uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, s.chooser.MarkLeaving(now, target, boot, s.scratch[:0]))
+	s.perform(now, s.balancer.MarkLeaving(now, target, boot, s.scratch[:0]))
 }
 
 // ticket identifies a request at the balancer: its place in the queue, and its
 // slot once it is dispatched.
 type ticket struct {
-	service *service
-	chooser pool.Balancer // that received the request
-	id      uint64
-	answer  chan pool.Action // receives one Dispatch or Refuse
+	service  *service
+	balancer pool.Balancer // that received the request
+	id       uint64
+	decision chan pool.Action // receives one Dispatch or Refuse
 }
 
 // acquire submits a request to the balancer. The decision may be available when
 // it returns.
-func (s *service) enter(now time.Time, a pool.Arrival) ticket {
-	t := ticket{service: s, answer: make(chan pool.Action, 1)}
+func (s *service) acquire(now time.Time, a pool.Arrival) ticket {
+	t := ticket{service: s, decision: make(chan pool.Action, 1)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last++
-	a.ID = s.last
-	t.id, t.chooser = a.ID, s.chooser
-	s.waiting[a.ID] = t.answer
-	s.act(now, s.chooser.Submit(now, a, s.scratch[:0]))
+	s.lastID++
+	a.ID = s.lastID
+	t.id, t.balancer = a.ID, s.balancer
+	s.pending[a.ID] = t.decision
+	s.perform(now, s.balancer.Submit(now, a, s.scratch[:0]))
 	return t
 }
 
@@ -168,8 +168,8 @@
 	s := t.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.waiting, t.id)
-	s.act(now, t.chooser.Cancel(now, t.id, s.scratch[:0]))
+	delete(s.pending, t.id)
+	s.perform(now, t.balancer.Cancel(now, t.id, s.scratch[:0]))
 }
 
 // done reports the outcome of a dispatched request and frees its slot.
@@ -177,34 +177,34 @@
 	s := t.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, t.chooser.Done(now, pool.Completion{ID: t.id, Outcome: outcome, Load: load}, s.scratch[:0]))
+	s.perform(now, t.balancer.Done(now, pool.Completion{ID: t.id, Outcome: outcome, Load: load}, s.scratch[:0]))
 }
 
 // perform executes the balancer's actions. The caller holds the lock, so nothing
 // here may block.
-func (s *service) act(now time.Time, actions []pool.Action) {
+func (s *service) perform(now time.Time, actions []pool.Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case pool.Dispatch, pool.Refuse:
-			if decision, ok := s.waiting[a.ID]; ok {
-				delete(s.waiting, a.ID)
+			if decision, ok := s.pending[a.ID]; ok {
+				delete(s.pending, a.ID)
 				decision <- a
 			}
 		case pool.Probe:
 			go s.probe(s, a)
 		case pool.NoteLeaving:
-			go s.left(a.Target, a.Boot)
+			go s.announceLeaving(a.Target, a.Boot)
 		}
 	}
 	s.scratch = actions[:0]
-	s.arm(now)
+	s.scheduleTick(now)
 }
 
 // scheduleTick sets the alarm to the next tick that a balancer needs.
-func (s *service) arm(now time.Time) {
-	next := s.chooser.NextTick()
+func (s *service) scheduleTick(now time.Time) {
+	next := s.balancer.NextTick()
 	if len(s.retired) > 0 {
-		next = now.Add(retiredTick)
+		next = now.Add(retiredTickPeriod)
 	}
 	if s.closed {
 		return
@@ -220,7 +220,7 @@
 		return
 	}
 	s.alarm.Rang()
-	s.act(now, s.chooser.Tick(now, s.scratch[:0]))
+	s.perform(now, s.balancer.Tick(now, s.scratch[:0]))
 	s.tickRetired(now)
 }
 
@@ -229,7 +229,7 @@
 func (s *service) tickRetired(now time.Time) {
 	kept := s.retired[:0]
 	for _, b := range s.retired {
-		s.act(now, b.Tick(now, s.scratch[:0]))
+		s.perform(now, b.Tick(now, s.scratch[:0]))
 		if queued, inFlight := b.RequestCounts(); queued+inFlight > 0 {
 			kept = append(kept, b)
 		}
@@ -238,10 +238,10 @@
 }
 
 // probeDone passes the result of a probe to the balancer.
-func (s *service) probed(now time.Time, p pool.ProbeResult) {
+func (s *service) probeDone(now time.Time, p pool.ProbeResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.act(now, s.chooser.ProbeDone(now, p, s.scratch[:0]))
+	s.perform(now, s.balancer.ProbeDone(now, p, s.scratch[:0]))
 }
 
 // close stops the alarm. Requests in flight end as usual.
--- a/internal/entry/site.go
+++ b/internal/entry/site.go
@@ -8,16 +8,16 @@
 
 // snapshot is the traffic side's immutable view of the system. The control loop
 // replaces it.
-type site struct {
+type snapshot struct {
 	revision uint64 // of the settings in force
 	services map[string]*service
 	live     []member.Entry // entries that locate may return
-	listed   bool           // the VM list has been read
+	vmsKnown bool           // the VM list has been read
 }
 
 // locate returns the addresses of the entries that serve a service, the preferred
 // one first, and how long callers may cache them.
-func (s *site) locate(name string) (addrs []string, ttl time.Duration, ok bool) {
+func (s *snapshot) locate(name string) (addrs []string, ttl time.Duration, ok bool) {
 	sv, ok := s.services[name]
 	if !ok {
 		return nil, 0, false
--- a/internal/entry/slot_test.go
+++ b/internal/entry/slot_test.go
@@ -13,8 +13,8 @@
 // A target responds with a status that net/http refuses to write. The caller must
 // get a final response and the slot must be freed. Otherwise each such response
 // would occupy a slot permanently, until the target gets no work at all.
-func TestOddStatusFreesTheSlot(t *testing.T) {
-	addr := raw(t, func(c net.Conn) {
+func TestInvalidStatusFreesSlot(t *testing.T) {
+	addr := startRawTarget(t, func(c net.Conn) {
 		defer c.Close()
 		in := bufio.NewReader(c)
 		for {
@@ -26,9 +26,9 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 099 Odd\r\nContent-Length: 2\r\n\r\nok")
 		}
 	})
-	w := start(t, served{name: "odd", targets: []string{addr}})
+	w := start(t, testService{name: "odd", targets: []string{addr}})
 	for range 4 {
-		w.c.Assert(w.ask("GET", "/v1/call/odd/", nil).outcome(), qt.Equals, "unknown panic")
+		w.c.Assert(w.request("GET", "/v1/call/odd/", nil).outcome(), qt.Equals, "unknown panic")
 	}
-	w.idle("odd")
+	w.waitIdle("odd")
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -28,16 +28,16 @@
 }
 
 type statusService struct {
-	Name     string   `json:"name"`
-	Homes    []string `json:"homes"`
-	Targets  int      `json:"targets"`
-	Queued   int      `json:"queued"`
-	InFlight int      `json:"inflight"`
+	Name             string   `json:"name"`
+	PreferredEntries []string `json:"homes"`
+	Targets          int      `json:"targets"`
+	Queued           int      `json:"queued"`
+	InFlight         int      `json:"inflight"`
 }
 
 func (e *Entry) statusEndpoint() endpoint.Endpoint {
 	return func(context.Context, any) (any, error) {
-		s := e.site.Load()
+		s := e.snapshot.Load()
 		out := statusJSON{
 			Entry: e.cfg.File.Name, Settings: s.revision,
 			Leaving: e.stopping.Load(), Entries: e.statusEntries(), Services: []statusService{},
@@ -65,6 +65,6 @@
 func (s *service) status(preferred []string) statusService {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	queued, inFlight := s.chooser.RequestCounts()
-	return statusService{Name: s.name, Homes: preferred, Targets: len(s.list), Queued: queued, InFlight: inFlight}
+	queued, inFlight := s.balancer.RequestCounts()
+	return statusService{Name: s.name, PreferredEntries: preferred, Targets: len(s.targetList), Queued: queued, InFlight: inFlight}
 }
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -14,23 +14,23 @@
 // response would connect to a closed port.
 func (e *Entry) leave() {
 	e.stopping.Store(true)
-	ctx, cancel := context.WithTimeout(context.Background(), graceTime)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	e.log.Info("leaving")
-	e.control.tell(ctx, stopping{})
+	e.control.enqueue(ctx, entryLeaving{})
 	if err := e.members.Leave(ctx); err != nil {
 		e.log.WithError(err).Warn("cannot announce to peers that this entry is leaving")
 	}
 	select {
-	case <-time.After(e.longestHold() + stopMargin):
+	case <-time.After(e.longestDrainHold() + stopMargin):
 	case <-ctx.Done():
 	}
 }
 
 // announceDeparture writes the remaining claim outcomes to the store, then
 // announces to the other entries that this one has left.
-func (e *Entry) depart() {
-	ctx, cancel := context.WithTimeout(context.Background(), graceTime)
+func (e *Entry) announceDeparture() {
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := e.claims.Flush(ctx); err != nil {
 		e.log.WithError(err).Warn("stopping with claim outcomes not written to the store")
@@ -43,8 +43,8 @@
 // longestDrainHold returns the longest DrainHold of all services: how long a
 // leaving entry still serves requests. The settings require it to be at least as
 // long as callers cache a locate response.
-func (e *Entry) longestHold() (hold time.Duration) {
-	for _, sv := range e.site.Load().services {
+func (e *Entry) longestDrainHold() (hold time.Duration) {
+	for _, sv := range e.snapshot.Load().services {
 		hold = max(hold, sv.policy.Load().DrainHold)
 	}
 	return hold
--- a/internal/entry/supervisor_test.go
+++ b/internal/entry/supervisor_test.go
@@ -12,10 +12,10 @@
 )
 
 // panicMessage makes the control loop panic.
-type poison struct{ taken *atomic.Int64 }
+type panicMessage struct{ applied *atomic.Int64 }
 
-func (p poison) apply(time.Time, *control) {
-	p.taken.Add(1)
+func (p panicMessage) apply(time.Time, *control) {
+	p.applied.Add(1)
 	panic("panic in the control loop")
 }
 
@@ -24,17 +24,17 @@
 // is added to the existing service.
 func TestControlLoopIsRestarted(t *testing.T) {
 	var began, taken atomic.Int64
-	addr := counted(t, &began)
-	w := start(t, served{name: "plain", targets: []string{addr}})
-	before := w.site.Load().services["plain"]
+	addr := startCountingTarget(t, &began)
+	w := start(t, testService{name: "plain", targets: []string{addr}})
+	before := w.snapshot.Load().services["plain"]
 	for range 2 {
-		w.control.tell(t.Context(), poison{&taken})
+		w.control.enqueue(t.Context(), panicMessage{&taken})
 	}
-	w.until("the control loop to panic twice", func() bool { return taken.Load() == 2 })
-	w.c.Assert(w.ask("GET", "/v1/call/plain/", nil).StatusCode, qt.Equals, http.StatusOK)
+	w.waitFor("the control loop to panic twice", func() bool { return taken.Load() == 2 })
+	w.c.Assert(w.request("GET", "/v1/call/plain/", nil).StatusCode, qt.Equals, http.StatusOK)
 	w.platform.PutVM(platform.VM{
-		ID: "new", Addr: counted(t, &began), Place: "fremantle-hall", Service: "plain", Slots: 2, Boot: 1, State: platform.Live,
+		ID: "new", Addr: startCountingTarget(t, &began), Place: "fremantle-hall", Service: "plain", Slots: 2, Boot: 1, State: platform.Live,
 	})
-	w.until("the new target", func() bool { return len(w.site.Load().services["plain"].explain(time.Now())) == 2 })
-	w.c.Assert(w.site.Load().services["plain"], qt.Equals, before)
+	w.waitFor("the new target", func() bool { return len(w.snapshot.Load().services["plain"].explain(time.Now())) == 2 })
+	w.c.Assert(w.snapshot.Load().services["plain"], qt.Equals, before)
 }
--- a/internal/entry/trace.go
+++ b/internal/entry/trace.go
@@ -27,15 +27,15 @@
 // While it is off, the request path creates no spans, and the caller's trace
 // headers are forwarded to the target like any other header.
 type tracing struct {
-	on     bool
-	tracer trace.Tracer
-	carry  propagation.TraceContext
-	close  func()
+	enabled    bool
+	tracer     trace.Tracer
+	propagator propagation.TraceContext
+	close      func()
 }
 
 // start starts a span, or returns noSpan while tracing is off.
 func (t tracing) start(ctx context.Context, name string) (context.Context, trace.Span) {
-	if !t.on {
+	if !t.enabled {
 		return ctx, noSpan
 	}
 	return t.tracer.Start(ctx, name)
@@ -46,26 +46,26 @@
 
 // startRequest starts the span of a caller's request, as a child of the caller's
 // span.
-func (t tracing) received(r *http.Request, id string) (context.Context, trace.Span) {
-	if !t.on {
+func (t tracing) startRequest(r *http.Request, id string) (context.Context, trace.Span) {
+	if !t.enabled {
 		return r.Context(), noSpan
 	}
-	ctx := t.carry.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
+	ctx := t.propagator.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	return t.tracer.Start(ctx, r.Method, trace.WithAttributes(attribute.String("request", id)))
 }
 
 // traceID returns the trace id of a request, which is the caller's while tracing
 // is off.
-func (t tracing) id(r *http.Request, span trace.Span) string {
-	if t.on {
+func (t tracing) traceID(r *http.Request, span trace.Span) string {
+	if t.enabled {
 		return span.SpanContext().TraceID().String()
 	}
-	ctx := t.carry.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
+	ctx := t.propagator.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	return trace.SpanContextFromContext(ctx).TraceID().String()
 }
 
 // endSpan ends a span and records the failure, if any.
-func ended(span trace.Span, failure string) {
+func endSpan(span trace.Span, failure string) {
 	if failure != "" {
 		span.SetAttributes(attribute.String("failure", failure))
 	}
@@ -74,22 +74,22 @@
 
 // tracedTransport creates a span for each HTTP request and injects its context into
 // the headers.
-type tracedCalls struct {
+type tracedTransport struct {
 	tracing *tracing
 	name    string
 	next    http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (c tracedCalls) RoundTrip(r *http.Request) (res *http.Response, err error) {
-	if !c.tracing.on {
+func (c tracedTransport) RoundTrip(r *http.Request) (res *http.Response, err error) {
+	if !c.tracing.enabled {
 		return c.next.RoundTrip(r)
 	}
 	ctx, span := c.tracing.start(r.Context(), c.name)
-	defer func() { ended(span, problem(err)) }()
+	defer func() { endSpan(span, errorText(err)) }()
 	span.SetAttributes(attribute.String("method", r.Method), attribute.String("path", r.URL.Path))
 	r = r.Clone(ctx)
-	c.tracing.carry.Inject(ctx, propagation.HeaderCarrier(r.Header))
+	c.tracing.propagator.Inject(ctx, propagation.HeaderCarrier(r.Header))
 	res, err = c.next.RoundTrip(r)
 	if err == nil {
 		span.SetAttributes(attribute.Int("status", res.StatusCode))
@@ -97,7 +97,7 @@
 	return res, err
 }
 
-func problem(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
@@ -113,7 +113,7 @@
 // Put writes a claim record.
 func (t tracedClaims) Put(ctx context.Context, kind, name string, expected uint64, value []byte) (version uint64, err error) {
 	ctx, span := t.tracing.start(ctx, "claim write")
-	defer func() { ended(span, problem(err)) }()
+	defer func() { endSpan(span, errorText(err)) }()
 	return t.Store.Put(ctx, kind, name, expected, value)
 }
 
@@ -128,8 +128,8 @@
 	}
 	p := sdk.NewTracerProvider(sdk.WithBatcher(exp))
 	return tracing{
-		on:     true,
-		tracer: p.Tracer("plumpitch"),
-		close:  func() { _ = p.Shutdown(closing()) },
+		enabled: true,
+		tracer:  p.Tracer("plumpitch"),
+		close:   func() { _ = p.Shutdown(shutdownContext()) },
 	}, nil
 }
--- a/internal/entry/trace_test.go
+++ b/internal/entry/trace_test.go
@@ -13,11 +13,11 @@
 
 // A caller's trace continues through the entry to the target: the span of the
 // request is a child of the caller's, and its steps have spans in the same trace.
-func TestSpansOfEachHop(t *testing.T) {
-	addr := target(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.Header.Get("Traceparent")) })
-	w := prepare(t, served{name: "plain", targets: []string{addr}})
+func TestSpansOfRequest(t *testing.T) {
+	addr := startTarget(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.Header.Get("Traceparent")) })
+	w := prepare(t, testService{name: "plain", targets: []string{addr}})
 	recorder := tracetest.NewSpanRecorder()
-	w.tracing.on = true
+	w.tracing.enabled = true
 	w.tracing.tracer = sdk.NewTracerProvider(sdk.WithSpanProcessor(recorder)).Tracer("test")
 	w.serve()
 	for _, tt := range []struct {
@@ -29,13 +29,13 @@
 		{name: "keyed", method: "POST", path: "/v1/call/plain/", key: "k", spans: []string{"claim", "claim write", "queue", "dispatch"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			w := w.in(t)
+			w := w.subtest(t)
 			const id = "0af7651916cd43dd8448eb211c80319c"
 			trace := strings.Replace(id, "0", string(tt.name[0]%10+'0'), 1)
-			got := w.ask(tt.method, tt.path, nil, "Traceparent", "00-"+trace+"-b7ad6b7169203331-01", "Idempotency-Key", tt.key)
+			got := w.request(tt.method, tt.path, nil, "Traceparent", "00-"+trace+"-b7ad6b7169203331-01", "Idempotency-Key", tt.key)
 			w.c.Assert(got.StatusCode, qt.Equals, http.StatusOK)
-			w.until("the spans", func() bool { return len(of(recorder, trace)) >= 1+len(tt.spans) })
-			spans := of(recorder, trace)
+			w.waitFor("the spans", func() bool { return len(spansOfTrace(recorder, trace)) >= 1+len(tt.spans) })
+			spans := spansOfTrace(recorder, trace)
 			for _, name := range append(tt.spans, tt.method) {
 				w.c.Assert(spans[name], qt.Not(qt.IsNil), qt.Commentf("%s", name))
 			}
@@ -46,7 +46,7 @@
 			}
 		})
 	}
-	w.until("a span of a store call", func() bool {
+	w.waitFor("a span of a store call", func() bool {
 		for _, s := range recorder.Ended() {
 			if s.Name() == "store" && attributes(s)["status"] == "200" {
 				return true
@@ -57,7 +57,7 @@
 }
 
 // spansOfTrace returns the ended spans of a trace, by name.
-func of(r *tracetest.SpanRecorder, trace string) map[string]sdk.ReadOnlySpan {
+func spansOfTrace(r *tracetest.SpanRecorder, trace string) map[string]sdk.ReadOnlySpan {
 	spans := map[string]sdk.ReadOnlySpan{}
 	for _, s := range r.Ended() {
 		if s.SpanContext().TraceID().String() == trace {
@@ -76,9 +76,9 @@
 }
 
 // While tracing is off, a caller's trace header reaches the target unchanged.
-func TestTraceHeaderPassesWhileOff(t *testing.T) {
-	addr := target(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.Header.Get("Traceparent")) })
-	w := start(t, served{name: "plain", targets: []string{addr}})
+func TestTraceHeaderForwardedWhileTracingOff(t *testing.T) {
+	addr := startTarget(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.Header.Get("Traceparent")) })
+	w := start(t, testService{name: "plain", targets: []string{addr}})
 	const parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
-	w.c.Assert(w.ask("GET", "/v1/call/plain/", nil, "Traceparent", parent).body, qt.Equals, parent)
+	w.c.Assert(w.request("GET", "/v1/call/plain/", nil, "Traceparent", parent).body, qt.Equals, parent)
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -145,9 +145,9 @@
 				Callers: "127.0.0.1:0", Peers: "127.0.0.1:0", Operators: "127.0.0.1:0",
 				Platform: s.Store, Seeds: seeds, Trace: cfg.Trace, Level: "warn",
 			},
-			Boot: uint64(time.Now().UnixNano()),
-			Log:  cfg.Log,
-			Out:  cfg.Out,
+			Boot:        uint64(time.Now().UnixNano()),
+			Log:         cfg.Log,
+			TraceOutput: cfg.Out,
 		})
 		if err != nil {
 			return err
