--- a/gateway_proof_test.go
+++ b/gateway_proof_test.go
@@ -69,7 +69,7 @@
 func (s *studio) configure() {
 	s.version++
 	s.store.PutConfig(s.version, []objects.Route{{
-		Name: "r-a", Host: "veil.example", Prefix: "/a/", Once: true, Timeout: "2s", Goal: "200ms", Attempts: 2, Service: "gowns",
+		Name: "r-a", Host: "veil.example", Prefix: "/a/", NonIdempotent: true, Timeout: "2s", TargetLatency: "200ms", Attempts: 2, Service: "gowns",
 	}}, []string{"gowns"})
 }
 
@@ -180,7 +180,7 @@
 	t.Parallel()
 	s := newStudio(t, 1)
 	g := s.start(program(t))
-	s.workers[0].Work(150 * time.Millisecond)
+	s.workers[0].SetServiceTime(150 * time.Millisecond)
 	for n := range 3 {
 		g.send(fmt.Sprint("warm-", n))
 	}
@@ -210,8 +210,8 @@
 	s := newStudio(t, 2)
 	g := s.start(program(t))
 	for _, w := range s.workers {
-		w.Fail(func(r *http.Request) worker.Fault {
-			return worker.Fault{Lose: r.Header.Get(platform.HeaderRequestID) == "booking"}
+		w.SetFaults(func(r *http.Request) worker.Fault {
+			return worker.Fault{LoseResponse: r.Header.Get(platform.HeaderRequestID) == "booking"}
 		})
 	}
 	s.q.Assert(g.send("booking"), qt.Equals, http.StatusBadGateway)
@@ -235,7 +235,7 @@
 	c.signal(syscall.SIGTERM)
 	s.q.Assert(<-c.ended, qt.IsNil)
 	for _, w := range s.workers {
-		w.Work(time.Second)
+		w.SetServiceTime(time.Second)
 	}
 	status := make(chan int, 1)
 	go func() { status <- b.send("lost") }()
@@ -306,8 +306,8 @@
 	s.run(g, program(t), out)
 	eventually(t, "ready again", g.ready)
 	for _, w := range s.workers {
-		w.Fail(func(r *http.Request) worker.Fault {
-			return worker.Fault{Lose: strings.HasPrefix(r.Header.Get(platform.HeaderRequestID), "lose")}
+		w.SetFaults(func(r *http.Request) worker.Fault {
+			return worker.Fault{LoseResponse: strings.HasPrefix(r.Header.Get(platform.HeaderRequestID), "lose")}
 		})
 	}
 	began := time.Now()
--- a/internal/claims/fake_test.go
+++ b/internal/claims/fake_test.go
@@ -61,7 +61,7 @@
 func (s *fakeStore) call(op string, f func() error) error {
 	switch s.takeFault(op) {
 	case refused:
-		return &store.Unavailable{Cause: errUnavailable, Untouched: true}
+		return &store.Unavailable{Cause: errUnavailable, NotSent: true}
 	case timedOut:
 		return &store.Unavailable{Cause: errUnavailable}
 	case responseLost:
--- a/internal/claims/hold.go
+++ b/internal/claims/hold.go
@@ -201,7 +201,7 @@
 // notSent reports whether a failed call certainly didn't reach the store.
 func notSent(err error) bool {
 	var u *store.Unavailable
-	return errors.As(err, &u) && u.Untouched
+	return errors.As(err, &u) && u.NotSent
 }
 
 // sleep waits for d and reports whether d passed before ctx ended.
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -44,5 +44,5 @@
 	if err != nil {
 		return err
 	}
-	return s.settings.Offer(ctx, settings.Change{Revision: change.Revision, Document: change.Document, Edits: change.Edits})
+	return s.settings.ApplyChange(ctx, settings.Change{Revision: change.Revision, Document: change.Document, Edits: change.Edits})
 }
--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/answer_test.go
@@ -43,20 +43,20 @@
 		runs   int
 	}{
 		{"sheds, may run once", "non_idempotent", worker.Fault{Shed: true}, 200, 1},
-		{"loses the answer, may run once", "non_idempotent", worker.Fault{Lose: true}, 502, 1},
+		{"loses the answer, may run once", "non_idempotent", worker.Fault{LoseResponse: true}, 502, 1},
 		{"cuts the answer, may run once", "non_idempotent", worker.Fault{Cut: true}, 502, 1},
 		{"answers without signature, may run once", "non_idempotent", worker.Fault{Unsigned: true}, 502, 1},
-		{"answers another request, may run once", "non_idempotent", worker.Fault{Crossed: true}, 502, 1},
-		{"fails another request, may run once", "non_idempotent", worker.Fault{Crossed: true, Fail: true}, 502, 1},
+		{"answers another request, may run once", "non_idempotent", worker.Fault{WrongRequestID: true}, 502, 1},
+		{"fails another request, may run once", "non_idempotent", worker.Fault{WrongRequestID: true, Fail: true}, 502, 1},
 		{"says 503 after the run, may run once", "non_idempotent", worker.Fault{Plain503: true}, 502, 1},
 		{"fails, may run once", "non_idempotent", worker.Fault{Fail: true}, 500, 1},
-		{"has the address of another target", "non_idempotent", worker.Fault{Other: "i-other"}, 200, 1},
-		{"sends no length, may run once", "non_idempotent", worker.Fault{Unframed: true}, 200, 1},
-		{"never answers, may run once", "non_idempotent", worker.Fault{Mute: true}, 504, 1},
+		{"has the address of another target", "non_idempotent", worker.Fault{ReplacedBy: "i-other"}, 200, 1},
+		{"sends no length, may run once", "non_idempotent", worker.Fault{NoLength: true}, 200, 1},
+		{"never answers, may run once", "non_idempotent", worker.Fault{NoResponse: true}, 504, 1},
 		{"sheds", "idempotent", worker.Fault{Shed: true}, 200, 1},
-		{"loses the answer", "idempotent", worker.Fault{Lose: true}, 200, 2},
+		{"loses the answer", "idempotent", worker.Fault{LoseResponse: true}, 200, 2},
 		{"cuts the answer", "idempotent", worker.Fault{Cut: true}, 200, 2},
-		{"answers another request", "idempotent", worker.Fault{Crossed: true}, 200, 2},
+		{"answers another request", "idempotent", worker.Fault{WrongRequestID: true}, 200, 2},
 		{"fails", "idempotent", worker.Fault{Fail: true}, 200, 2},
 	}
 	for _, tt := range tests {
@@ -66,7 +66,7 @@
 			fillRetryBudget(e)
 			var first atomic.Bool
 			for _, k := range w.workers {
-				k.Fail(func(r *http.Request) worker.Fault {
+				k.SetFaults(func(r *http.Request) worker.Fault {
 					if r.URL.Path != "/health" && first.CompareAndSwap(false, true) {
 						return tt.fault
 					}
@@ -98,8 +98,8 @@
 	for _, delay := range []time.Duration{0, 3 * time.Millisecond} {
 		w := newWorld(t, worldConfig{targets: 1})
 		e := w.startEntry("a").waitReady()
-		w.workers[0].Fail(func(r *http.Request) worker.Fault {
-			return worker.Fault{Extra: r.URL.Path != "/health", ExtraIn: delay}
+		w.workers[0].SetFaults(func(r *http.Request) worker.Fault {
+			return worker.Fault{DuplicateResponse: r.URL.Path != "/health", DuplicateDelay: delay}
 		})
 		for range 40 {
 			a := e.call("GET", "/a/x", "")
@@ -116,7 +116,7 @@
 func TestRouteTimeout(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1, routeType: "non_idempotent", timeout: "300ms"})
 	e := w.startEntry("a").waitReady()
-	w.workers[0].Fail(func(r *http.Request) worker.Fault { return worker.Fault{Mute: r.URL.Path != "/health"} })
+	w.workers[0].SetFaults(func(r *http.Request) worker.Fault { return worker.Fault{NoResponse: r.URL.Path != "/health"} })
 	a := e.call("POST", "/a/x", "veil")
 	w.c.Assert(a.status, qt.Equals, http.StatusGatewayTimeout)
 	w.c.Assert(a.took > 250*time.Millisecond && a.took < 700*time.Millisecond, qt.IsTrue, qt.Commentf("%v", a.took))
@@ -127,7 +127,7 @@
 func TestCallerDisconnectClosesTargetConnection(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1})
 	e := w.startEntry("a").waitReady()
-	w.workers[0].Work(2 * time.Second)
+	w.workers[0].SetServiceTime(2 * time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		w.waitFor("the run", func() bool { return len(w.workers[0].Runs()) == 1 })
@@ -135,9 +135,9 @@
 	}()
 	a := e.callWith(ctx, "left", "GET", "/a/x", "")
 	w.c.Assert(a.err, qt.IsNotNil)
-	w.waitFor("the end of the target's connection", func() bool { return !w.workers[0].Runs()[0].Gone.IsZero() })
+	w.waitFor("the end of the target's connection", func() bool { return !w.workers[0].Runs()[0].CallerLeftAt.IsZero() })
 	run := w.workers[0].Runs()[0]
-	w.c.Assert(run.Gone.Sub(run.At) < time.Second, qt.IsTrue)
+	w.c.Assert(run.CallerLeftAt.Sub(run.StartedAt) < time.Second, qt.IsTrue)
 }
 
 func TestNoRoute(t *testing.T) {
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -84,7 +84,7 @@
 	e := w.startEntry("a").waitReady()
 	s := e.cfg.Settings
 	for _, k := range w.workers {
-		k.Fail(func(*http.Request) worker.Fault { return worker.Fault{Fail: true} })
+		k.SetFaults(func(*http.Request) worker.Fault { return worker.Fault{Fail: true} })
 	}
 	for range requests {
 		e.call("GET", "/a/x", "")
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -20,7 +20,7 @@
 	const maxRate, serviceTime, duration = 13, 5 * time.Millisecond, 3 * time.Second
 	w := newWorldIn(t, "hall", "hall", "annex")
 	for i, k := range w.workers {
-		k.Work(serviceTime)
+		k.SetServiceTime(serviceTime)
 		k.Slots = []int{8, 8, 50}[i]
 		w.store.PutTarget(objects.Target{
 			ID: k.ID, Address: k.Address(), Service: "gowns", Place: []string{"hall", "hall", "annex"}[i], Slots: k.Slots,
@@ -35,10 +35,10 @@
 		})
 	}
 	for _, k := range w.workers[:2] {
-		k.Chill(time.Minute, maxRate, true)
+		k.StartCold(time.Minute, maxRate, true)
 	}
 	time.Sleep(1500 * time.Millisecond) // until a newly assigned share takes effect
-	w.store.TakeBack("hall")
+	w.store.EndEvacuation("hall")
 	var callers sync.WaitGroup
 	var mu sync.Mutex
 	refused := 0
@@ -58,7 +58,7 @@
 	}
 	callers.Wait()
 	for i, k := range w.workers[:2] {
-		w.c.Assert(k.Falls(), qt.Equals, 0, qt.Commentf("target %d", i))
+		w.c.Assert(k.OverloadCrashes(), qt.Equals, 0, qt.Commentf("target %d", i))
 		w.c.Assert(len(k.Runs()) > 0, qt.IsTrue, qt.Commentf("target %d got no request", i))
 	}
 	w.c.Assert(refused, qt.Equals, 0)
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -60,7 +60,7 @@
 		return len(entries[0].view.Load().live) == 2 && len(entries[1].view.Load().live) == 2
 	})
 	for _, k := range w.workers {
-		k.Fail(func(r *http.Request) worker.Fault { return worker.Fault{Lose: r.URL.Path == "/a/poison"} })
+		k.SetFaults(func(r *http.Request) worker.Fault { return worker.Fault{LoseResponse: r.URL.Path == "/a/poison"} })
 	}
 	for i := range 20 {
 		entries[i%2].call("GET", "/a/poison", "same")
@@ -102,7 +102,7 @@
 	for _, name := range []string{"a", "b", "c", "d"} {
 		entries = append(entries, w.startEntry(name).waitReady())
 	}
-	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
+	w.store.SetFaults(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
 	before := w.store.Calls()
 	for range 30 {
 		for _, e := range entries {
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -38,7 +38,7 @@
 	}{
 		{"every second one is refused", 2, worker.Fault{Shed: true}},
 		{"two of three are refused", 3, worker.Fault{Shed: true}},
-		{"every second one meets another target", 2, worker.Fault{Other: "i-other"}},
+		{"every second one meets another target", 2, worker.Fault{ReplacedBy: "i-other"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -47,14 +47,14 @@
 			entries := startEntries(w, 3)
 			var arrived atomic.Int64
 			for _, k := range w.workers {
-				k.Fail(func(r *http.Request) worker.Fault {
+				k.SetFaults(func(r *http.Request) worker.Fault {
 					switch {
 					case !strings.HasPrefix(r.URL.Path, crashPath):
 						return worker.Fault{}
 					case arrived.Add(1)%int64(tt.every) != 0:
 						return tt.fault
 					}
-					return worker.Fault{Lose: true}
+					return worker.Fault{LoseResponse: true}
 				})
 			}
 			for i := range 40 {
@@ -75,7 +75,7 @@
 	w := newWorld(t, worldConfig{targets: 8, attempts: 1})
 	entries := startEntries(w, 3)
 	for _, k := range w.workers {
-		k.Fail(func(r *http.Request) worker.Fault { return worker.Fault{Lose: r.URL.Path == crashPath} })
+		k.SetFaults(func(r *http.Request) worker.Fault { return worker.Fault{LoseResponse: r.URL.Path == crashPath} })
 	}
 	for range 2 * crashLimit {
 		entries[0].call("GET", crashPath, "")
@@ -112,13 +112,13 @@
 	w := newWorld(t, worldConfig{targets: 6})
 	e := w.startEntry("a").waitReady()
 	for _, k := range w.workers {
-		k.Fail(func(*http.Request) worker.Fault { return worker.Fault{Lose: true} })
+		k.SetFaults(func(*http.Request) worker.Fault { return worker.Fault{LoseResponse: true} })
 	}
 	for range 20 {
 		e.call("GET", "/a/popular", "")
 	}
 	for _, k := range w.workers {
-		k.Fail(nil)
+		k.SetFaults(nil)
 	}
 	w.waitFor("other requests are served", func() bool { return e.call("GET", "/a/other", "").status == http.StatusOK })
 	w.waitFor("it is served", func() bool { return e.call("GET", "/a/popular", "").status == http.StatusOK })
--- a/internal/gateway/enrolment_test.go
+++ b/internal/gateway/enrolment_test.go
@@ -11,7 +11,7 @@
 // that entries that start find the others.
 func TestEntryRecordsAfterRestore(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1})
-	c := w.store.Copy()
+	c := w.store.Snapshot()
 	entries := startEntries(w, 4)
 	records := func() int { return len(w.store.Names("entries")) }
 	w.waitFor("records of the entries", func() bool { return records() >= recordedEntries })
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -32,7 +32,7 @@
 // runsAfter returns the number of runs of a target that began after a time.
 func (w *world) runsAfter(target int, at time.Time) (n int) {
 	for _, r := range w.workers[target].Runs() {
-		if r.At.After(at) {
+		if r.StartedAt.After(at) {
 			n++
 		}
 	}
@@ -61,7 +61,7 @@
 	at := time.Now()
 	callFor(evacuateBound+time.Second, http.StatusOK, entries...)
 	w.c.Assert(w.runsAfter(0, at.Add(evacuateBound)), qt.Equals, 0)
-	w.store.TakeBack("hall")
+	w.store.EndEvacuation("hall")
 	w.waitFor("the domain in use again", func() bool {
 		for _, e := range entries {
 			e.call("GET", "/a/x", "")
@@ -69,7 +69,7 @@
 		return w.runsAfter(0, at.Add(evacuateBound)) > 0
 	})
 	w.store.Evacuate("hall")
-	w.store.TakeBack("hall")
+	w.store.EndEvacuation("hall")
 	w.store.Evacuate("hall")
 	at = time.Now()
 	callFor(evacuateBound+500*time.Millisecond, http.StatusOK, entries...)
@@ -156,12 +156,12 @@
 	w.store.Evacuate("hall")
 	at := time.Now()
 	callFor(evacuateBound, http.StatusOK, entries...)
-	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
+	w.store.SetFaults(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
 	callFor(readSchedule[resourceEvacuations].wait+100*time.Millisecond, http.StatusOK, entries...) // until no watch is open any more
-	w.store.TakeBack("hall")
+	w.store.EndEvacuation("hall")
 	callFor(evacuateBound, http.StatusOK, entries...)
 	w.c.Assert(w.runsAfter(0, at.Add(evacuateBound)), qt.Equals, 0)
-	w.store.Fail(nil)
+	w.store.SetFaults(nil)
 	w.waitFor("the domain in use again", func() bool {
 		entries[0].call("GET", "/a/x", "")
 		return w.runsAfter(0, at.Add(evacuateBound)) > 0
@@ -187,7 +187,7 @@
 func TestEvacuationsNotReadWithoutBound(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1})
 	asked := make(chan string, 100)
-	w.store.Fail(func(r *http.Request) objects.Fault {
+	w.store.SetFaults(func(r *http.Request) objects.Fault {
 		if r.URL.Path == "/objects/evacuations" {
 			asked <- r.URL.Path
 		}
--- a/internal/gateway/fresh_test.go
+++ b/internal/gateway/fresh_test.go
@@ -92,7 +92,7 @@
 	w := newWorld(t, worldConfig{targets: 2})
 	e := w.startEntry("a").waitReady()
 	w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
-	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Silent: true} })
+	w.store.SetFaults(func(*http.Request) objects.Fault { return objects.Fault{Silent: true} })
 	var delayed time.Duration
 	for began := time.Now(); time.Since(began) < 3*time.Second; time.Sleep(5 * time.Millisecond) {
 		a := e.call("GET", "/a/x", "")
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -69,7 +69,7 @@
 	w.version++
 	w.store.PutConfig(w.version, []objects.Route{{
 		Name: "r-a", Host: "veil.example", Prefix: "/a/", Kind: s.routeType, Timeout: s.timeout,
-		Goal: "1s", Attempts: s.attempts, Service: "gowns",
+		TargetLatency: "1s", Attempts: s.attempts, Service: "gowns",
 	}}, []string{"gowns", "veils"})
 }
 
@@ -86,7 +86,7 @@
 // writeTarget writes a target's record.
 func (w *world) writeTarget(k *worker.Worker, service, state string) {
 	w.store.PutTarget(objects.Target{
-		ID: k.ID, Address: k.Address(), Service: service, Place: "hall", Slots: k.Slots, Leaving: state == "draining", Born: w.targetStart,
+		ID: k.ID, Address: k.Address(), Service: service, Place: "hall", Slots: k.Slots, Leaving: state == "draining", StartedMillis: w.targetStart,
 	})
 }
 
@@ -235,7 +235,7 @@
 // arrivals returns the number of requests that reached any target.
 func (w *world) arrivals() (n int) {
 	for _, k := range w.workers {
-		n += len(k.Runs()) + len(k.Sheds())
+		n += len(k.Runs()) + len(k.Refusals())
 	}
 	return n
 }
@@ -244,11 +244,11 @@
 func maxRunsWithin(runs []worker.Run, from time.Time, span time.Duration) (most int) {
 	var at []time.Time
 	for _, r := range runs {
-		if r.At.Before(from) {
+		if r.StartedAt.Before(from) {
 			continue
 		}
-		at = append(at, r.At)
-		for r.At.Sub(at[0]) > span {
+		at = append(at, r.StartedAt)
+		for r.StartedAt.Sub(at[0]) > span {
 			at = at[1:]
 		}
 		most = max(most, len(at))
@@ -259,7 +259,7 @@
 // runsSince returns the number of runs that began after a time.
 func runsSince(runs []worker.Run, from time.Time) (n int) {
 	for _, r := range runs {
-		if r.At.After(from) {
+		if r.StartedAt.After(from) {
 			n++
 		}
 	}
--- a/internal/gateway/hosts_test.go
+++ b/internal/gateway/hosts_test.go
@@ -52,8 +52,8 @@
 	entries := startEntries(w, 6)
 	hosts := []string{"veil.example", "gown.example"}
 	routes := []objects.Route{
-		{Name: "r-a", Host: hosts[0], Prefix: "/a/", Timeout: "2s", Goal: "1s", Attempts: 3, Service: "gowns"},
-		{Name: "r-b", Host: hosts[1], Prefix: "/a/", Timeout: "2s", Goal: "1s", Attempts: 3, Service: "veils"},
+		{Name: "r-a", Host: hosts[0], Prefix: "/a/", Timeout: "2s", TargetLatency: "1s", Attempts: 3, Service: "gowns"},
+		{Name: "r-b", Host: hosts[1], Prefix: "/a/", Timeout: "2s", TargetLatency: "1s", Attempts: 3, Service: "veils"},
 	}
 	version := func() {
 		w.version++
--- a/internal/gateway/knowledge_test.go
+++ b/internal/gateway/knowledge_test.go
@@ -30,7 +30,7 @@
 // answers 503 and isn't ready.
 func TestEntryWithoutConfiguration(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1})
-	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
+	w.store.SetFaults(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
 	e := w.startEntry("a")
 	a := e.call("GET", "/a/x", "")
 	w.c.Assert(a.status, qt.Equals, http.StatusServiceUnavailable)
@@ -38,7 +38,7 @@
 	rec := httptest.NewRecorder()
 	e.auxHandler().ServeHTTP(rec, httptest.NewRequest("GET", "/readiness", nil))
 	w.c.Assert(rec.Code, qt.Equals, http.StatusServiceUnavailable)
-	w.store.Fail(nil)
+	w.store.SetFaults(nil)
 	e.waitReady()
 }
 
@@ -47,11 +47,11 @@
 func TestConfigurationChangeDespiteSilentWatch(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1})
 	e := w.startEntry("a").waitReady()
-	w.store.Deafen(true)
+	w.store.PauseWatches(true)
 	w.configure(worldConfig{})
 	began := time.Now()
 	w.store.Compact()
-	time.AfterFunc(time.Second, func() { w.store.Deafen(false) })
+	time.AfterFunc(time.Second, func() { w.store.PauseWatches(false) })
 	w.waitFor("the change in force", func() bool { return int(e.version()) == w.version })
 	w.c.Assert(time.Since(began) < applyBound, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
@@ -61,7 +61,7 @@
 func TestStartDuringAnOutage(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 2})
 	a := w.startEntry("a").waitReady()
-	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
+	w.store.SetFaults(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
 	b := w.startEntry("b", a).waitReady()
 	w.c.Assert(b.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 	w.waitFor("both live", func() bool { return len(a.view.Load().live) == 2 && len(b.view.Load().live) == 2 })
@@ -116,7 +116,7 @@
 	a := w.startEntry("a").waitReady()
 	b := w.startEntry("b").waitReady()
 	w.waitFor("both entries live", func() bool { return len(a.view.Load().live) == 2 && len(b.view.Load().live) == 2 })
-	w.store.Fail(refuseStoreCalls(b))
+	w.store.SetFaults(refuseStoreCalls(b))
 	time.Sleep(300 * time.Millisecond)
 	w.configure(worldConfig{})
 	began := time.Now()
@@ -159,7 +159,7 @@
 				e.call("GET", "/a/x", "")
 			}
 			for _, r := range w.workers[0].Runs() {
-				w.c.Assert(r.At.Sub(left) < 2*time.Second, qt.IsTrue)
+				w.c.Assert(r.StartedAt.Sub(left) < 2*time.Second, qt.IsTrue)
 			}
 			w.c.Assert(len(w.workers[1].Runs()) > 0, qt.IsTrue)
 		})
@@ -182,7 +182,7 @@
 // An entry reads a list that the store returns in several pages.
 func TestListInPages(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 7})
-	w.store.Page(3)
+	w.store.SetPageSize(3)
 	e := w.startEntry("a").waitReady()
 	w.waitFor("all targets", func() bool { return e.targetCount("gowns") == 7 })
 }
@@ -193,11 +193,11 @@
 func TestRecordsExpiredDuringOutage(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 2})
 	e := w.startEntry("a").waitReady()
-	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
+	w.store.SetFaults(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
 	time.Sleep(roster.OutageAge + 500*time.Millisecond)
 	w.store.Delete("servers", w.workers[0].ID)
 	w.store.Delete("servers", w.workers[1].ID)
-	w.store.Fail(nil)
+	w.store.SetFaults(nil)
 	returned := time.Now()
 	for time.Since(returned) < 1500*time.Millisecond {
 		w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
@@ -223,7 +223,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			w := newWorld(t, worldConfig{targets: 1})
-			w.store.Fail(func(*http.Request) objects.Fault { return tt.fault })
+			w.store.SetFaults(func(*http.Request) objects.Fault { return tt.fault })
 			e := w.startEntry("a")
 			a := e.call("GET", "/a/x", "")
 			w.c.Assert(a.status, qt.Equals, tt.status)
--- a/internal/gateway/leaving_response_test.go
+++ b/internal/gateway/leaving_response_test.go
@@ -23,7 +23,7 @@
 func TestLeavingByAResponse(t *testing.T) {
 	checkLeaving(t, []leaveCase{
 		{"store silent", func(w *world, _ *entry) {
-			w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Silent: true} })
+			w.store.SetFaults(func(*http.Request) objects.Fault { return objects.Fault{Silent: true} })
 		}},
 		{"record goes on saying ready", func(w *world, _ *entry) {
 			w.workers[0].Slots = 9
@@ -46,7 +46,7 @@
 		{"service dropped and back", func(w *world, e *entry) {
 			w.version++
 			w.store.PutConfig(w.version, []objects.Route{{
-				Name: "r-a", Host: "veil.example", Prefix: "/a/", Timeout: "2s", Goal: "1s", Attempts: 3, Service: "veils",
+				Name: "r-a", Host: "veil.example", Prefix: "/a/", Timeout: "2s", TargetLatency: "1s", Attempts: 3, Service: "veils",
 			}}, []string{"veils"})
 			w.waitFor("the service dropped", func() bool { return int(e.version()) == w.version })
 			time.Sleep(drainBound)
@@ -68,9 +68,9 @@
 				w.writeTarget(k, "gowns", "ready")
 			}
 			e := w.startEntry("a").waitReady()
-			w.workers[1].Work(30 * time.Millisecond) // so that the first one is preferred
-			w.workers[0].KeepSilent()
-			w.workers[0].Leave()
+			w.workers[1].SetServiceTime(30 * time.Millisecond) // so that the first one is preferred
+			w.workers[0].ProbeLoadOnly()
+			w.workers[0].AnnounceLeaving()
 			w.waitFor("a response that announces it", func() bool {
 				e.call("GET", "/a/x", "")
 				s, err := e.Status(t.Context())
@@ -83,7 +83,7 @@
 				w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 			}
 			for _, r := range w.workers[0].Runs() {
-				w.c.Assert(r.At.Sub(announced) < drainBound, qt.IsTrue, qt.Commentf("%v", r.At.Sub(announced)))
+				w.c.Assert(r.StartedAt.Sub(announced) < drainBound, qt.IsTrue, qt.Commentf("%v", r.StartedAt.Sub(announced)))
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 	w := newWorld(t, worldConfig{targets: 2})
 	e := w.startEntry("a").waitReady()
 	for _, k := range w.workers {
-		k.Leave()
+		k.AnnounceLeaving()
 	}
 	var last callResult
 	w.waitFor("both targets have announced that they leave", func() bool {
@@ -108,7 +108,7 @@
 	w.c.Assert(retry > 0, qt.IsTrue)
 	w.targetStart++
 	for _, k := range w.workers {
-		k.Stay()
+		k.StopLeaving()
 		w.writeTarget(k, "gowns", "ready")
 	}
 	w.waitFor("new incarnations get requests", func() bool { return e.call("GET", "/a/x", "").status == http.StatusOK })
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -39,7 +39,7 @@
 				w.c.Assert(last.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 			}
 			for _, r := range w.workers[0].Runs() {
-				w.c.Assert(r.At.Sub(left) < drainBound, qt.IsTrue, qt.Commentf("%v", r.At.Sub(left)))
+				w.c.Assert(r.StartedAt.Sub(left) < drainBound, qt.IsTrue, qt.Commentf("%v", r.StartedAt.Sub(left)))
 			}
 			w.c.Assert(len(w.workers[1].Runs()) > 0, qt.IsTrue)
 		})
@@ -52,7 +52,7 @@
 	w := newWorld(t, worldConfig{targets: 1})
 	e := w.startEntry("a").waitReady()
 	for _, k := range w.workers {
-		k.Work(5 * time.Second)
+		k.SetServiceTime(5 * time.Second)
 	}
 	sv := e.view.Load().services["gowns"]
 	for i := range w.workers[0].Slots + 1 {
@@ -67,7 +67,7 @@
 	w.waitFor("a pending request", hasPending)
 	w.version++
 	w.store.PutConfig(w.version, []objects.Route{{
-		Name: "r-a", Host: "veil.example", Prefix: "/a/", Timeout: "2s", Goal: "1s", Attempts: 3, Service: "veils",
+		Name: "r-a", Host: "veil.example", Prefix: "/a/", Timeout: "2s", TargetLatency: "1s", Attempts: 3, Service: "veils",
 	}}, []string{"veils"})
 	w.waitFor("the new configuration", func() bool { return int(e.version()) == w.version })
 	w.c.Assert(hasPending(), qt.IsTrue)
@@ -99,7 +99,7 @@
 			w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 		}
 		for _, r := range w.workers[0].Runs() {
-			w.c.Assert(r.At.Sub(left) < drainBound, qt.IsTrue, qt.Commentf("%v", r.At.Sub(left)))
+			w.c.Assert(r.StartedAt.Sub(left) < drainBound, qt.IsTrue, qt.Commentf("%v", r.StartedAt.Sub(left)))
 		}
 		w.c.Assert(<-e.done, qt.IsNil)
 	}
@@ -114,7 +114,7 @@
 	for _, e := range readers[:len(readers)-1] {
 		cut[e.self.Name] = true
 	}
-	w.store.Fail(func(r *http.Request) objects.Fault { return objects.Fault{Silent: cut[r.Header.Get("User-Agent")]} })
+	w.store.SetFaults(func(r *http.Request) objects.Fault { return objects.Fault{Silent: cut[r.Header.Get("User-Agent")]} })
 	return last
 }
 
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -42,7 +42,7 @@
 			t.Parallel()
 			w := newWorld(t, worldConfig{targets: 3})
 			for _, k := range w.workers {
-				k.Work(5 * time.Millisecond)
+				k.SetServiceTime(5 * time.Millisecond)
 				k.Slots = 8
 				w.writeTarget(k, "gowns", "ready")
 			}
@@ -51,7 +51,7 @@
 			time.Sleep(time.Second)
 			named := time.Now()
 			for _, k := range w.workers[:tt.limited] {
-				k.Limit(tt.limit)
+				k.SetLimit(tt.limit)
 			}
 			time.Sleep(load)
 			replies := stop()
@@ -80,16 +80,16 @@
 func TestLimitEnds(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 2})
 	for _, k := range w.workers {
-		k.Work(5 * time.Millisecond)
+		k.SetServiceTime(5 * time.Millisecond)
 		k.Slots = 8
 		w.writeTarget(k, "gowns", "ready")
 	}
 	entries := startEntries(w, 6)
 	one, other := w.workers[0], w.workers[1]
-	one.Limit("0.5")
+	one.SetLimit("0.5")
 	stop := w.callContinuously(t.Context(), entries, 2)
 	time.Sleep(2 * time.Second)
-	one.Limit("")
+	one.SetLimit("")
 	time.Sleep(2 * time.Second) // the target must be in full use by then
 	from := time.Now()
 	time.Sleep(time.Second)
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -139,7 +139,7 @@
 func TestSilentStoreDetected(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1})
 	e := w.startEntry("a").waitReady()
-	w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Silent: true} })
+	w.store.SetFaults(func(*http.Request) objects.Fault { return objects.Fault{Silent: true} })
 	began := time.Now()
 	w.waitFor("the store unavailable", func() bool {
 		e.freshness.mu.Lock()
--- a/internal/gateway/pull_test.go
+++ b/internal/gateway/pull_test.go
@@ -62,7 +62,7 @@
 	const bound = 250 * time.Millisecond
 	w := newWorld(t, worldConfig{targets: 1})
 	e := w.startEntry("a").waitReady()
-	w.store.Fail(refuseStoreCalls(e))
+	w.store.SetFaults(refuseStoreCalls(e))
 	peer := func(name string, s relay.Source) *relay.Relay {
 		r, err := relay.New(relay.Config{
 			Address: "127.0.0.1:0", Source: s, Log: e.log, OnPacket: func(relay.Packet, string) {}, OnSent: func(int) {},
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -67,9 +67,9 @@
 			w := newWorld(t, worldConfig{targets: 2})
 			entries := startEntries(w, 3)
 			if tt.cut {
-				w.store.Fail(refuseStoreCalls(byReaderRank(entries, resourceTargets)[0]))
+				w.store.SetFaults(refuseStoreCalls(byReaderRank(entries, resourceTargets)[0]))
 			}
-			c := w.store.Copy()
+			c := w.store.Snapshot()
 			w.advanceRevisions()
 			time.Sleep(1500 * time.Millisecond) // until all have the latest revision
 			for range 1 + tt.more {
@@ -92,7 +92,7 @@
 func TestNewerConfigurationKeptAfterRestore(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1})
 	entries := startEntries(w, 3)
-	c := w.store.Copy()
+	c := w.store.Snapshot()
 	w.configure(worldConfig{timeout: "3s"})
 	w.waitSynced(entries, time.Now(), "i-0")
 	w.store.Restore(c)
@@ -119,7 +119,7 @@
 		{"a target leaves", func(w *world) { w.writeTarget(w.workers[0], "gowns", "draining") }, func(w *world) { w.writeTarget(w.workers[0], "gowns", "draining") }, nil},
 		{"a target is removed", func(w *world) { w.store.Delete("servers", "i-0") }, func(w *world) { w.store.Delete("servers", "i-0") }, nil},
 		{"a place is evacuated", func(w *world) { w.store.Evacuate("hall") }, func(w *world) { w.store.Evacuate("hall") }, nil},
-		{"an evacuation is withdrawn", func(w *world) { w.store.TakeBack("annex") }, func(w *world) { w.store.TakeBack("annex") }, []int{0, 1}},
+		{"an evacuation is withdrawn", func(w *world) { w.store.EndEvacuation("annex") }, func(w *world) { w.store.EndEvacuation("annex") }, []int{0, 1}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -129,11 +129,11 @@
 			w.store.Evacuate("annex")
 			w.store.PutTarget(objects.Target{ID: "i-1", Address: w.workers[1].Address(), Service: "gowns", Place: "annex", Slots: slots})
 			entries := startEntries(w, 3)
-			c := w.store.Copy()
+			c := w.store.Snapshot()
 			tt.lost(w)
 			w.advanceRevisions()
 			for _, k := range w.workers {
-				k.Work(10 * time.Millisecond)
+				k.SetServiceTime(10 * time.Millisecond)
 			}
 			time.Sleep(1500 * time.Millisecond) // until all have the changes
 			w.store.Restore(c)
@@ -194,14 +194,14 @@
 		t.Run(era, func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, worldConfig{targets: 2})
-			c := w.store.Copy()
+			c := w.store.Snapshot()
 			w.store.Restore(c) // era 2
 			entries := startEntries(w, 2)
-			w.store.Fail(func(*http.Request) objects.Fault { return objects.Fault{Era: era} })
+			w.store.SetFaults(func(*http.Request) objects.Fault { return objects.Fault{Era: era} })
 			time.Sleep(time.Second)
 			w.waitSynced(entries, time.Now(), "i-0", "i-1")
 			w.c.Assert(entries[0].call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
-			w.store.Fail(nil)
+			w.store.SetFaults(nil)
 			k := w.startTarget("gowns")
 			w.waitFor("the new target", func() bool { return entries[0].hasTarget(k.ID) && entries[1].hasTarget(k.ID) })
 		})
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -36,12 +36,12 @@
 			w := newWorld(t, worldConfig{targets: 1 + tt.others})
 			e := w.startEntry("a").waitReady()
 			k := w.workers[0]
-			k.Fail(func(*http.Request) worker.Fault { return worker.Fault{Shed: true, After: tt.after} })
+			k.SetFaults(func(*http.Request) worker.Fault { return worker.Fault{Shed: true, RetryAfter: tt.after} })
 			w.waitFor("a refusal", func() bool {
 				e.call("GET", "/a/x", "")
-				return len(k.Sheds()) > 0
+				return len(k.Refusals()) > 0
 			})
-			first := k.Sheds()[0].At
+			first := k.Refusals()[0].StartedAt
 			for time.Since(first) < tt.hold {
 				left := tt.hold - time.Since(first)
 				a := e.call("GET", "/a/x", "")
@@ -62,13 +62,13 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			n := 0
-			for _, s := range k.Sheds() {
-				if d := s.At.Sub(first); d >= heedAfter && d < tt.hold {
+			for _, s := range k.Refusals() {
+				if d := s.StartedAt.Sub(first); d >= heedAfter && d < tt.hold {
 					n++
 				}
 			}
 			w.c.Assert(n <= most, qt.IsTrue, qt.Commentf("%d requests", n))
-			k.Fail(nil)
+			k.SetFaults(nil)
 			w.waitFor("it is used again", func() bool {
 				e.call("GET", "/a/x", "")
 				return len(k.Runs()) > 0
--- a/internal/gateway/several_test.go
+++ b/internal/gateway/several_test.go
@@ -143,7 +143,7 @@
 		e.relay.Close()
 	}
 	rest := readers[2:]
-	w.store.Fail(func(r *http.Request) objects.Fault { return objects.Fault{Down: lost[r.Header.Get("User-Agent")]} })
+	w.store.SetFaults(func(r *http.Request) objects.Fault { return objects.Fault{Down: lost[r.Header.Get("User-Agent")]} })
 	w.writeTarget(w.workers[0], "gowns", "draining")
 	left := time.Now()
 	for time.Since(left) < 2500*time.Millisecond {
@@ -152,7 +152,7 @@
 		}
 	}
 	for _, r := range w.workers[0].Runs() {
-		w.c.Assert(r.At.Sub(left) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", r.At.Sub(left)))
+		w.c.Assert(r.StartedAt.Sub(left) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", r.StartedAt.Sub(left)))
 	}
 	w.c.Assert(len(w.workers[1].Runs()) > 0, qt.IsTrue)
 }
@@ -164,7 +164,7 @@
 	w := newWorld(t, worldConfig{targets: 8, attempts: 1})
 	entries := startEntries(w, 4)
 	for _, k := range w.workers {
-		k.Fail(func(r *http.Request) worker.Fault { return worker.Fault{Lose: r.URL.Path == "/a/poison"} })
+		k.SetFaults(func(r *http.Request) worker.Fault { return worker.Fault{LoseResponse: r.URL.Path == "/a/poison"} })
 	}
 	for _, e := range entries[:crashLimit] {
 		e.call("GET", "/a/poison", "same")
@@ -223,10 +223,10 @@
 		w.c.Assert(err, qt.IsNil)
 		return s.StoreUnavailable
 	}
-	w.store.Fail(refuseStoreCalls(first))
+	w.store.SetFaults(refuseStoreCalls(first))
 	w.waitFor("the reader is refused", refused)
 	time.Sleep(time.Second)
-	w.store.Fail(nil)
+	w.store.SetFaults(nil)
 	began := time.Now()
 	w.waitFor("the reader is served again", func() bool { return !refused() })
 	w.c.Assert(time.Since(began) < 2*storeRetryDelayMax, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -19,7 +19,7 @@
 	w := newWorld(t, worldConfig{targets: 2, routeType: "non_idempotent"})
 	e := w.startEntry("a").waitReady()
 	for _, k := range w.workers {
-		k.Work(600 * time.Millisecond)
+		k.SetServiceTime(600 * time.Millisecond)
 	}
 	answered := make(chan callResult, 1)
 	go func() { answered <- e.callWith(t.Context(), "running", "POST", "/a/x", "veil") }()
@@ -74,7 +74,7 @@
 			t.Parallel()
 			w := newWorld(t, tt.route)
 			e := w.startEntry("a").waitReady()
-			w.workers[0].Fail(func(*http.Request) worker.Fault { return worker.Fault{Mute: true} })
+			w.workers[0].SetFaults(func(*http.Request) worker.Fault { return worker.Fault{NoResponse: true} })
 			answers := make(chan callResult, 1)
 			go func() { answers <- e.callWith(context.Background(), "q-held", "POST", "/a/x", "b") }()
 			w.waitFor("it is at its target", func() bool { return w.runs("q-held") == 1 })
--- a/internal/gateway/writers_test.go
+++ b/internal/gateway/writers_test.go
@@ -31,7 +31,7 @@
 				w.c.Assert(e.call("POST", "/a/"+fmt.Sprint(n), "body").status, qt.Equals, http.StatusOK)
 			}
 			for _, k := range w.workers {
-				k.Fail(func(*http.Request) worker.Fault { return worker.Fault{Lose: true} })
+				k.SetFaults(func(*http.Request) worker.Fault { return worker.Fault{LoseResponse: true} })
 			}
 			a := e.call("POST", "/a/x", "body")
 			w.c.Assert(a.status, qt.Equals, http.StatusBadGateway)
@@ -94,7 +94,7 @@
 	w := newWorld(t, worldConfig{targets: 1, attempts: 1})
 	e := w.startEntry("a").waitReady()
 	k := w.workers[0]
-	k.Fail(func(r *http.Request) worker.Fault { return worker.Fault{Lose: r.URL.Path == "/a/poison"} })
+	k.SetFaults(func(r *http.Request) worker.Fault { return worker.Fault{LoseResponse: r.URL.Path == "/a/poison"} })
 	for range crashLimit {
 		e.call("GET", "/a/poison", "same")
 		w.targetStart++
--- a/internal/lab/capacity/processes_test.go
+++ b/internal/lab/capacity/processes_test.go
@@ -109,7 +109,7 @@
 	_, err = s.Put(context.Background(), "settings", "tree", 0, tree.Encode(d))
 	c.Assert(err, qt.IsNil)
 	for i := range 27 {
-		cfg := target.Config{Name: fmt.Sprintf("worker-%02d", i), Service: fmt.Sprintf("service-%03d", i%7), Slots: 2, Mean: time.Millisecond}
+		cfg := target.Config{Name: fmt.Sprintf("worker-%02d", i), Service: fmt.Sprintf("service-%03d", i%7), Slots: 2, MeanServiceTime: time.Millisecond}
 		w := httptest.NewServer(target.New(cfg))
 		c.Cleanup(w.Close)
 		p.PutVM(platform.VM{
--- a/internal/lab/order/order.go
+++ b/internal/lab/order/order.go
@@ -90,7 +90,7 @@
 	if err := prepare(ctx, s, cfg.Settings, policy); err != nil {
 		return r, err
 	}
-	s.Targets[0].Break(target.Fault{Factor: cfg.Factor})
+	s.Targets[0].SetFault(target.Fault{Factor: cfg.Factor})
 	report, err := load.Run(ctx, load.Config{
 		Entries: s.Callers(), Services: []string{cfg.Service}, Seed: cfg.Seed, Timeout: 10 * time.Second,
 		Requests: cfg.Requests, Rate: cfg.Load * targets * slots / mean.Seconds(),
--- a/internal/settings/api.go
+++ b/internal/settings/api.go
@@ -33,7 +33,7 @@
 }
 
 // EditResult is the result of an edit, or of a diff or application of a proposal.
-type Accepted struct {
+type EditResult struct {
 	ID       string // empty for a diff, and when there was nothing to change
 	Revision uint64
 	Changes  []tree.Change
@@ -41,7 +41,7 @@
 
 // editRequest is an operator's edit. A nil base selects the revision in force at
 // the entry.
-type draft struct {
+type editRequest struct {
 	edit tree.Edit
 	base *uint64
 }
@@ -75,23 +75,23 @@
 
 func (s *Settings) editEndpoint() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		d := request.(draft)
+		d := request.(editRequest)
 		d.edit.Base = s.Document().Revision
 		if d.base != nil {
 			d.edit.Base = *d.base
 		}
-		return s.accept(ctx, d.edit)
+		return s.acceptEdit(ctx, d.edit)
 	}
 }
 
-func (s *Settings) accept(ctx context.Context, e tree.Edit) (any, error) {
+func (s *Settings) acceptEdit(ctx context.Context, e tree.Edit) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, editTimeout)
 	defer cancel()
 	accepted, err := s.Edit(ctx, e)
 	if err != nil {
 		return nil, err
 	}
-	return Accepted{ID: accepted.ID, Revision: accepted.Revision, Changes: accepted.Changes}, nil
+	return EditResult{ID: accepted.ID, Revision: accepted.Revision, Changes: accepted.Changes}, nil
 }
 
 func (s *Settings) diffEndpoint() endpoint.Endpoint {
@@ -102,7 +102,7 @@
 			return nil, err
 		}
 		d := s.Document()
-		return Accepted{Revision: d.Revision, Changes: d.Diff(file)}, nil
+		return EditResult{Revision: d.Revision, Changes: d.Diff(file)}, nil
 	}
 }
 
@@ -119,19 +119,19 @@
 		}
 		d := s.Document()
 		if e, ok := d.Find(p.ID); ok {
-			return Accepted{ID: e.ID, Revision: e.Revision, Changes: e.Changes}, nil
+			return EditResult{ID: e.ID, Revision: e.Revision, Changes: e.Changes}, nil
 		}
 		e := tree.Edit{ID: p.ID, Author: p.Author, Base: d.Revision, Changes: d.Diff(file)}
 		if len(e.Changes) == 0 {
-			return Accepted{Revision: d.Revision}, nil
+			return EditResult{Revision: d.Revision}, nil
 		}
 		if p.Base != nil {
 			e.Base = *p.Base
 		}
-		result, err := s.accept(ctx, e)
+		result, err := s.acceptEdit(ctx, e)
 		var reused *tree.Reused
 		if errors.As(err, &reused) {
-			return Accepted{ID: reused.Edit.ID, Revision: reused.Edit.Revision, Changes: reused.Edit.Changes}, nil
+			return EditResult{ID: reused.Edit.ID, Revision: reused.Edit.Revision, Changes: reused.Edit.Changes}, nil
 		}
 		return result, err
 	}
--- a/internal/settings/client.go
+++ b/internal/settings/client.go
@@ -25,19 +25,19 @@
 // retried edit has the same ID, so it is not applied twice when only its response
 // was lost.
 const (
-	clientAttempts = 3
-	clientPause    = 300 * time.Millisecond
-	clientTimeout  = editTimeout + 2*time.Second
+	clientAttempts   = 3
+	clientRetryDelay = 300 * time.Millisecond
+	clientTimeout    = editTimeout + 2*time.Second
 )
 
 // ResponseError is a response with a status other than 200.
-type Refused struct {
+type ResponseError struct {
 	Status  int // HTTP status
 	Message string
 }
 
 // Error returns the entry's message.
-func (r *Refused) Error() string { return r.Message }
+func (r *ResponseError) Error() string { return r.Message }
 
 // Get returns the values in effect at a node.
 func (c Client) Get(ctx context.Context, path string) (Node, error) {
@@ -66,18 +66,18 @@
 }
 
 // Edit sends an edit. A nil base selects the revision in force at the entry.
-func (c Client) Edit(ctx context.Context, e tree.Edit, base *uint64) (Accepted, error) {
-	j := draftJSON{ID: e.ID, Author: e.Author, Base: base, Changes: changesToJSON(e.Changes)}
+func (c Client) Edit(ctx context.Context, e tree.Edit, base *uint64) (EditResult, error) {
+	j := editRequestJSON{ID: e.ID, Author: e.Author, Base: base, Changes: changesToJSON(e.Changes)}
 	return c.change(ctx, "edit", j)
 }
 
 // Diff returns the changes that a settings file would make.
-func (c Client) Diff(ctx context.Context, p Proposal) (Accepted, error) {
+func (c Client) Diff(ctx context.Context, p Proposal) (EditResult, error) {
 	return c.change(ctx, "diff", proposalToJSON(p))
 }
 
 // Apply changes the whole tree to the state that a settings file describes.
-func (c Client) Apply(ctx context.Context, p Proposal) (Accepted, error) {
+func (c Client) Apply(ctx context.Context, p Proposal) (EditResult, error) {
 	return c.change(ctx, "apply", proposalToJSON(p))
 }
 
@@ -85,10 +85,10 @@
 	return proposalJSON{ID: p.ID, Author: p.Author, Base: p.Base, File: p.File, Text: string(p.Text)}
 }
 
-func (c Client) change(ctx context.Context, name string, body any) (Accepted, error) {
-	var j acceptedJSON
+func (c Client) change(ctx context.Context, name string, body any) (EditResult, error) {
+	var j editResultJSON
 	err := c.call(ctx, http.MethodPost, name, body, &j)
-	return Accepted{ID: j.ID, Revision: j.Revision, Changes: changesFromJSON(j.Changes)}, err
+	return EditResult{ID: j.ID, Revision: j.Revision, Changes: changesFromJSON(j.Changes)}, err
 }
 
 func (c Client) call(ctx context.Context, method, name string, body, into any) (err error) {
@@ -100,23 +100,23 @@
 		}
 	}
 	for n := 1; ; n++ {
-		err = c.once(ctx, method, name, payload, into)
-		if n == clientAttempts || !again(err) || wait(ctx, clientPause) != nil {
+		err = c.attempt(ctx, method, name, payload, into)
+		if n == clientAttempts || !shouldRetry(err) || wait(ctx, clientRetryDelay) != nil {
 			return err
 		}
 	}
 }
 
 // shouldRetry reports whether a call that failed with err may succeed when retried.
-func again(err error) bool {
-	var r *Refused
+func shouldRetry(err error) bool {
+	var r *ResponseError
 	if errors.As(err, &r) {
 		return r.Status == http.StatusGatewayTimeout
 	}
 	return err != nil
 }
 
-func (c Client) once(ctx context.Context, method, name string, payload []byte, into any) error {
+func (c Client) attempt(ctx context.Context, method, name string, payload []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.Addr+"/v1/settings/"+name, bytes.NewReader(payload))
@@ -135,13 +135,13 @@
 	if w.StatusCode == http.StatusOK {
 		return json.Unmarshal(b, into)
 	}
-	return refused(w.StatusCode, b)
+	return responseError(w.StatusCode, b)
 }
 
-func refused(status int, body []byte) error {
+func responseError(status int, body []byte) error {
 	var j errorJSON
 	if json.Unmarshal(body, &j) != nil || j.Error == "" {
 		j.Error = fmt.Sprintf("found status %d, expected 200: %.200s", status, body)
 	}
-	return &Refused{Status: status, Message: j.Error}
+	return &ResponseError{Status: status, Message: j.Error}
 }
--- a/internal/settings/contract_test.go
+++ b/internal/settings/contract_test.go
@@ -15,7 +15,7 @@
 	"plumpitch.example/plumpitch/internal/store"
 )
 
-func realStore(q *qt.C) settings.Store {
+func newClientStore(q *qt.C) settings.Store {
 	p := httptest.NewServer(platform.New(platform.Config{}))
 	q.Cleanup(func() {
 		p.CloseClientConnections()
@@ -25,8 +25,8 @@
 	return store.New(store.Config{Addr: p.URL, Reads: unlimited, Writes: unlimited})
 }
 
-func doubledStore(*qt.C) settings.Store {
-	return &view{fakeStore: &fakeStore{}}
+func newFakeStore(*qt.C) settings.Store {
+	return &entryStore{fakeStore: &fakeStore{}}
 }
 
 // TestStoreContract checks that store.Client and the fake store of these tests
@@ -35,7 +35,7 @@
 	for _, c := range []struct {
 		name string
 		open func(q *qt.C) settings.Store
-	}{{"client", realStore}, {"fake", doubledStore}} {
+	}{{"client", newClientStore}, {"fake", newFakeStore}} {
 		t.Run(c.name, func(t *testing.T) {
 			q := qt.New(t)
 			s := c.open(q)
@@ -45,7 +45,7 @@
 			go func() {
 				_ = s.Follow(ctx, store.Follow{
 					Kind: "k", Name: "n", Poll: 10 * time.Millisecond,
-					Took: func(o store.Object) { followed <- o },
+					OnChange: func(o store.Object) { followed <- o },
 				})
 			}()
 			_, err := s.Get(ctx, "k", "n")
@@ -73,7 +73,7 @@
 			cancelNow()
 			_, err = s.Get(canceled, "k", "n")
 			q.Assert(store.IsUnavailable(err), qt.IsTrue, qt.Commentf("%v", err))
-			q.Assert(s.Follow(canceled, store.Follow{Kind: "k", Name: "n", Took: func(store.Object) {}}), qt.ErrorIs, context.Canceled)
+			q.Assert(s.Follow(canceled, store.Follow{Kind: "k", Name: "n", OnChange: func(store.Object) {}}), qt.ErrorIs, context.Canceled)
 		})
 	}
 }
--- a/internal/settings/edit.go
+++ b/internal/settings/edit.go
@@ -36,44 +36,44 @@
 }
 
 // TooLarge is returned when a document exceeds MaxSize.
-type TooLong struct {
+type TooLarge struct {
 	Size int // bytes
 }
 
 // Error returns a message with both sizes.
-func (t *TooLong) Error() string {
+func (t *TooLarge) Error() string {
 	return fmt.Sprintf("settings document: found %d bytes, expected at most %d", t.Size, MaxSize)
 }
 
 // editRetryDelay is the upper bound of the delay between attempts of an edit; the
 // lower bound is half of it.
-const editPause = 200 * time.Millisecond
+const editRetryDelay = 200 * time.Millisecond
 
 // Edit writes an edit to the store and brings it into force at this entry. The
 // errors are those of tree.Document.Apply, and *Uncertain, *Corrupt, *TooLarge and
 // *store.Unavailable. Only *Uncertain leaves it unknown whether the edit was accepted.
 func (s *Settings) Edit(ctx context.Context, e tree.Edit) (accepted tree.Edit, err error) {
 	select {
-	case s.editing <- struct{}{}:
-		defer func() { <-s.editing }()
+	case s.editSlot <- struct{}{}:
+		defer func() { <-s.editSlot }()
 	case <-ctx.Done():
-		return tree.Edit{}, &store.Unavailable{Cause: ctx.Err(), Untouched: true}
+		return tree.Edit{}, &store.Unavailable{Cause: ctx.Err(), NotSent: true}
 	}
-	a := attempt{settings: s, edit: e}
+	a := pendingEdit{settings: s, edit: e}
 	for {
-		accepted, err = a.once(ctx)
-		if err == nil || decided(err) {
+		accepted, err = a.tryOnce(ctx)
+		if err == nil || rejected(err) {
 			return accepted, err
 		}
-		if !retriable(err) || s.cfg.Wait(ctx, s.between(editPause)) != nil {
-			return tree.Edit{}, a.giveUp(err)
+		if !retriable(err) || s.cfg.Wait(ctx, s.jitter(editRetryDelay)) != nil {
+			return tree.Edit{}, a.finalError(err)
 		}
 	}
 }
 
 // rejected reports whether err means that the document rejects the edit, so that no
 // earlier write of it can still take effect.
-func decided(err error) bool {
+func rejected(err error) bool {
 	return errors.As(err, new(*tree.Conflict)) || errors.As(err, new(*tree.Stale)) ||
 		errors.As(err, new(*tree.Ahead)) || errors.As(err, new(*tree.Reused)) ||
 		errors.As(err, new(*tree.Dropped)) || errors.As(err, new(tree.Problems))
@@ -85,10 +85,10 @@
 }
 
 // pendingEdit is an edit that is being written to the store.
-type attempt struct {
-	settings *Settings
-	edit     tree.Edit
-	open     bool // a write with an unknown outcome was sent
+type pendingEdit struct {
+	settings       *Settings
+	edit           tree.Edit
+	outcomeUnknown bool // a write with an unknown outcome was sent
 }
 
 // tryOnce reads the store, applies the edit to the newest document and writes the
@@ -100,7 +100,7 @@
 // accepted, its ID is in the document's log. If the ID is missing, the earlier
 // write can still take effect only on the version that the next write expects, so
 // at most one of the two writes succeeds.
-func (a *attempt) once(ctx context.Context) (accepted tree.Edit, err error) {
+func (a *pendingEdit) tryOnce(ctx context.Context) (accepted tree.Edit, err error) {
 	s := a.settings
 	o, d, verdict, err := s.read(ctx)
 	if err != nil {
@@ -108,7 +108,7 @@
 	}
 	base := *s.Document()
 	if verdict == tree.Diverged {
-		base = s.join(d, base)
+		base = s.joinHistories(d, base)
 	}
 	next, accepted, err := base.Apply(a.edit, s.cfg.Now())
 	if err != nil || next.Revision == base.Revision && verdict != tree.Diverged {
@@ -116,26 +116,26 @@
 	}
 	value := tree.Encode(next)
 	if len(value) > MaxSize {
-		return tree.Edit{}, &TooLong{Size: len(value)}
+		return tree.Edit{}, &TooLarge{Size: len(value)}
 	}
 	if _, err = s.cfg.Store.Put(ctx, Kind, Name, o.Version, value); err != nil {
-		a.note(err)
+		a.noteFailedWrite(err)
 		return tree.Edit{}, err
 	}
-	_, _ = s.arrive(ctx, next, true) // if ctx is done, the watch delivers the document
+	_, _ = s.submit(ctx, next, true) // if ctx is done, the watch delivers the document
 	return accepted, nil
 }
 
 // noteFailedWrite sets outcomeUnknown if the failed write may have taken effect.
-func (a *attempt) note(err error) {
+func (a *pendingEdit) noteFailedWrite(err error) {
 	var u *store.Unavailable
-	if errors.As(err, &u) && !u.Untouched {
-		a.open = true
+	if errors.As(err, &u) && !u.NotSent {
+		a.outcomeUnknown = true
 	}
 }
 
-func (a *attempt) giveUp(err error) error {
-	if a.open {
+func (a *pendingEdit) finalError(err error) error {
+	if a.outcomeUnknown {
 		return &Uncertain{ID: a.edit.ID, Cause: err}
 	}
 	return err
--- a/internal/settings/heal.go
+++ b/internal/settings/heal.go
@@ -12,8 +12,8 @@
 
 // Bounds of the delay before a repair of the store. It doubles with each failure.
 const (
-	firstHeal = 2 * time.Second
-	lastHeal  = time.Minute
+	minRepairDelay = 2 * time.Second
+	maxRepairDelay = time.Minute
 )
 
 // repairStore writes the newest accepted document back to a store that was restored
@@ -23,18 +23,18 @@
 // All entries detect this at the same time. Each waits for a random delay, and the
 // write is conditional, so the first entry repairs the store and the others receive
 // its write from their watches.
-func (s *Settings) heal(ctx context.Context) error {
+func (s *Settings) repairStore(ctx context.Context) error {
 	for {
 		select {
-		case <-s.healing:
+		case <-s.repairNeeded:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		for delay := firstHeal; ; delay = min(2*delay, lastHeal) {
-			if err := s.cfg.Wait(ctx, s.between(delay)); err != nil {
+		for delay := minRepairDelay; ; delay = min(2*delay, maxRepairDelay) {
+			if err := s.cfg.Wait(ctx, s.jitter(delay)); err != nil {
 				return err
 			}
-			err := s.rewrite(ctx)
+			err := s.repairOnce(ctx)
 			if err == nil {
 				break
 			}
@@ -45,7 +45,7 @@
 
 // repairOnce writes the document in force to the store, unless the store's document
 // is the same or newer. It merges the two if their histories diverged.
-func (s *Settings) rewrite(ctx context.Context) (err error) {
+func (s *Settings) repairOnce(ctx context.Context) (err error) {
 	defer func() { err = errors.WithMessage(err, "heal") }()
 	o, d, verdict, err := s.read(ctx)
 	if err != nil || verdict != tree.Older && verdict != tree.Diverged {
@@ -53,18 +53,18 @@
 	}
 	next := *s.Document()
 	if verdict == tree.Diverged {
-		next = s.join(d, next)
+		next = s.joinHistories(d, next)
 	}
 	if _, err = s.cfg.Store.Put(ctx, Kind, Name, o.Version, tree.Encode(next)); err != nil {
 		return err
 	}
-	_, err = s.arrive(ctx, next, true)
+	_, err = s.submit(ctx, next, true)
 	return err
 }
 
 // joinHistories merges two diverged histories, that of the store and the one in
 // force. It logs each accepted edit that conflicts with another one and is dropped.
-func (s *Settings) join(stored, inForce tree.Document) tree.Document {
+func (s *Settings) joinHistories(stored, inForce tree.Document) tree.Document {
 	if stored.Revision < inForce.Revision {
 		stored, inForce = inForce, stored
 	}
@@ -90,9 +90,9 @@
 	if err != nil {
 		return o, d, v, err
 	}
-	if d, err = decode(o); err != nil {
+	if d, err = decodeStored(o); err != nil {
 		return o, d, v, &Corrupt{Version: o.Version, Cause: err}
 	}
-	v, err = s.arrive(ctx, d, true)
+	v, err = s.submit(ctx, d, true)
 	return o, d, v, err
 }
--- a/internal/settings/http.go
+++ b/internal/settings/http.go
@@ -37,9 +37,9 @@
 	m.Handle("GET /v1/settings/get", call(s.getEndpoint(), decodePath, encodeNode))
 	m.Handle("GET /v1/settings/document", call(s.documentEndpoint(), decodeNothing, encodeDocument))
 	m.Handle("GET /v1/settings/history", call(s.historyEndpoint(), decodeCount, encodeHistory))
-	m.Handle("POST /v1/settings/edit", call(s.editEndpoint(), decodeDraft, encodeAccepted))
-	m.Handle("POST /v1/settings/diff", call(s.diffEndpoint(), decodeProposal, encodeAccepted))
-	m.Handle("POST /v1/settings/apply", call(s.applyEndpoint(), decodeProposal, encodeAccepted))
+	m.Handle("POST /v1/settings/edit", call(s.editEndpoint(), decodeEditRequest, encodeEditResult))
+	m.Handle("POST /v1/settings/diff", call(s.diffEndpoint(), decodeProposal, encodeEditResult))
+	m.Handle("POST /v1/settings/apply", call(s.applyEndpoint(), decodeProposal, encodeEditResult))
 	return m
 }
 
@@ -73,13 +73,13 @@
 	return n, nil
 }
 
-func decodeDraft(_ context.Context, r *http.Request) (any, error) {
-	var j draftJSON
+func decodeEditRequest(_ context.Context, r *http.Request) (any, error) {
+	var j editRequestJSON
 	if err := decodeBody(r, &j); err != nil {
 		return nil, err
 	}
 	e := tree.Edit{ID: j.ID, Author: j.Author, Changes: changesFromJSON(j.Changes)}
-	return draft{edit: e, base: j.Base}, nil
+	return editRequest{edit: e, base: j.Base}, nil
 }
 
 func decodeProposal(_ context.Context, r *http.Request) (any, error) {
@@ -113,9 +113,9 @@
 	return kithttp.EncodeJSONResponse(ctx, w, historyToJSON(v.([]tree.Edit)))
 }
 
-func encodeAccepted(ctx context.Context, w http.ResponseWriter, v any) error {
-	a := v.(Accepted)
-	j := acceptedJSON{ID: a.ID, Revision: a.Revision, Changes: changesToJSON(a.Changes)}
+func encodeEditResult(ctx context.Context, w http.ResponseWriter, v any) error {
+	a := v.(EditResult)
+	j := editResultJSON{ID: a.ID, Revision: a.Revision, Changes: changesToJSON(a.Changes)}
 	return kithttp.EncodeJSONResponse(ctx, w, j)
 }
 
@@ -131,9 +131,9 @@
 		return http.StatusBadRequest
 	case errors.Is(err, tree.ErrNoNode):
 		return http.StatusNotFound
-	case errors.As(err, new(tree.Problems)), errors.As(err, new(*TooLong)):
+	case errors.As(err, new(tree.Problems)), errors.As(err, new(*TooLarge)):
 		return http.StatusUnprocessableEntity
-	case decided(err):
+	case rejected(err):
 		return http.StatusConflict
 	case errors.As(err, new(*Uncertain)):
 		return http.StatusGatewayTimeout
--- a/internal/settings/http_test.go
+++ b/internal/settings/http_test.go
@@ -14,15 +14,15 @@
 )
 
 // operator serves the operators' API of the first entry and returns a client of it.
-func (w *world) operator() settings.Client {
+func (w *testSite) operator() settings.Client {
 	srv := httptest.NewServer(settings.Handler(w.entries[0].Settings))
 	w.q.Cleanup(srv.Close)
 	return settings.Client{Addr: srv.Listener.Addr().String()}
 }
 
-func TestOperatorsCalls(t *testing.T) {
+func TestOperatorRequests(t *testing.T) {
 	q := qt.New(t)
-	w := newWorld(q, 1)
+	w := newTestSite(q, 1)
 	c := w.operator()
 	text, err := os.ReadFile("../../examples/swanbourne.json")
 	q.Assert(err, qt.IsNil)
@@ -66,11 +66,11 @@
 	q.Assert(d.Revision, qt.Equals, uint64(2))
 }
 
-func TestOperatorsErrors(t *testing.T) {
+func TestOperatorErrors(t *testing.T) {
 	q := qt.New(t)
-	w := newWorld(q, 1)
+	w := newTestSite(q, 1)
 	w.seed()
-	w.accept(0, "first", 1, 2)
+	w.mustAccept(0, "first", 1, 2)
 	c := w.operator()
 	one := uint64(1)
 	edit := func(changes ...tree.Change) func() error {
@@ -97,7 +97,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			err := row.call()
-			var r *settings.Refused
+			var r *settings.ResponseError
 			qt.Assert(t, errors.As(err, &r), qt.IsTrue, qt.Commentf("%v", err))
 			qt.Check(t, r.Status, qt.Equals, row.status)
 			qt.Check(t, err, qt.ErrorMatches, row.want)
--- a/internal/settings/own.go
+++ b/internal/settings/own.go
@@ -14,7 +14,7 @@
 
 // processInbox applies messages to the document until ctx is done. The document is
 // kept when a supervisor restarts the worker.
-func (s *Settings) own(ctx context.Context) error {
+func (s *Settings) processInbox(ctx context.Context) error {
 	for {
 		select {
 		case m := <-s.inbox:
@@ -25,7 +25,7 @@
 	}
 }
 
-func (s *Settings) tell(ctx context.Context, m message) error {
+func (s *Settings) enqueue(ctx context.Context, m message) error {
 	select {
 	case s.inbox <- m:
 		return nil
@@ -36,26 +36,26 @@
 
 // documentMessage is a decoded document from the store or a peer. The merge verdict
 // is sent to done.
-type arrival struct {
-	document tree.Document
-	stored   bool // the document was read from the store or written to it
-	done     chan tree.Verdict
+type documentMessage struct {
+	document  tree.Document
+	fromStore bool // the document was read from the store or written to it
+	done      chan tree.Verdict
 }
 
-func (m arrival) apply(s *Settings) {
-	verdict := s.take(m.document)
-	if verdict == tree.Diverged || m.stored && verdict == tree.Older {
-		notify(s.healing)
+func (m documentMessage) apply(s *Settings) {
+	verdict := s.merge(m.document)
+	if verdict == tree.Diverged || m.fromStore && verdict == tree.Older {
+		notify(s.repairNeeded)
 	}
 	m.done <- verdict
 }
 
 // merge brings a document into force if it is newer than the current one.
-func (s *Settings) take(d tree.Document) tree.Verdict {
+func (s *Settings) merge(d tree.Document) tree.Verdict {
 	next, verdict := tree.Merge(*s.Document(), d)
 	switch verdict {
 	case tree.Taken:
-		s.force.Store(&next)
+		s.current.Store(&next)
 		notify(s.changed)
 	case tree.Diverged:
 		s.cfg.Log.WithField("force", s.Document().Revision).WithField("found", d.Revision).
@@ -66,9 +66,9 @@
 
 // submit sends a document to the goroutine that owns the current one, and waits for
 // the merge verdict.
-func (s *Settings) arrive(ctx context.Context, d tree.Document, fromStore bool) (tree.Verdict, error) {
-	m := arrival{document: d, stored: fromStore, done: make(chan tree.Verdict, 1)}
-	if err := s.tell(ctx, m); err != nil {
+func (s *Settings) submit(ctx context.Context, d tree.Document, fromStore bool) (tree.Verdict, error) {
+	m := documentMessage{document: d, fromStore: fromStore, done: make(chan tree.Verdict, 1)}
+	if err := s.enqueue(ctx, m); err != nil {
 		return tree.Same, err
 	}
 	select {
@@ -80,15 +80,15 @@
 }
 
 // editsMessage contains edits that a peer sent. The error is sent to done.
-type replayed struct {
+type editsMessage struct {
 	edits []tree.Edit
 	done  chan error
 }
 
-func (m replayed) apply(s *Settings) {
+func (m editsMessage) apply(s *Settings) {
 	next, err := s.Document().Replay(m.edits)
 	if err == nil && next.Revision > s.Document().Revision {
-		s.force.Store(&next)
+		s.current.Store(&next)
 		notify(s.changed)
 	}
 	m.done <- err
--- a/internal/settings/peer.go
+++ b/internal/settings/peer.go
@@ -39,17 +39,17 @@
 // ApplyChange merges a change received from a peer. It returns tree.ErrGap if the
 // edits don't continue the document in force; the caller then has to request the
 // changes since revision 0.
-func (s *Settings) Offer(ctx context.Context, c Change) (err error) {
+func (s *Settings) ApplyChange(ctx context.Context, c Change) (err error) {
 	defer func() { err = errors.WithMessagef(err, "settings of a peer, revision %d", c.Revision) }()
 	if len(c.Document) > 0 {
 		d, err := tree.Decode(c.Document)
 		if err != nil {
 			return err
 		}
-		_, err = s.arrive(ctx, d, false)
+		_, err = s.submit(ctx, d, false)
 		return err
 	}
-	m := replayed{done: make(chan error, 1)}
+	m := editsMessage{done: make(chan error, 1)}
 	for _, b := range c.Edits {
 		e, err := tree.DecodeEdit(b)
 		if err != nil {
@@ -57,7 +57,7 @@
 		}
 		m.edits = append(m.edits, e)
 	}
-	if err := s.tell(ctx, m); err != nil {
+	if err := s.enqueue(ctx, m); err != nil {
 		return err
 	}
 	select {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -57,13 +57,13 @@
 
 // Settings is the settings document of one entry, with the workers that update it.
 type Settings struct {
-	cfg     Config
-	force   atomic.Pointer[tree.Document]
-	inbox   chan message
-	changed chan struct{}
-	healing chan struct{}
-	editing chan struct{}
-	mu      sync.Mutex // guards cfg.Rand
+	cfg          Config
+	current      atomic.Pointer[tree.Document]
+	inbox        chan message
+	changed      chan struct{}
+	repairNeeded chan struct{}
+	editSlot     chan struct{}
+	mu           sync.Mutex // guards cfg.Rand
 }
 
 // New returns Settings with the empty document in force.
@@ -81,20 +81,20 @@
 		cfg.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	s := &Settings{
-		cfg:     cfg,
-		inbox:   make(chan message),
-		changed: make(chan struct{}, 1),
-		healing: make(chan struct{}, 1),
-		editing: make(chan struct{}, 1),
+		cfg:          cfg,
+		inbox:        make(chan message),
+		changed:      make(chan struct{}, 1),
+		repairNeeded: make(chan struct{}, 1),
+		editSlot:     make(chan struct{}, 1),
 	}
 	empty := tree.New()
-	s.force.Store(&empty)
+	s.current.Store(&empty)
 	return s
 }
 
 // Document returns the document in force. The caller must not modify it.
 func (s *Settings) Document() *tree.Document {
-	return s.force.Load()
+	return s.current.Load()
 }
 
 // Changed returns a channel that receives a value after the document in force has
@@ -118,18 +118,18 @@
 // Workers returns the workers of Settings. All of them must run.
 func (s *Settings) Workers() []*Worker {
 	workers := []*Worker{
-		{"settings", s.own},
-		{"settings follow", s.follow},
-		{"settings heal", s.heal},
+		{"settings", s.processInbox},
+		{"settings follow", s.followStore},
+		{"settings heal", s.repairStore},
 	}
 	if s.cfg.Peers != nil {
-		workers = append(workers, &Worker{"settings boot", s.boot})
+		workers = append(workers, &Worker{"settings boot", s.bootstrap})
 	}
 	return workers
 }
 
 // jitter returns a random delay between d/2 and d.
-func (s *Settings) between(d time.Duration) time.Duration {
+func (s *Settings) jitter(d time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return d/2 + time.Duration(s.cfg.Rand.Int64N(int64(d/2)+1))
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,108 +20,108 @@
 func TestEditUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		run  func(w *world)
+		run  func(w *testSite)
 	}{
-		{"none", func(w *world) {
-			w.accept(0, "e", 1, 2)
-			w.inForce(2, "e")
+		{"none", func(w *testSite) {
+			w.mustAccept(0, "e", 1, 2)
+			w.waitInForce(2, "e")
 		}},
-		{"store down right after acceptance", func(w *world) {
-			w.store.set(func(f *fakeStore) { f.downAfter = f.writes + 1 })
-			w.accept(1, "e", 1, 2)
-			w.inForce(2, "e")
+		{"store down right after acceptance", func(w *testSite) {
+			w.store.set(func(f *fakeStore) { f.downAfterWrites = f.writes + 1 })
+			w.mustAccept(1, "e", 1, 2)
+			w.waitInForce(2, "e")
 		}},
-		{"response lost", func(w *world) {
-			w.store.set(func(f *fakeStore) { f.lose = 1 })
-			w.accept(0, "e", 1, 2)
-			w.accept(2, "e", 1, 2)
-			w.inForce(2, "e")
+		{"response lost", func(w *testSite) {
+			w.store.set(func(f *fakeStore) { f.lostResponses = 1 })
+			w.mustAccept(0, "e", 1, 2)
+			w.mustAccept(2, "e", 1, 2)
+			w.waitInForce(2, "e")
 		}},
-		{"response lost, then stale reads for a while", func(w *world) {
-			w.store.set(func(f *fakeStore) { f.lose, f.staleAfter = 1, true })
+		{"response lost, then stale reads for a while", func(w *testSite) {
+			w.store.set(func(f *fakeStore) { f.lostResponses, f.staleAfterWrite = 1, true })
 			_, err := w.edit(0, "e", 1, set("/g/s", "slots", "3"))
 			w.q.Assert(errors.As(err, new(*settings.Uncertain)), qt.IsTrue, qt.Commentf("%v", err))
-			w.store.set(func(f *fakeStore) { f.stale = 0 })
-			w.accept(0, "e", 1, 2)
-			w.inForce(2, "e")
+			w.store.set(func(f *fakeStore) { f.staleWrites = 0 })
+			w.mustAccept(0, "e", 1, 2)
+			w.waitInForce(2, "e")
 		}},
-		{"store comes back older", func(w *world) {
-			w.accept(0, "e", 1, 2)
-			w.inForce(2, "e")
+		{"store comes back older", func(w *testSite) {
+			w.mustAccept(0, "e", 1, 2)
+			w.waitInForce(2, "e")
 			w.store.rollback(1)
-			w.until("repair of the store", func() bool { return w.stored().Revision == 2 })
-			w.inForce(2, "e")
+			w.waitUntil("repair of the store", func() bool { return w.storedDocument().Revision == 2 })
+			w.waitInForce(2, "e")
 		}},
-		{"store comes back empty", func(w *world) {
-			w.accept(0, "e", 1, 2)
-			w.inForce(2, "e")
+		{"store comes back empty", func(w *testSite) {
+			w.mustAccept(0, "e", 1, 2)
+			w.waitInForce(2, "e")
 			w.store.rollback(2)
-			w.until("repair of the store", func() bool { return w.stored().Revision == 2 })
-			w.inForce(2, "e")
+			w.waitUntil("repair of the store", func() bool { return w.storedDocument().Revision == 2 })
+			w.waitInForce(2, "e")
 		}},
-		{"older store accepts an edit from an entry that was isolated", func(w *world) {
-			w.entries[2].cut.Store(true)
-			w.entries[2].view.off.Store(true)
-			w.accept(0, "e", 1, 2)
-			w.until("the others", func() bool { return w.entries[1].Document().Revision == 2 })
-			w.entries[0].view.off.Store(true)
-			w.entries[1].view.off.Store(true)
+		{"older store accepts an edit from an entry that was isolated", func(w *testSite) {
+			w.entries[2].isolated.Store(true)
+			w.entries[2].store.unreachable.Store(true)
+			w.mustAccept(0, "e", 1, 2)
+			w.waitUntil("the others", func() bool { return w.entries[1].Document().Revision == 2 })
+			w.entries[0].store.unreachable.Store(true)
+			w.entries[1].store.unreachable.Store(true)
 			w.store.rollback(1)
-			w.entries[2].view.off.Store(false)
+			w.entries[2].store.unreachable.Store(false)
 			_, err := w.edit(2, "f", 1, set("/g/s", "queue", "7"))
 			w.q.Assert(err, qt.IsNil)
 			for _, e := range w.entries {
-				e.cut.Store(false)
-				e.view.off.Store(false)
+				e.isolated.Store(false)
+				e.store.unreachable.Store(false)
 			}
-			w.inForce(3, "e", "f")
+			w.waitInForce(3, "e", "f")
 		}},
-		{"entry boots during an outage", func(w *world) {
-			w.accept(0, "e", 1, 2)
-			w.inForce(2, "e")
+		{"entry boots during an outage", func(w *testSite) {
+			w.mustAccept(0, "e", 1, 2)
+			w.waitInForce(2, "e")
 			w.store.set(func(f *fakeStore) { f.down = true })
-			w.mute.Store(true)
-			w.boot()
-			w.inForce(2, "e")
+			w.gossipOff.Store(true)
+			w.startEntry()
+			w.waitInForce(2, "e")
 		}},
-		{"entry boots on an older store", func(w *world) {
-			w.accept(0, "e", 1, 2)
-			w.inForce(2, "e")
-			w.store.set(func(f *fakeStore) { f.stale = 1 })
-			w.boot()
-			w.inForce(2, "e")
+		{"entry boots on an older store", func(w *testSite) {
+			w.mustAccept(0, "e", 1, 2)
+			w.waitInForce(2, "e")
+			w.store.set(func(f *fakeStore) { f.staleWrites = 1 })
+			w.startEntry()
+			w.waitInForce(2, "e")
 		}},
-		{"entry isolated for a while", func(w *world) {
-			w.entries[2].cut.Store(true)
-			w.store.set(func(f *fakeStore) { f.downAfter = f.writes + 1 })
-			w.accept(0, "e", 1, 2)
-			w.until("the others", func() bool { return w.entries[1].Document().Revision == 2 })
+		{"entry isolated for a while", func(w *testSite) {
+			w.entries[2].isolated.Store(true)
+			w.store.set(func(f *fakeStore) { f.downAfterWrites = f.writes + 1 })
+			w.mustAccept(0, "e", 1, 2)
+			w.waitUntil("the others", func() bool { return w.entries[1].Document().Revision == 2 })
 			w.q.Assert(w.entries[2].Document().Revision, qt.Equals, uint64(1))
-			w.entries[2].cut.Store(false)
-			w.inForce(2, "e")
+			w.entries[2].isolated.Store(false)
+			w.waitInForce(2, "e")
 		}},
-		{"silent watch and no peers", func(w *world) {
+		{"silent watch and no peers", func(w *testSite) {
 			for _, e := range w.entries {
-				e.cut.Store(true)
+				e.isolated.Store(true)
 			}
-			w.store.set(func(f *fakeStore) { f.silent = true })
-			w.accept(0, "e", 1, 2)
-			w.inForce(2, "e")
+			w.store.set(func(f *fakeStore) { f.silentWatch = true })
+			w.mustAccept(0, "e", 1, 2)
+			w.waitInForce(2, "e")
 		}},
-		{"corrupt value", func(w *world) {
+		{"corrupt value", func(w *testSite) {
 			w.store.set(func(f *fakeStore) {
 				f.history = append(f.history, store.Object{Version: 2, Value: []byte(`{"revision": 9}`)})
 			})
 			_, err := w.edit(0, "e", 1, set("/g/s", "slots", "3"))
 			w.q.Assert(errors.As(err, new(*settings.Corrupt)), qt.IsTrue, qt.Commentf("%v", err))
-			w.inForce(1, "seed")
+			w.waitInForce(1, "seed")
 			w.store.rollback(1)
-			w.accept(0, "e", 1, 2)
-			w.inForce(2, "e")
+			w.mustAccept(0, "e", 1, 2)
+			w.waitInForce(2, "e")
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(qt.New(t), 3)
+			w := newTestSite(qt.New(t), 3)
 			w.seed()
 			c.run(w)
 		})
@@ -130,7 +130,7 @@
 
 // Two operators send edits with the same base to two entries. One edit must be
 // accepted, and the other must get a conflict that contains both edits.
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentEdits(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		first  tree.Change
@@ -141,7 +141,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := qt.New(t)
-			w := newWorld(q, 2)
+			w := newTestSite(q, 2)
 			w.seed()
 			_, err := w.edit(0, "one", 1, c.first)
 			q.Assert(err, qt.IsNil)
@@ -150,12 +150,12 @@
 			q.Assert(errors.As(err, &conflict), qt.IsTrue, qt.Commentf("%v", err))
 			q.Assert(conflict.Theirs.Author, qt.Equals, "op-one")
 			q.Assert(conflict.Mine.ID, qt.Equals, "two")
-			w.inForce(2, "one")
+			w.waitInForce(2, "one")
 		})
 	}
 	t.Run("at once", func(t *testing.T) {
 		q := qt.New(t)
-		w := newWorld(q, 2)
+		w := newTestSite(q, 2)
 		w.seed()
 		errs := make(chan error, 2)
 		for i, id := range []string{"one", "two"} {
@@ -166,7 +166,7 @@
 		}
 		a, b := <-errs, <-errs
 		q.Assert((a == nil) != (b == nil), qt.IsTrue, qt.Commentf("%v, %v", a, b))
-		w.inForce(2)
+		w.waitInForce(2)
 	})
 }
 
@@ -175,42 +175,42 @@
 // outcome must be reported as unknown until the same edit is sent again.
 func TestEditDuringOutage(t *testing.T) {
 	q := qt.New(t)
-	w := newWorld(q, 2)
+	w := newTestSite(q, 2)
 	w.seed()
 	w.store.set(func(f *fakeStore) { f.down = true })
 	_, err := w.edit(0, "never", 1, set("/g/s", "slots", "3"))
 	q.Assert(errors.As(err, new(*settings.Uncertain)), qt.IsFalse, qt.Commentf("%v", err))
 	q.Assert(store.IsUnavailable(err), qt.IsTrue, qt.Commentf("%v", err))
-	w.store.set(func(f *fakeStore) { f.down, f.lose, f.downAfter = false, 1, f.writes+1 })
+	w.store.set(func(f *fakeStore) { f.down, f.lostResponses, f.downAfterWrites = false, 1, f.writes+1 })
 	_, err = w.edit(0, "open", 1, set("/g/s", "slots", "3"))
 	q.Assert(errors.As(err, new(*settings.Uncertain)), qt.IsTrue, qt.Commentf("%v", err))
-	w.store.set(func(f *fakeStore) { f.down, f.downAfter = false, 0 })
-	w.accept(1, "open", 1, 2)
-	w.inForce(2, "open")
+	w.store.set(func(f *fakeStore) { f.down, f.downAfterWrites = false, 0 })
+	w.mustAccept(1, "open", 1, 2)
+	w.waitInForce(2, "open")
 }
 
 // Eight entries see a store that was restored with older data. The repairs are
 // delayed at random and their writes are conditional, so exactly one entry must
 // write.
-func TestOneEntryHeals(t *testing.T) {
+func TestOneEntryRepairsStore(t *testing.T) {
 	q := qt.New(t)
-	w := newWorld(q, 8)
+	w := newTestSite(q, 8)
 	w.seed()
-	w.accept(0, "e", 1, 2)
-	w.inForce(2, "e")
+	w.mustAccept(0, "e", 1, 2)
+	w.waitInForce(2, "e")
 	w.store.rollback(1)
-	w.until("repair of the store", func() bool { return w.stored().Revision == 2 })
+	w.waitUntil("repair of the store", func() bool { return w.storedDocument().Revision == 2 })
 	w.store.set(func(f *fakeStore) { q.Check(f.writes, qt.Equals, 3) })
 }
 
-func TestTooLong(t *testing.T) {
+func TestDocumentTooLarge(t *testing.T) {
 	q := qt.New(t)
-	w := newWorld(q, 1)
+	w := newTestSite(q, 1)
 	w.seed()
 	var changes []tree.Change
 	for i := range 12_000 {
 		changes = append(changes, tree.Change{Op: tree.Create, Path: "/g/service-" + strconv.Itoa(i), Kind: tree.ServiceKind})
 	}
 	_, err := w.edit(0, "long", 1, changes...)
-	q.Assert(errors.As(err, new(*settings.TooLong)), qt.IsTrue, qt.Commentf("%v", err))
+	q.Assert(errors.As(err, new(*settings.TooLarge)), qt.IsTrue, qt.Commentf("%v", err))
 }
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -34,7 +34,7 @@
 	Parent string `json:"parent,omitempty"`
 }
 
-type draftJSON struct {
+type editRequestJSON struct {
 	ID      string       `json:"id"`
 	Author  string       `json:"author"`
 	Base    *uint64      `json:"base,omitempty"`
@@ -49,7 +49,7 @@
 	Text   string  `json:"text"`
 }
 
-type acceptedJSON struct {
+type editResultJSON struct {
 	ID       string       `json:"id"`
 	Revision uint64       `json:"revision"`
 	Changes  []changeJSON `json:"changes"`
--- a/internal/settings/world_test.go
+++ b/internal/settings/world_test.go
@@ -21,22 +21,22 @@
 
 // fakeStore is a fake of the platform's store for one object, with faults.
 type fakeStore struct {
-	mu         sync.Mutex
-	history    []store.Object
-	down       bool
-	downAfter  int // number of writes after which the store goes down; 0 is never
-	lose       int // number of writes whose responses are lost
-	silent     bool
-	stale      int  // number of newest writes that reads don't show
-	staleAfter bool // the next write sets staleWrites to 1
-	writes     int
-	followers  []func(store.Object)
+	mu              sync.Mutex
+	history         []store.Object
+	down            bool
+	downAfterWrites int // number of writes after which the store goes down; 0 is never
+	lostResponses   int // number of writes whose responses are lost
+	silentWatch     bool
+	staleWrites     int  // number of newest writes that reads don't show
+	staleAfterWrite bool // the next write sets staleWrites to 1
+	writes          int
+	followers       []func(store.Object)
 }
 
-var errDown = &store.Unavailable{Cause: errors.New("refused"), Untouched: true}
+var errDown = &store.Unavailable{Cause: errors.New("refused"), NotSent: true}
 
 func (f *fakeStore) current() store.Object {
-	if n := len(f.history) - f.stale; n > 0 {
+	if n := len(f.history) - f.staleWrites; n > 0 {
 		return f.history[n-1]
 	}
 	return store.Object{}
@@ -69,23 +69,23 @@
 	}
 	f.writes++
 	f.history = append(f.history, store.Object{Kind: kind, Name: name, Version: version + 1, Value: value})
-	if f.staleAfter {
-		f.stale, f.staleAfter = 1, false
+	if f.staleAfterWrite {
+		f.staleWrites, f.staleAfterWrite = 1, false
 	}
-	if f.downAfter > 0 && f.writes >= f.downAfter {
-		f.down, f.silent = true, true
+	if f.downAfterWrites > 0 && f.writes >= f.downAfterWrites {
+		f.down, f.silentWatch = true, true
 	}
-	f.tell()
-	if f.lose > 0 {
-		f.lose--
+	f.notifyFollowers()
+	if f.lostResponses > 0 {
+		f.lostResponses--
 		return 0, &store.Unavailable{Cause: errors.New("reset")}
 	}
 	return version + 1, nil
 }
 
 // notifyFollowers delivers the current object to the followers, as the watch does.
-func (f *fakeStore) tell() {
-	if f.silent {
+func (f *fakeStore) notifyFollowers() {
+	if f.silentWatch {
 		return
 	}
 	for _, onChange := range f.followers {
@@ -94,30 +94,30 @@
 }
 
 // entryStore is the store as seen by one entry.
-type view struct {
+type entryStore struct {
 	*fakeStore
-	off atomic.Bool // the entry can't reach the store
+	unreachable atomic.Bool // the entry can't reach the store
 }
 
-func (v *view) Get(ctx context.Context, kind, name string) (store.Object, error) {
-	if v.off.Load() {
+func (v *entryStore) Get(ctx context.Context, kind, name string) (store.Object, error) {
+	if v.unreachable.Load() {
 		return store.Object{}, errDown
 	}
 	return v.fakeStore.Get(ctx, kind, name)
 }
 
-func (v *view) Put(ctx context.Context, kind, name string, expected uint64, value []byte) (uint64, error) {
-	if v.off.Load() {
+func (v *entryStore) Put(ctx context.Context, kind, name string, expected uint64, value []byte) (uint64, error) {
+	if v.unreachable.Load() {
 		return 0, errDown
 	}
 	return v.fakeStore.Put(ctx, kind, name, expected, value)
 }
 
 // Follow polls each millisecond in addition to the watch, unless the store is down.
-func (v *view) Follow(ctx context.Context, w store.Follow) error {
+func (v *entryStore) Follow(ctx context.Context, w store.Follow) error {
 	onChange := func(o store.Object) {
-		if !v.off.Load() {
-			w.Took(o)
+		if !v.unreachable.Load() {
+			w.OnChange(o)
 		}
 	}
 	v.set(func(f *fakeStore) { f.followers = append(f.followers, onChange) })
@@ -148,18 +148,18 @@
 // entry is one entry of a testSite.
 type entry struct {
 	*settings.Settings
-	world *world
-	cut   atomic.Bool // the entry can't reach its peers
-	view  *view
-	low   atomic.Bool // the revision in force decreased
+	site              *testSite
+	isolated          atomic.Bool // the entry can't reach its peers
+	store             *entryStore
+	revisionDecreased atomic.Bool // the revision in force decreased
 }
 
 // peers sends requests to the first other entry that can be reached.
 type peers struct{ e *entry }
 
 func (p peers) Settings(_ context.Context, since uint64) (settings.Change, error) {
-	for _, other := range p.e.world.all() {
-		if other != p.e && !other.cut.Load() && !p.e.cut.Load() {
+	for _, other := range p.e.site.all() {
+		if other != p.e && !other.isolated.Load() && !p.e.isolated.Load() {
 			return other.Since(since), nil
 		}
 	}
@@ -167,34 +167,34 @@
 }
 
 // testSite is a site of entries with their store and their gossip.
-type world struct {
-	q       *qt.C
-	ctx     context.Context
-	store   *fakeStore
-	running sync.WaitGroup
-	mu      sync.Mutex
-	entries []*entry
-	mute    atomic.Bool // no gossip; peers still respond to requests
+type testSite struct {
+	q         *qt.C
+	ctx       context.Context
+	store     *fakeStore
+	running   sync.WaitGroup
+	mu        sync.Mutex
+	entries   []*entry
+	gossipOff atomic.Bool // no gossip; peers still respond to requests
 }
 
-func newWorld(q *qt.C, entries int) *world {
+func newTestSite(q *qt.C, entries int) *testSite {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-	w := &world{q: q, ctx: ctx, store: &fakeStore{}}
+	w := &testSite{q: q, ctx: ctx, store: &fakeStore{}}
 	q.Cleanup(func() {
 		cancel()
 		w.running.Wait()
 	})
 	for range entries {
-		w.boot()
+		w.startEntry()
 	}
 	return w
 }
 
 // startEntry starts an entry.
-func (w *world) boot() {
-	e := &entry{world: w, view: &view{fakeStore: w.store}}
+func (w *testSite) startEntry() {
+	e := &entry{site: w, store: &entryStore{fakeStore: w.store}}
 	e.Settings = settings.New(settings.Config{
-		Store: e.view,
+		Store: e.store,
 		Peers: peers{e},
 		Log:   &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
 		Rand:  rand.New(rand.NewPCG(1, uint64(len(w.entries)))),
@@ -216,55 +216,55 @@
 // gossip sends the changes in force to the other entries, as a real entry does.
 func (e *entry) gossip() {
 	newest := uint64(0)
-	for e.world.ctx.Err() == nil {
+	for e.site.ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 		if r := e.Document().Revision; r < newest {
-			e.low.Store(true)
+			e.revisionDecreased.Store(true)
 		} else {
 			newest = r
 		}
-		for _, o := range e.world.all() {
-			if o != e && !e.cut.Load() && !o.cut.Load() && !e.world.mute.Load() {
-				e.offer(o)
+		for _, o := range e.site.all() {
+			if o != e && !e.isolated.Load() && !o.isolated.Load() && !e.site.gossipOff.Load() {
+				e.sendChanges(o)
 			}
 		}
 	}
 }
 
-func (w *world) all() []*entry {
+func (w *testSite) all() []*entry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.entries)
 }
 
-func (e *entry) offer(o *entry) {
-	if err := o.Offer(e.world.ctx, e.Since(o.Document().Revision)); errors.Is(err, tree.ErrGap) {
-		_ = o.Offer(e.world.ctx, e.Since(0))
+func (e *entry) sendChanges(o *entry) {
+	if err := o.ApplyChange(e.site.ctx, e.Since(o.Document().Revision)); errors.Is(err, tree.ErrGap) {
+		_ = o.ApplyChange(e.site.ctx, e.Since(0))
 	}
 }
 
 // edit sends an edit to an entry and waits up to 300 ms for its outcome.
-func (w *world) edit(to int, id string, base uint64, changes ...tree.Change) (tree.Edit, error) {
+func (w *testSite) edit(to int, id string, base uint64, changes ...tree.Change) (tree.Edit, error) {
 	ctx, cancel := context.WithTimeout(w.ctx, 300*time.Millisecond)
 	defer cancel()
 	return w.entries[to].Edit(ctx, tree.Edit{ID: id, Author: "op-" + id, Base: base, Changes: changes})
 }
 
 // seed creates the first revision: a group and a service in it.
-func (w *world) seed() {
+func (w *testSite) seed() {
 	w.q.Helper()
 	_, err := w.edit(0, "seed", 0,
 		tree.Change{Op: tree.Create, Path: "/g", Kind: tree.GroupKind},
 		tree.Change{Op: tree.Create, Path: "/g/s", Kind: tree.ServiceKind})
 	w.q.Assert(err, qt.IsNil)
-	w.inForce(1, "seed")
+	w.waitInForce(1, "seed")
 }
 
 // waitInForce waits until a revision with the given edits is in force at every
 // entry. It fails the test if the revision of an entry decreased.
-func (w *world) inForce(revision uint64, ids ...string) {
+func (w *testSite) waitInForce(revision uint64, ids ...string) {
 	w.q.Helper()
-	w.until("revision "+fmt.Sprint(revision), func() bool {
+	w.waitUntil("revision "+fmt.Sprint(revision), func() bool {
 		for _, e := range w.entries {
 			d := e.Document()
 			if d.Revision != revision {
@@ -279,11 +279,11 @@
 		return true
 	})
 	for i, e := range w.entries {
-		w.q.Assert(e.low.Load(), qt.IsFalse, qt.Commentf("entry %d returned to an older revision", i))
+		w.q.Assert(e.revisionDecreased.Load(), qt.IsFalse, qt.Commentf("entry %d returned to an older revision", i))
 	}
 }
 
-func (w *world) until(what string, done func() bool) {
+func (w *testSite) waitUntil(what string, done func() bool) {
 	w.q.Helper()
 	for end := time.Now().Add(5 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -298,7 +298,7 @@
 
 // mustAccept sends an edit and fails the test unless it is accepted with the given
 // revision.
-func (w *world) accept(to int, id string, base, revision uint64) {
+func (w *testSite) mustAccept(to int, id string, base, revision uint64) {
 	w.q.Helper()
 	accepted, err := w.edit(to, id, base, set("/g/s", "slots", "3"))
 	w.q.Assert(err, qt.IsNil)
@@ -306,7 +306,7 @@
 }
 
 // storedDocument returns the document that the store holds.
-func (w *world) stored() (d tree.Document) {
+func (w *testSite) storedDocument() (d tree.Document) {
 	w.store.set(func(f *fakeStore) {
 		if o := f.current(); o.Version > 0 {
 			d, _ = tree.Decode(o.Value)
--- a/internal/site/gateways.go
+++ b/internal/site/gateways.go
@@ -80,7 +80,7 @@
 			if err != nil {
 				return err
 			}
-			t.Work(sv.Mean)
+			t.SetServiceTime(sv.Mean)
 			s.Targets = append(s.Targets, t)
 			s.Store.PutTarget(objects.Target{
 				ID: t.ID, Address: t.Address(), Service: sv.Name, Place: cfg.Places[i%len(cfg.Places)], Slots: sv.Slots,
@@ -96,7 +96,7 @@
 	for _, sv := range cfg.Services {
 		services = append(services, sv.Name)
 		routes = append(routes, objects.Route{
-			Name: "r-" + sv.Name, Host: Host, Prefix: Prefix(sv.Name), Timeout: siteTimeout, Goal: siteObjective,
+			Name: "r-" + sv.Name, Host: Host, Prefix: Prefix(sv.Name), Timeout: siteTimeout, TargetLatency: siteObjective,
 			Attempts: siteAttempts, Service: sv.Name,
 		})
 	}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -119,7 +119,7 @@
 		for n := range sv.Targets {
 			t := &Target{Name: fmt.Sprintf("%s-%d", sv.Name, n+1), Service: sv.Name}
 			t.Target = target.New(target.Config{
-				Name: t.Name, Service: sv.Name, Slots: sv.Slots, Mean: sv.Mean, Sigma: sv.Sigma, Seed: uint64(n + 1),
+				Name: t.Name, Service: sv.Name, Slots: sv.Slots, MeanServiceTime: sv.Mean, Sigma: sv.Sigma, Seed: uint64(n + 1),
 			})
 			if t.Addr, err = s.serve(t.Target); err != nil {
 				return err
--- a/internal/soak/check_repeats_test.go
+++ b/internal/soak/check_repeats_test.go
@@ -30,9 +30,9 @@
 // checkDeadline checks that an extra dispatch of a request gives the target no time beyond the
 // caller's deadline, with a tolerance of maxDeadlineOverrun.
 func (c *check) deadline(r arrival, remaining time.Duration) {
-	late := r.At.Add(remaining).Sub(r.from.sent.Add(r.from.deadline))
-	around := span{r.from.sent.Add(-touch), r.At}
-	if r.At == c.runs[r.Request][0].At || overlaps(r.from.gateway.disturbances(), around) || overlaps(c.site.faulty, around) {
+	late := r.StartedAt.Add(remaining).Sub(r.from.sent.Add(r.from.deadline))
+	around := span{r.from.sent.Add(-touch), r.StartedAt}
+	if r.StartedAt == c.runs[r.Request][0].StartedAt || overlaps(r.from.gateway.disturbances(), around) || overlaps(c.site.faulty, around) {
 		return
 	}
 	c.most.late = max(c.most.late, late)
@@ -66,8 +66,8 @@
 			continue
 		}
 		earlier := crashes[r.Path]
-		crashes[r.Path] = append(earlier, r.At)
-		if len(earlier) < mostCrashes || r.At.Sub(earlier[mostCrashes-1]) <= touch || overlaps(r.from.gateway.disturbances(), span{r.At.Add(-touch), r.At}) {
+		crashes[r.Path] = append(earlier, r.StartedAt)
+		if len(earlier) < mostCrashes || r.StartedAt.Sub(earlier[mostCrashes-1]) <= touch || overlaps(r.from.gateway.disturbances(), span{r.StartedAt.Add(-touch), r.StartedAt}) {
 			continue
 		}
 		after[r.Path]++
@@ -84,18 +84,18 @@
 // maxRequestsInPause requests from that gateway during the pause, from pauseDelay after the refusal
 // on.
 func (c *check) pauses(k *target) {
-	for _, refused := range k.Sheds() {
+	for _, refused := range k.Refusals() {
 		from := c.byID[refused.Request]
 		if refused.Body != "2" || from == nil {
 			continue
 		}
 		n := 0
 		for _, r := range c.arrivals {
-			if d := r.At.Sub(refused.At); r.target == k && r.from != nil && r.from.gateway == from.gateway && d >= pauseHeeded && d < pauseTime {
+			if d := r.StartedAt.Sub(refused.StartedAt); r.target == k && r.from != nil && r.from.gateway == from.gateway && d >= pauseHeeded && d < pauseTime {
 				n++
 			}
 		}
-		if overlaps(from.gateway.disturbances(), span{refused.At.Add(-touch), refused.At.Add(pauseTime)}) || overlaps(c.site.faulty, span{refused.At, refused.At.Add(pauseTime)}) {
+		if overlaps(from.gateway.disturbances(), span{refused.StartedAt.Add(-touch), refused.StartedAt.Add(pauseTime)}) || overlaps(c.site.faulty, span{refused.StartedAt, refused.StartedAt.Add(pauseTime)}) {
 			continue
 		}
 		c.most.paused = max(c.most.paused, n)
@@ -120,16 +120,16 @@
 			seen[r.Request] = true
 			continue
 		}
-		if r.At.Before(c.site.ratioAt) {
+		if r.StartedAt.Before(c.site.ratioAt) {
 			continue
 		}
-		extra = append(extra, r.At)
-		for r.At.Sub(extra[0]) > budgetSpan {
+		extra = append(extra, r.StartedAt)
+		for r.StartedAt.Sub(extra[0]) > budgetSpan {
 			extra = extra[1:]
 		}
 		sent := 0
 		for _, a := range c.attempts {
-			if d := r.At.Sub(a.sent); a.kind.service == sv.name && d >= 0 && d <= budgetSpan {
+			if d := r.StartedAt.Sub(a.sent); a.kind.service == sv.name && d >= 0 && d <= budgetSpan {
 				sent++
 			}
 		}
@@ -138,7 +138,7 @@
 		c.most.repeats = max(c.most.repeats, used)
 		if used > highest {
 			highest = used
-			message = fmt.Sprintf("%s: %d extra dispatches in the %v before %s, allowed %d for %d requests", sv.name, len(extra), budgetSpan, c.site.at(r.At), allowed, sent)
+			message = fmt.Sprintf("%s: %d extra dispatches in the %v before %s, allowed %d for %d requests", sv.name, len(extra), budgetSpan, c.site.at(r.StartedAt), allowed, sent)
 		}
 	}
 	if highest > 1 {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -53,11 +53,11 @@
 			c.runs[r.Request] = append(c.runs[r.Request], x)
 			c.ran++
 		}
-		for _, r := range k.Sheds() {
+		for _, r := range k.Refusals() {
 			c.arrivals = append(c.arrivals, arrival{r, k, c.byID[r.Request], false})
 		}
 	}
-	slices.SortFunc(c.arrivals, func(a, b arrival) int { return a.At.Compare(b.At) })
+	slices.SortFunc(c.arrivals, func(a, b arrival) int { return a.StartedAt.Compare(b.StartedAt) })
 	return c
 }
 
@@ -104,7 +104,7 @@
 			c.breaks("request %s received the response of another request: signed by %q, id %q, body %q", a.id, a.signer, a.echo, a.body)
 		}
 	case promises(a.status) && a.once && len(runs) > 0:
-		c.breaks("request %s was refused with status %d, but ran at %s", a.id, a.status, c.site.at(runs[0].At))
+		c.breaks("request %s was refused with status %d, but ran at %s", a.id, a.status, c.site.at(runs[0].StartedAt))
 	}
 }
 
@@ -176,7 +176,7 @@
 		if r.target != k || r.from == nil || r.from.sent.Sub(k.drained) <= drainBound {
 			continue
 		}
-		around := span{k.drained.Add(-touch), r.At}
+		around := span{k.drained.Add(-touch), r.StartedAt}
 		if overlaps(c.site.faulty, around) || overlaps(r.from.gateway.disturbances(), around) {
 			continue
 		}
@@ -213,8 +213,8 @@
 			if r.target != k || r.from == nil || r.from.gateway != g || r.from.sent.Sub(noticed) <= drainBound {
 				continue
 			}
-			if !overlaps(g.disturbances(), span{noticed, r.At}) {
-				c.breaks("request %s reached %s from %s %v after a response with a leaving notice", r.Request, k.ID, g.name, r.At.Sub(noticed))
+			if !overlaps(g.disturbances(), span{noticed, r.StartedAt}) {
+				c.breaks("request %s reached %s from %s %v after a response with a leaving notice", r.Request, k.ID, g.name, r.StartedAt.Sub(noticed))
 			}
 		}
 	}
@@ -236,19 +236,19 @@
 		var window []time.Time
 		allowed := int(1.5*l.rate*limitSpan.Seconds() + 5)
 		for _, r := range c.arrivals {
-			if r.target != k || r.from == nil || r.At.After(l.to) {
+			if r.target != k || r.from == nil || r.StartedAt.After(l.to) {
 				continue
 			}
 			at, ok := appliesFrom[r.from.gateway]
-			if !ok || r.At.Before(at) || overlaps(r.from.gateway.disturbances(), span{at.Add(-touch), r.At}) {
+			if !ok || r.StartedAt.Before(at) || overlaps(r.from.gateway.disturbances(), span{at.Add(-touch), r.StartedAt}) {
 				continue
 			}
-			window = append(window, r.At)
-			for r.At.Sub(window[0]) > limitSpan {
+			window = append(window, r.StartedAt)
+			for r.StartedAt.Sub(window[0]) > limitSpan {
 				window = window[1:]
 			}
-			if len(window) > allowed && r.At.Sub(l.from) > limitStart {
-				c.breaks("%s, limited to %v requests a second, received %d requests in the %v before %s, allowed %d", k.ID, l.rate, len(window), limitSpan, c.site.at(r.At), allowed)
+			if len(window) > allowed && r.StartedAt.Sub(l.from) > limitStart {
+				c.breaks("%s, limited to %v requests a second, received %d requests in the %v before %s, allowed %d", k.ID, l.rate, len(window), limitSpan, c.site.at(r.StartedAt), allowed)
 				break
 			}
 		}
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -179,7 +179,7 @@
 		{"down", objects.Fault{Down: true}},
 		{"doesn't respond", objects.Fault{Silent: true}},
 		{"slow", objects.Fault{Delay: 300 * time.Millisecond}},
-		{"loses responses", objects.Fault{Lost: true}},
+		{"loses responses", objects.Fault{LoseResponse: true}},
 	}
 	k := kinds[rnd.IntN(len(kinds))]
 	only := "" // the one gateway whose calls fail; empty: all
@@ -187,14 +187,14 @@
 		only = s.gateways[rnd.IntN(len(s.gateways))].name
 	}
 	from := time.Now()
-	s.store.Fail(func(r *http.Request) objects.Fault {
+	s.store.SetFaults(func(r *http.Request) objects.Fault {
 		if only != "" && r.Header.Get("User-Agent") != only {
 			return objects.Fault{}
 		}
 		return k.fault
 	})
 	return strings.TrimSpace("store " + k.name + " " + only), func() {
-		s.store.Fail(nil)
+		s.store.SetFaults(nil)
 		s.disturbed(from, time.Now())
 	}
 }
@@ -202,7 +202,7 @@
 // restoreStore copies the store and restores the copy later, which loses the changes in
 // between. They are written again 1 s after that.
 func restore(s *site, rnd *rand.Rand) (string, func()) {
-	backup := s.store.Copy()
+	backup := s.store.Snapshot()
 	from := time.Now()
 	delay := time.Duration(300+rnd.IntN(2000)) * time.Millisecond
 	return fmt.Sprintf("store backed up, restored %v after the fault", delay), func() {
@@ -220,10 +220,10 @@
 // compactStore stops the store's watch events, then drops its history, so that watches from
 // an earlier revision fail.
 func compact(s *site, _ *rand.Rand) (string, func()) {
-	s.store.Deafen(true)
+	s.store.PauseWatches(true)
 	from := time.Now()
 	return "store sends no watch events, then drops its history", func() {
-		s.store.Deafen(false)
+		s.store.PauseWatches(false)
 		s.store.Compact()
 		s.disturbed(from, time.Now())
 	}
@@ -247,13 +247,13 @@
 	}{
 		{"refuses", worker.Fault{Shed: true}},
 		{"fails", worker.Fault{Fail: true}},
-		{"loses responses", worker.Fault{Lose: true}},
+		{"loses responses", worker.Fault{LoseResponse: true}},
 		{"truncates responses", worker.Fault{Cut: true}},
-		{"responds twice", worker.Fault{Extra: true, ExtraIn: 2 * time.Millisecond}},
+		{"responds twice", worker.Fault{DuplicateResponse: true, DuplicateDelay: 2 * time.Millisecond}},
 		{"doesn't sign responses", worker.Fault{Unsigned: true}},
-		{"responds with the ID of another request", worker.Fault{Crossed: true}},
+		{"responds with the ID of another request", worker.Fault{WrongRequestID: true}},
 		{"responds 503 after the run", worker.Fault{Plain503: true}},
-		{"omits the length of the body", worker.Fault{Unframed: true}},
+		{"omits the length of the body", worker.Fault{NoLength: true}},
 	}
 	n := rnd.IntN(len(kinds))
 	share := 0.1 + 0.9*rnd.Float64()
@@ -282,7 +282,7 @@
 	if k == nil {
 		return "", nil
 	}
-	k.Fail(func(*http.Request) worker.Fault { return worker.Fault{Shed: true, After: "2"} })
+	k.Fail(func(*http.Request) worker.Fault { return worker.Fault{Shed: true, RetryAfter: "2"} })
 	return k.ID + " asks for a pause of 2 s", func() { k.Fail(nil) }
 }
 
@@ -341,9 +341,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if rnd.IntN(2) == 0 {
-		k.KeepSilent()
+		k.ProbeLoadOnly()
 	}
-	k.Leave()
+	k.AnnounceLeaving()
 	k.left = time.Now()
 	return k.ID + " leaves, by its responses", nil
 }
@@ -361,13 +361,13 @@
 	}
 	rate := []float64{0.5, 2, 2.6, 10}[rnd.IntN(4)]
 	k.limits = append(k.limits, limit{rate, span{from: time.Now()}})
-	k.Limit(strconv.FormatFloat(rate, 'f', -1, 64))
+	k.SetLimit(strconv.FormatFloat(rate, 'f', -1, 64))
 	return fmt.Sprintf("%s reports a limit of %v", k.ID, rate), func() {
 		time.Sleep(5 * time.Second)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		k.limits[len(k.limits)-1].to = time.Now()
-		k.Limit("")
+		k.SetLimit("")
 	}
 }
 
--- a/internal/soak/repeating_test.go
+++ b/internal/soak/repeating_test.go
@@ -94,7 +94,7 @@
 	}{
 		{"refuse", worker.Fault{Shed: true}},
 		{"fail", worker.Fault{Fail: true}},
-		{"lose responses", worker.Fault{Lose: true}},
+		{"lose responses", worker.Fault{LoseResponse: true}},
 		{"respond 503 after the run", worker.Fault{Plain503: true}},
 	}
 	n := rnd.IntN(len(kinds))
--- a/internal/soak/site_test.go
+++ b/internal/soak/site_test.go
@@ -139,12 +139,12 @@
 	s.q.Assert(err, qt.IsNil)
 	s.t.Cleanup(w.Close)
 	w.Slots = sv.slots
-	w.Work(sv.work)
+	w.SetServiceTime(sv.work)
 	if sv.queue > 0 {
-		w.Bound(sv.queue)
+		w.LimitQueue(sv.queue)
 	}
 	k := &target{Worker: w, service: sv, place: s.place(s.started), proxy: newProxy(s.t, w.Address()), poisons: &s.poisoned}
-	w.Crashed = func() { s.crash(k) }
+	w.OnCrash = func() { s.crash(k) }
 	k.Fail(nil)
 	s.started++
 	s.targets = append(s.targets, k)
@@ -176,7 +176,7 @@
 			if rnd.Float64() < noiseShare {
 				pace = noisePace
 			}
-			k.Pace(pace)
+			k.SetPace(pace)
 			select {
 			case <-ticker.C:
 			case <-done:
@@ -193,7 +193,7 @@
 // crashes targets does so independently of f. Every second one with refusedSuffix is refused
 // instead.
 func (k *target) Fail(f func(*http.Request) worker.Fault) {
-	k.Worker.Fail(func(r *http.Request) worker.Fault {
+	k.Worker.SetFaults(func(r *http.Request) worker.Fault {
 		switch {
 		case strings.HasSuffix(r.URL.Path, amongRefusals) && k.poisons.Add(1)%2 == 0:
 			return worker.Fault{Shed: true}
@@ -282,7 +282,7 @@
 	var names []string
 	for _, k := range s.kinds {
 		routes = append(routes, objects.Route{
-			Name: k.name, Host: host, Prefix: k.prefix, Once: k.once, Timeout: k.timeout.String(), Goal: k.goal.String(),
+			Name: k.name, Host: host, Prefix: k.prefix, NonIdempotent: k.once, Timeout: k.timeout.String(), TargetLatency: k.goal.String(),
 			Attempts: k.attempts, Service: k.service,
 		})
 	}
--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -29,41 +29,41 @@
 // Fault is the fault that the store injects into a call. The zero value is a healthy
 // store.
 type Fault struct {
-	Down   bool          // calls get 503
-	Silent bool          // calls get no response
-	Delay  time.Duration // before each response
-	Lost   bool          // writes take effect, and the connection closes without a response
-	Era    string        // era in the response in place of the store's; "-" omits the header
+	Down         bool          // calls get 503
+	Silent       bool          // calls get no response
+	Delay        time.Duration // before each response
+	LoseResponse bool          // writes take effect, and the connection closes without a response
+	Era          string        // era in the response in place of the store's; "-" omits the header
 }
 
 // Store is the fake store. It is an http.Handler.
 type Store struct {
-	mu      sync.Mutex
-	objects map[string]map[string]Object
-	history []event
-	at      uint64        // revision of the newest write
-	first   uint64        // watches from an older revision get 410
-	moved   chan struct{} // closed and replaced at each change
-	fault   func(r *http.Request) Fault
-	calls   int
-	deaf    bool
-	page    int
-	era     uint64 // starts at 1 and increases with each restore
+	mu             sync.Mutex
+	objects        map[string]map[string]Object
+	history        []event
+	revision       uint64        // revision of the newest write
+	oldestRevision uint64        // watches from an older revision get 410
+	changed        chan struct{} // closed and replaced at each change
+	fault          func(r *http.Request) Fault
+	calls          int
+	watchesPaused  bool
+	pageSize       int
+	era            uint64 // starts at 1 and increases with each restore
 }
 
 // defaultPageSize is the default number of objects on a page of a list.
-const pageSize = 500
+const defaultPageSize = 500
 
 // New returns an empty store.
 func New() *Store {
 	return &Store{
-		objects: make(map[string]map[string]Object), at: 1, first: 1, moved: make(chan struct{}), page: pageSize, era: 1,
+		objects: make(map[string]map[string]Object), revision: 1, oldestRevision: 1, changed: make(chan struct{}), pageSize: defaultPageSize, era: 1,
 		fault: func(*http.Request) Fault { return Fault{} },
 	}
 }
 
 // SetFaults sets the function that returns the fault of each call; nil removes all faults.
-func (s *Store) Fail(f func(r *http.Request) Fault) {
+func (s *Store) SetFaults(f func(r *http.Request) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f == nil {
@@ -74,23 +74,23 @@
 
 // PauseWatches sets whether watches are paused. A paused watch delivers no changes
 // until its wait time ends, as on a connection that failed without an error.
-func (s *Store) Deafen(paused bool) {
+func (s *Store) PauseWatches(paused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = paused
+	s.watchesPaused = paused
 }
 
-func (s *Store) isDeaf() bool {
+func (s *Store) areWatchesPaused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.deaf
+	return s.watchesPaused
 }
 
 // SetPageSize sets the number of objects on a page of a list.
-func (s *Store) Page(n int) {
+func (s *Store) SetPageSize(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.page = n
+	s.pageSize = n
 }
 
 // Calls returns the number of calls received.
@@ -104,13 +104,13 @@
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.first = nil, s.at
-	s.wake()
+	s.history, s.oldestRevision = nil, s.revision
+	s.notifyWatches()
 }
 
-func (s *Store) wake() {
-	close(s.moved)
-	s.moved = make(chan struct{})
+func (s *Store) notifyWatches() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // Put writes an object, as operators and targets do.
@@ -125,8 +125,8 @@
 }
 
 func (s *Store) put(kind, name string, spec json.RawMessage) Object {
-	s.at++
-	o := Object{Name: name, Revision: s.at, Created: s.at, Spec: spec}
+	s.revision++
+	o := Object{Name: name, Revision: s.revision, Created: s.revision, Spec: spec}
 	if old, ok := s.objects[kind][name]; ok {
 		o.Created = old.Created
 	}
@@ -135,7 +135,7 @@
 	}
 	s.objects[kind][name] = o
 	s.history = append(s.history, event{kind: kind, object: o})
-	s.wake()
+	s.notifyWatches()
 	return o
 }
 
@@ -151,11 +151,11 @@
 	if !ok {
 		return
 	}
-	s.at++
-	o.Revision = s.at
+	s.revision++
+	o.Revision = s.revision
 	delete(s.objects[kind], name)
 	s.history = append(s.history, event{kind: kind, object: o, deleted: true})
-	s.wake()
+	s.notifyWatches()
 }
 
 // Names returns the names of a kind's objects.
@@ -178,10 +178,10 @@
 			list = append(list, e)
 		}
 	}
-	return list, s.at, after < s.first || after > s.at, s.moved
+	return list, s.revision, after < s.oldestRevision || after > s.revision, s.changed
 }
 
-func (s *Store) failing(r *http.Request) Fault {
+func (s *Store) nextFault(r *http.Request) Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -190,45 +190,45 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f := s.failing(r)
+	f := s.nextFault(r)
 	if f.Silent {
 		<-r.Context().Done()
 		return
 	}
 	time.Sleep(f.Delay)
-	if era := s.eraText(f); era != "" {
+	if era := s.eraHeader(f); era != "" {
 		w.Header().Set("Store-Era", era)
 	}
 	if f.Down {
 		http.Error(w, `{"error":"try later"}`, http.StatusServiceUnavailable)
 		return
 	}
-	if f.Lost && r.Method != http.MethodGet {
-		w = &lost{header: make(http.Header)}
+	if f.LoseResponse && r.Method != http.MethodGet {
+		w = &discardResponse{header: make(http.Header)}
 		defer panic(http.ErrAbortHandler)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /objects/{kind}", func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("watch") {
-			s.watch(w, r)
+			s.serveWatch(w, r)
 			return
 		}
-		s.list(w, r)
+		s.serveList(w, r)
 	})
-	mux.HandleFunc("POST /objects/{kind}", s.create)
-	mux.HandleFunc("PUT /objects/{kind}/{name}", s.replace)
-	mux.HandleFunc("DELETE /objects/{kind}/{name}", s.drop)
+	mux.HandleFunc("POST /objects/{kind}", s.serveCreate)
+	mux.HandleFunc("PUT /objects/{kind}/{name}", s.serveReplace)
+	mux.HandleFunc("DELETE /objects/{kind}/{name}", s.serveDelete)
 	mux.ServeHTTP(w, r)
 }
 
 // discardResponse is a ResponseWriter that discards the response.
-type lost struct{ header http.Header }
+type discardResponse struct{ header http.Header }
 
-func (l *lost) Header() http.Header         { return l.header }
-func (l *lost) Write(p []byte) (int, error) { return len(p), nil }
-func (l *lost) WriteHeader(int)             {}
+func (l *discardResponse) Header() http.Header         { return l.header }
+func (l *discardResponse) Write(p []byte) (int, error) { return len(p), nil }
+func (l *discardResponse) WriteHeader(int)             {}
 
-func number(r *http.Request, name string) uint64 {
+func queryUint(r *http.Request, name string) uint64 {
 	n, err := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
 		return 0
--- a/internal/standin/objects/records.go
+++ b/internal/standin/objects/records.go
@@ -9,14 +9,14 @@
 
 // Target is the record that a target writes about itself.
 type Target struct {
-	ID      string
-	Address string
-	Service string
-	Place   string
-	Slots   int
-	Leaving bool
-	Born    int64         // start of the incarnation, in Unix ms
-	Warmup  time.Duration // remaining warm-up time
+	ID            string
+	Address       string
+	Service       string
+	Place         string
+	Slots         int
+	Leaving       bool
+	StartedMillis int64         // start of the incarnation, in Unix ms
+	Warmup        time.Duration // remaining warm-up time
 }
 
 // Warm-up of each target of a configuration after its start.
@@ -32,7 +32,7 @@
 		state = "draining"
 	}
 	s.Put("servers", t.ID, map[string]any{
-		"address": t.Address, "born": t.Born,
+		"address": t.Address, "born": t.StartedMillis,
 		"info":   map[string]any{"service": t.Service, "version": "v1", "zone": t.Place, "concurrency": t.Slots},
 		"status": map[string]any{"state": state, "sequence": 1, "warmupLeft": strconv.FormatInt(t.Warmup.Milliseconds(), 10) + "ms"},
 	})
@@ -40,22 +40,22 @@
 
 // Route is a route of a configuration.
 type Route struct {
-	Name     string
-	Host     string
-	Prefix   string
-	Once     bool // requests are not idempotent
-	Timeout  string
-	Goal     string // latency within which a response counts in full
-	Attempts int
-	Service  string
-	Kind     string // route type in the record; if empty, derived from NonIdempotent
+	Name          string
+	Host          string
+	Prefix        string
+	NonIdempotent bool // requests are not idempotent
+	Timeout       string
+	TargetLatency string // latency within which a response counts in full
+	Attempts      int
+	Service       string
+	Kind          string // route type in the record; if empty, derived from NonIdempotent
 }
 
 // Evacuate writes the evacuation of a failure domain, as an operator does.
 func (s *Store) Evacuate(place string) { s.Put("evacuations", place, struct{}{}) }
 
 // EndEvacuation removes the evacuation of a failure domain.
-func (s *Store) TakeBack(place string) { s.Delete("evacuations", place) }
+func (s *Store) EndEvacuation(place string) { s.Delete("evacuations", place) }
 
 // PutConfig writes a configuration with these routes and services.
 func (s *Store) PutConfig(version int, routes []Route, services []string) {
@@ -65,12 +65,12 @@
 		switch {
 		case r.Kind != "":
 			kind = r.Kind
-		case r.Once:
+		case r.NonIdempotent:
 			kind = "non_idempotent"
 		}
 		routeRecords[r.Name] = map[string]any{
 			"host": r.Host, "pathPrefix": r.Prefix, "routeType": kind, "timeout": r.Timeout,
-			"targetLatency": r.Goal, "priority": 1, "attempts": r.Attempts, "service": r.Service,
+			"targetLatency": r.TargetLatency, "priority": 1, "attempts": r.Attempts, "service": r.Service,
 		}
 	}
 	for _, name := range services {
--- a/internal/standin/platform/admin_test.go
+++ b/internal/standin/platform/admin_test.go
@@ -13,7 +13,7 @@
 	"plumpitch.example/plumpitch/internal/standin/platform"
 )
 
-func TestCalls(t *testing.T) {
+func TestRequests(t *testing.T) {
 	for _, c := range []struct {
 		call   string // method, path and body
 		status int
@@ -58,7 +58,7 @@
 	return w.Code, w.Body.String()
 }
 
-func TestDown(t *testing.T) {
+func TestDownAndFlapping(t *testing.T) {
 	now := time.Unix(0, 0)
 	for _, c := range []struct {
 		name   string
@@ -68,9 +68,9 @@
 	}{
 		{"up", platform.Faults{}, 0, http.StatusOK},
 		{"down", platform.Faults{Down: true}, 0, http.StatusServiceUnavailable},
-		{"flapping, up", platform.Faults{Flap: time.Second}, 900 * time.Millisecond, http.StatusOK},
-		{"flapping, down", platform.Faults{Flap: time.Second}, 1100 * time.Millisecond, http.StatusServiceUnavailable},
-		{"flapping, up again", platform.Faults{Flap: time.Second}, 2100 * time.Millisecond, http.StatusOK},
+		{"flapping, up", platform.Faults{FlapInterval: time.Second}, 900 * time.Millisecond, http.StatusOK},
+		{"flapping, down", platform.Faults{FlapInterval: time.Second}, 1100 * time.Millisecond, http.StatusServiceUnavailable},
+		{"flapping, up again", platform.Faults{FlapInterval: time.Second}, 2100 * time.Millisecond, http.StatusOK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			at := now
@@ -83,11 +83,11 @@
 	}
 }
 
-func TestListLags(t *testing.T) {
+func TestVMListLag(t *testing.T) {
 	q := qt.New(t)
 	at := time.Unix(100, 0)
 	p := platform.New(platform.Config{Now: func() time.Time { return at }})
-	p.SetFaults(platform.Faults{Lag: 30 * time.Second})
+	p.SetFaults(platform.Faults{VMListLag: 30 * time.Second})
 	p.PutVM(platform.VM{ID: "a", State: platform.Live})
 	at = at.Add(20 * time.Second)
 	p.PutVM(platform.VM{ID: "a", State: platform.Leaving})
@@ -104,12 +104,12 @@
 
 // A lost response must close the connection. With an HTTP status the client would
 // know that the write reached the server.
-func TestLostAnswerCutsConnection(t *testing.T) {
+func TestLostResponseClosesConnection(t *testing.T) {
 	q := qt.New(t)
 	p := platform.New(platform.Config{})
 	srv := httptest.NewServer(p)
 	defer srv.Close()
-	p.SetFaults(platform.Faults{Lose: 1})
+	p.SetFaults(platform.Faults{LostResponses: 1})
 	put := func() (*http.Response, error) {
 		r, err := http.NewRequest(http.MethodPut, srv.URL+"/v1/objects/k/n", strings.NewReader(`{"value":"YQ=="}`))
 		q.Assert(err, qt.IsNil)
--- a/internal/standin/platform/fault.go
+++ b/internal/standin/platform/fault.go
@@ -7,13 +7,13 @@
 
 // Faults are the injected faults. The zero value injects none.
 type Faults struct {
-	Down   bool          // every call gets 503
-	Delay  time.Duration // before each response
-	Lose   int           // number of next writes whose response is lost after the write took effect
-	Older  uint64        // reads and watches show the data as of this version; 0 is off
-	Silent bool          // watches stay open and deliver no changes
-	Flap   time.Duration // the store alternates between up and down, each for this long; 0 is off
-	Lag    time.Duration // age of the VM list
+	Down          bool          // every call gets 503
+	Delay         time.Duration // before each response
+	LostResponses int           // number of next writes whose response is lost after the write took effect
+	ReadVersion   uint64        // reads and watches show the data as of this version; 0 is off
+	SilentWatches bool          // watches stay open and deliver no changes
+	FlapInterval  time.Duration // the store alternates between up and down, each for this long; 0 is off
+	VMListLag     time.Duration // age of the VM list
 }
 
 // SetFaults replaces the injected faults.
@@ -21,8 +21,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
-	p.since = p.now()
-	p.wake()
+	p.faultsSince = p.now()
+	p.notifyWatches()
 }
 
 // Faults returns the injected faults.
@@ -36,24 +36,24 @@
 	if p.faults.Down {
 		return true
 	}
-	if p.faults.Flap <= 0 {
+	if p.faults.FlapInterval <= 0 {
 		return false
 	}
-	periods := p.now().Sub(p.since) / p.faults.Flap
+	periods := p.now().Sub(p.faultsSince) / p.faults.FlapInterval
 	return periods%2 == 1
 }
 
 // readVersion returns the newest version that reads and watches show.
-func (p *Platform) horizon() uint64 {
-	if p.faults.Older > 0 {
-		return min(p.faults.Older, p.version)
+func (p *Platform) readVersion() uint64 {
+	if p.faults.ReadVersion > 0 {
+		return min(p.faults.ReadVersion, p.version)
 	}
 	return p.version
 }
 
 // withFaults returns a handler that counts a call and applies the faults that affect
 // every call.
-func (p *Platform) guard(count func(*Counts), next http.HandlerFunc) http.HandlerFunc {
+func (p *Platform) withFaults(count func(*Counts), next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		count(&p.counts)
@@ -63,7 +63,7 @@
 			return
 		}
 		if down {
-			fail(w, http.StatusServiceUnavailable, 0)
+			replyError(w, http.StatusServiceUnavailable, 0)
 			return
 		}
 		next(w, r)
@@ -86,10 +86,10 @@
 
 // loseResponse reports whether the response to the current write gets lost, and
 // decrements the number of responses to lose.
-func (p *Platform) lose() bool {
-	if p.faults.Lose <= 0 {
+func (p *Platform) loseResponse() bool {
+	if p.faults.LostResponses <= 0 {
 		return false
 	}
-	p.faults.Lose--
+	p.faults.LostResponses--
 	return true
 }
--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -19,12 +19,12 @@
 	countWatch := func(c *Counts) { c.Watches++ }
 	countVMs := func(c *Counts) { c.VMs++ }
 	m := http.NewServeMux()
-	m.HandleFunc("GET /v1/objects/{kind}/{name}", p.guard(countRead, p.serveGet))
-	m.HandleFunc("GET /v1/objects/{kind}", p.guard(countRead, p.serveList))
-	m.HandleFunc("PUT /v1/objects/{kind}/{name}", p.guard(countWrite, p.servePut))
-	m.HandleFunc("DELETE /v1/objects/{kind}/{name}", p.guard(countWrite, p.serveDelete))
-	m.HandleFunc("GET /v1/watch/{kind}", p.guard(countWatch, p.serveWatch))
-	m.HandleFunc("GET /v1/vms", p.guard(countVMs, p.serveVMs))
+	m.HandleFunc("GET /v1/objects/{kind}/{name}", p.withFaults(countRead, p.serveGet))
+	m.HandleFunc("GET /v1/objects/{kind}", p.withFaults(countRead, p.serveList))
+	m.HandleFunc("PUT /v1/objects/{kind}/{name}", p.withFaults(countWrite, p.servePut))
+	m.HandleFunc("DELETE /v1/objects/{kind}/{name}", p.withFaults(countWrite, p.serveDelete))
+	m.HandleFunc("GET /v1/watch/{kind}", p.withFaults(countWatch, p.serveWatch))
+	m.HandleFunc("GET /v1/vms", p.withFaults(countVMs, p.serveVMs))
 	p.adminRoutes(m)
 	return m
 }
@@ -37,25 +37,25 @@
 
 func (p *Platform) serveGet(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	o, ok := p.get(pathKey(r), p.horizon())
+	o, ok := p.get(pathKey(r), p.readVersion())
 	p.mu.Unlock()
 	if !ok {
-		fail(w, http.StatusNotFound, 0)
+		replyError(w, http.StatusNotFound, 0)
 		return
 	}
-	replyTagged(w, r, encodeObject(o))
+	replyWithETag(w, r, encodeObject(o))
 }
 
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	version := p.horizon()
+	version := p.readVersion()
 	objects := p.list(r.PathValue("kind"), version)
 	p.mu.Unlock()
 	list := listJSON{Version: version, Objects: []objectJSON{}}
 	for _, o := range objects {
 		list.Objects = append(list.Objects, encodeObject(o))
 	}
-	replyTagged(w, r, list)
+	replyWithETag(w, r, list)
 }
 
 func (p *Platform) servePut(w http.ResponseWriter, r *http.Request) {
@@ -64,7 +64,7 @@
 		http.Error(w, "put: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	p.change(w, pathKey(r), body.Version, body.Value, false)
+	p.applyWrite(w, pathKey(r), body.Version, body.Value, false)
 }
 
 func (p *Platform) serveDelete(w http.ResponseWriter, r *http.Request) {
@@ -73,19 +73,19 @@
 		http.Error(w, "version: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	p.change(w, pathKey(r), version, nil, true)
+	p.applyWrite(w, pathKey(r), version, nil, true)
 }
 
-func (p *Platform) change(w http.ResponseWriter, k key, expected uint64, value []byte, deleted bool) {
+func (p *Platform) applyWrite(w http.ResponseWriter, k key, expected uint64, value []byte, deleted bool) {
 	p.mu.Lock()
 	version, ok := p.put(k, expected, value, deleted)
-	lost := ok && p.lose()
+	lost := ok && p.loseResponse()
 	p.mu.Unlock()
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
 	if !ok {
-		fail(w, http.StatusConflict, version)
+		replyError(w, http.StatusConflict, version)
 		return
 	}
 	reply(w, versionJSON{Version: version})
@@ -102,8 +102,8 @@
 	stream := json.NewEncoder(w)
 	for {
 		p.mu.Lock()
-		changed, down, silent := p.changed, p.down(), p.faults.Silent
-		writes := p.latest(r.PathValue("kind"), from, p.horizon())
+		changed, down, silent := p.changed, p.down(), p.faults.SilentWatches
+		writes := p.latest(r.PathValue("kind"), from, p.readVersion())
 		p.mu.Unlock()
 		if down {
 			return
@@ -128,13 +128,13 @@
 
 func (p *Platform) serveVMs(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	vms := p.vmsAt(p.now().Add(-p.faults.Lag))
+	vms := p.vmsAt(p.now().Add(-p.faults.VMListLag))
 	p.mu.Unlock()
 	list := vmsJSON{VMs: []vmJSON{}}
 	for _, vm := range vms {
 		list.VMs = append(list.VMs, vmJSON(vm))
 	}
-	replyTagged(w, r, list)
+	replyWithETag(w, r, list)
 }
 
 func pathKey(r *http.Request) key {
@@ -148,13 +148,13 @@
 
 // replyWithETag responds to a read with an ETag, or with 304 if the client already
 // has the same response.
-func replyTagged(w http.ResponseWriter, r *http.Request, v any) {
+func replyWithETag(w http.ResponseWriter, r *http.Request, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	tag := tagOf(body)
+	tag := etag(body)
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
@@ -167,7 +167,7 @@
 // etag returns the ETag of a response body. It is a hash instead of the version,
 // because a store restored with older data assigns its versions again to other
 // values.
-func tagOf(body []byte) string {
+func etag(body []byte) string {
 	return strconv.Quote(strconv.FormatUint(xxhash.Sum64(body), 16))
 }
 
@@ -175,12 +175,12 @@
 	o := encodeObject(c.object)
 	out := watchJSON{Object: o, Deleted: c.deleted}
 	if body, err := json.Marshal(o); err == nil && !c.deleted {
-		out.Tag = tagOf(body)
+		out.Tag = etag(body)
 	}
 	return out
 }
 
-func fail(w http.ResponseWriter, status int, version uint64) {
+func replyError(w http.ResponseWriter, status int, version uint64) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	b, _ := json.Marshal(versionJSON{Version: version})
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -73,16 +73,16 @@
 
 // Platform is the fake platform. It is an http.Handler.
 type Platform struct {
-	now     func() time.Time
-	mux     *http.ServeMux
-	mu      sync.Mutex
-	version uint64
-	writes  []write
-	vms     []vmChange
-	faults  Faults
-	since   time.Time     // when the faults were set
-	changed chan struct{} // closed and replaced at each change
-	counts  Counts
+	now         func() time.Time
+	mux         *http.ServeMux
+	mu          sync.Mutex
+	version     uint64
+	writes      []write
+	vms         []vmChange
+	faults      Faults
+	faultsSince time.Time     // when the faults were set
+	changed     chan struct{} // closed and replaced at each change
+	counts      Counts
 }
 
 type write struct {
@@ -91,9 +91,9 @@
 }
 
 type vmChange struct {
-	at   time.Time
-	vm   VM
-	gone bool
+	at      time.Time
+	vm      VM
+	removed bool
 }
 
 // New returns an empty Platform without faults.
@@ -125,7 +125,7 @@
 func (p *Platform) RemoveVM(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.vms = append(p.vms, vmChange{at: p.now(), vm: VM{ID: id}, gone: true})
+	p.vms = append(p.vms, vmChange{at: p.now(), vm: VM{ID: id}, removed: true})
 }
 
 // Rollback removes every write after version to. Later writes get the removed
@@ -143,7 +143,7 @@
 	p.version = min(p.version, to)
 }
 
-func (p *Platform) wake() {
+func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
--- a/internal/standin/platform/state.go
+++ b/internal/standin/platform/state.go
@@ -66,13 +66,13 @@
 	o := Object{Kind: k.kind, Name: k.name, Version: p.version, Value: value}
 	p.writes = append(p.writes, write{object: o, deleted: deleted})
 	p.compact(k)
-	p.wake()
+	p.notifyWatches()
 	return p.version, true
 }
 
 // maxObjectHistory is the number of writes kept for each object, so that
 // Faults.ReadVersion can show older data.
-const history = 64
+const maxObjectHistory = 64
 
 func (p *Platform) compact(k key) {
 	n := 0
@@ -81,7 +81,7 @@
 		if o.Kind != k.kind || o.Name != k.name {
 			continue
 		}
-		if n++; n > history {
+		if n++; n > maxObjectHistory {
 			p.writes = append(p.writes[:i], p.writes[i+1:]...)
 			return
 		}
@@ -94,7 +94,7 @@
 		if c.at.After(t) {
 			continue
 		}
-		if c.gone {
+		if c.removed {
 			delete(byID, c.vm.ID)
 			continue
 		}
--- a/internal/standin/platform/wire.go
+++ b/internal/standin/platform/wire.go
@@ -68,27 +68,27 @@
 	return faultsJSON{
 		Down:   f.Down,
 		Delay:  f.Delay.String(),
-		Lose:   f.Lose,
-		Older:  f.Older,
-		Silent: f.Silent,
-		Flap:   f.Flap.String(),
-		Lag:    f.Lag.String(),
+		Lose:   f.LostResponses,
+		Older:  f.ReadVersion,
+		Silent: f.SilentWatches,
+		Flap:   f.FlapInterval.String(),
+		Lag:    f.VMListLag.String(),
 	}
 }
 
 func decodeFaults(j faultsJSON) (f Faults, err error) {
-	f = Faults{Down: j.Down, Lose: j.Lose, Older: j.Older, Silent: j.Silent}
-	if f.Delay, err = span(j.Delay); err != nil {
+	f = Faults{Down: j.Down, LostResponses: j.Lose, ReadVersion: j.Older, SilentWatches: j.Silent}
+	if f.Delay, err = parseDuration(j.Delay); err != nil {
 		return Faults{}, err
 	}
-	if f.Flap, err = span(j.Flap); err != nil {
+	if f.FlapInterval, err = parseDuration(j.Flap); err != nil {
 		return Faults{}, err
 	}
-	f.Lag, err = span(j.Lag)
+	f.VMListLag, err = parseDuration(j.Lag)
 	return f, err
 }
 
-func span(s string) (time.Duration, error) {
+func parseDuration(s string) (time.Duration, error) {
 	if s == "" {
 		return 0, nil
 	}
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -28,13 +28,13 @@
 
 // Config configures a target.
 type Config struct {
-	Name    string
-	Service string
-	Slots   int           // requests that run at once; default 2
-	Mean    time.Duration // mean of the lognormal service time; 0 responds at once
-	Sigma   float64       // sigma of the lognormal service time; 0 makes all service times equal
-	Seed    uint64
-	MaxLog  int // maximum number of logged runs; default 1,000,000
+	Name            string
+	Service         string
+	Slots           int           // requests that run at once; default 2
+	MeanServiceTime time.Duration // mean of the lognormal service time; 0 responds at once
+	Sigma           float64       // sigma of the lognormal service time; 0 makes all service times equal
+	Seed            uint64
+	MaxLog          int // maximum number of logged runs; default 1,000,000
 }
 
 // Fault is the set of injected faults. The zero value is a healthy target.
@@ -94,7 +94,7 @@
 }
 
 // SetFault replaces the injected faults.
-func (t *Target) Break(f Fault) { t.fault.Store(&f) }
+func (t *Target) SetFault(f Fault) { t.fault.Store(&f) }
 
 // Drain makes later responses say that the target is leaving.
 func (t *Target) Drain() { t.leaving.Store(true) }
@@ -119,7 +119,7 @@
 	case "/-/drain":
 		t.Drain()
 	case "/-/load":
-		t.report(w)
+		t.setLoadHeader(w)
 	default:
 		t.run(w, r)
 	}
@@ -136,10 +136,10 @@
 		http.Error(w, "fault: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	t.Break(f)
+	t.SetFault(f)
 }
 
-func (t *Target) report(w http.ResponseWriter) {
+func (t *Target) setLoadHeader(w http.ResponseWriter) {
 	v := "inflight=" + strconv.Itoa(t.Inflight())
 	if t.leaving.Load() {
 		v += " leaving"
@@ -171,7 +171,7 @@
 	if !t.work(r, f) {
 		return
 	}
-	t.answer(w, r, f, len(body))
+	t.respond(w, r, f, len(body))
 }
 
 func (t *Target) record(r *http.Request) {
@@ -185,7 +185,7 @@
 // work waits for the service time. It returns false if the request is cancelled in
 // the meantime.
 func (t *Target) work(r *http.Request, f Fault) bool {
-	d := t.draw(f) + f.Stall
+	d := t.randomServiceTime(f) + f.Stall
 	if d <= 0 {
 		return true
 	}
@@ -201,7 +201,7 @@
 
 // randomServiceTime returns a service time from the lognormal distribution with the
 // mean cfg.MeanServiceTime, multiplied by the fault's factor.
-func (t *Target) draw(f Fault) time.Duration {
+func (t *Target) randomServiceTime(f Fault) time.Duration {
 	factor := f.Factor
 	if factor == 0 {
 		factor = 1
@@ -210,14 +210,14 @@
 	z := t.rnd.NormFloat64()
 	t.mu.Unlock()
 	s := t.cfg.Sigma
-	return time.Duration(float64(t.cfg.Mean) * factor * math.Exp(s*z-s*s/2))
+	return time.Duration(float64(t.cfg.MeanServiceTime) * factor * math.Exp(s*z-s*s/2))
 }
 
-func (t *Target) answer(w http.ResponseWriter, r *http.Request, f Fault, received int) {
+func (t *Target) respond(w http.ResponseWriter, r *http.Request, f Fault, received int) {
 	if f.Crash {
 		panic(http.ErrAbortHandler)
 	}
-	t.report(w)
+	t.setLoadHeader(w)
 	if f.Fail {
 		http.Error(w, "failing", http.StatusInternalServerError)
 		return
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -18,31 +18,31 @@
 // Fault is the fault that the worker injects into a request. The zero value injects
 // none.
 type Fault struct {
-	Shed     bool          // refuses the request without running it
-	After    string        // with Shed: value of the Retry-After header
-	Fail     bool          // responds with 500 after the run
-	Lose     bool          // closes the connection after the run without a response
-	Cut      bool          // closes the connection within the response body
-	Extra    bool          // sends the response twice
-	ExtraIn  time.Duration // delay between the two responses
-	Unsigned bool          // responds without a signature
-	Unframed bool          // the response has no length, its body ends with the connection
-	Crossed  bool          // responds with the ID of another request
-	Mute     bool          // runs the request and never responds
-	Early    bool          // responds before reading the request body
-	Plain503 bool          // responds with 503 after the run, without the Plumpitch-Not-Executed header
-	Other    string        // ID of the target that now has this address
-	Crash    bool          // the run terminates the target by calling OnCrash
+	Shed              bool          // refuses the request without running it
+	RetryAfter        string        // with Shed: value of the Retry-After header
+	Fail              bool          // responds with 500 after the run
+	LoseResponse      bool          // closes the connection after the run without a response
+	Cut               bool          // closes the connection within the response body
+	DuplicateResponse bool          // sends the response twice
+	DuplicateDelay    time.Duration // delay between the two responses
+	Unsigned          bool          // responds without a signature
+	NoLength          bool          // the response has no length, its body ends with the connection
+	WrongRequestID    bool          // responds with the ID of another request
+	NoResponse        bool          // runs the request and never responds
+	EarlyResponse     bool          // responds before reading the request body
+	Plain503          bool          // responds with 503 after the run, without the Plumpitch-Not-Executed header
+	ReplacedBy        string        // ID of the target that now has this address
+	Crash             bool          // the run terminates the target by calling OnCrash
 }
 
 // Run is the log entry of a run.
 type Run struct {
-	Request  string
-	Path     string
-	Body     string
-	Deadline string
-	At       time.Time
-	Gone     time.Time // when the caller's connection closed during the run
+	Request      string
+	Path         string
+	Body         string
+	Deadline     string
+	StartedAt    time.Time
+	CallerLeftAt time.Time // when the caller's connection closed during the run
 }
 
 // Worker is the fake target.
@@ -50,32 +50,32 @@
 	ID      string
 	Slots   int
 	Queue   int    // limit of the requests that wait for a slot, set by LimitQueue
-	Crashed func() // called by a run with Fault.Crash
-
-	l      net.Listener
-	free   chan struct{} // a token for each request that runs or waits; nil without LimitQueue
-	slots  chan struct{} // a token for each request that runs; nil without LimitQueue
-	mu     sync.Mutex
-	work   time.Duration
-	pace   float64 // factor on the service time
-	fault  func(*http.Request) Fault
-	runs   []Run
-	sheds  []Run
-	now    int
-	open   map[net.Conn]bool
-	closed bool
-	cold   time.Time // end of the warm-up
-	bears  int       // requests in any second that the worker can handle while it is cold
-	tells  bool      // responses to probes contain the remaining warm-up time
-	falls  int       // crashes because of more than coldLimit requests in a second
-	limit  string    // value of the Server-Limit header; empty omits it
-	leaves bool      // responses say that the worker is leaving
-	silent bool      // responses to probes contain the load, but no limit and no leaving notice
+	OnCrash func() // called by a run with Fault.Crash
+
+	l               net.Listener
+	admitted        chan struct{} // a token for each request that runs or waits; nil without LimitQueue
+	slots           chan struct{} // a token for each request that runs; nil without LimitQueue
+	mu              sync.Mutex
+	serviceTime     time.Duration
+	pace            float64 // factor on the service time
+	fault           func(*http.Request) Fault
+	runs            []Run
+	refusals        []Run
+	running         int
+	conns           map[net.Conn]bool
+	closed          bool
+	coldUntil       time.Time // end of the warm-up
+	coldLimit       int       // requests in any second that the worker can handle while it is cold
+	reportsWarmup   bool      // responses to probes contain the remaining warm-up time
+	overloadCrashes int       // crashes because of more than coldLimit requests in a second
+	limit           string    // value of the Server-Limit header; empty omits it
+	leaving         bool      // responses say that the worker is leaving
+	probeLoadOnly   bool      // responses to probes contain the load, but no limit and no leaving notice
 }
 
 // Start starts a worker on a loopback port.
 func Start(id string) (w *Worker, err error) {
-	w = &Worker{ID: id, Slots: 2, open: make(map[net.Conn]bool), pace: 1, fault: func(*http.Request) Fault { return Fault{} }}
+	w = &Worker{ID: id, Slots: 2, conns: make(map[net.Conn]bool), pace: 1, fault: func(*http.Request) Fault { return Fault{} }}
 	if w.l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 func (w *Worker) Close() {
 	w.mu.Lock()
 	w.closed = true
-	for c := range w.open {
+	for c := range w.conns {
 		c.Close()
 	}
 	w.mu.Unlock()
@@ -98,14 +98,14 @@
 }
 
 // SetServiceTime sets how long a request takes at pace 1.
-func (w *Worker) Work(d time.Duration) { w.set(func() { w.work = d }) }
+func (w *Worker) SetServiceTime(d time.Duration) { w.set(func() { w.serviceTime = d }) }
 
 // SetPace sets the factor on the service time. The load report contains it.
-func (w *Worker) Pace(x float64) { w.set(func() { w.pace = x }) }
+func (w *Worker) SetPace(x float64) { w.set(func() { w.pace = x }) }
 
 // SetFaults sets the function that returns the fault of each request; nil removes all
 // faults.
-func (w *Worker) Fail(f func(*http.Request) Fault) {
+func (w *Worker) SetFaults(f func(*http.Request) Fault) {
 	w.set(func() {
 		if f == nil {
 			f = func(*http.Request) Fault { return Fault{} }
@@ -117,44 +117,44 @@
 // StartCold makes the worker cold for d. While it is cold, more than limit requests
 // in any second crash it, and all requests that run there are lost. If report is set,
 // responses to probes contain the remaining warm-up time.
-func (w *Worker) Chill(d time.Duration, limit int, report bool) {
-	w.set(func() { w.cold, w.bears, w.tells = time.Now().Add(d), limit, report })
+func (w *Worker) StartCold(d time.Duration, limit int, report bool) {
+	w.set(func() { w.coldUntil, w.coldLimit, w.reportsWarmup = time.Now().Add(d), limit, report })
 }
 
 // SetLimit sets the Server-Limit header of the responses; an empty text removes it.
-func (w *Worker) Limit(text string) { w.set(func() { w.limit = text }) }
+func (w *Worker) SetLimit(text string) { w.set(func() { w.limit = text }) }
 
 // AnnounceLeaving makes the responses say that the worker is leaving.
-func (w *Worker) Leave() { w.set(func() { w.leaves = true }) }
+func (w *Worker) AnnounceLeaving() { w.set(func() { w.leaving = true }) }
 
 // StopLeaving ends the announcement, as after a restart of the target.
-func (w *Worker) Stay() { w.set(func() { w.leaves = false }) }
+func (w *Worker) StopLeaving() { w.set(func() { w.leaving = false }) }
 
 // ProbeLoadOnly makes responses to probes contain the load, but no limit and no
 // leaving notice.
-func (w *Worker) KeepSilent() { w.set(func() { w.silent = true }) }
+func (w *Worker) ProbeLoadOnly() { w.set(func() { w.probeLoadOnly = true }) }
 
 // OverloadCrashes returns how often the worker crashed because it got too many
 // requests while it was cold.
-func (w *Worker) Falls() int {
+func (w *Worker) OverloadCrashes() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.falls
+	return w.overloadCrashes
 }
 
 // exceedsColdLimit reports whether the worker is cold and got more than coldLimit
 // requests in the last second. The caller holds the lock.
-func (w *Worker) overdone(now time.Time) bool {
-	if !now.Before(w.cold) || len(w.runs) <= w.bears {
+func (w *Worker) exceedsColdLimit(now time.Time) bool {
+	if !now.Before(w.coldUntil) || len(w.runs) <= w.coldLimit {
 		return false
 	}
-	return now.Sub(w.runs[len(w.runs)-1-w.bears].At) < time.Second
+	return now.Sub(w.runs[len(w.runs)-1-w.coldLimit].StartedAt) < time.Second
 }
 
 // crash closes all connections. The caller holds the lock.
 func (w *Worker) crash() {
-	w.falls++
-	for c := range w.open {
+	w.overloadCrashes++
+	for c := range w.conns {
 		c.Close()
 	}
 }
@@ -174,10 +174,10 @@
 
 // Refusals returns the requests that the worker refused. Body is the value of their
 // Retry-After header.
-func (w *Worker) Sheds() []Run {
+func (w *Worker) Refusals() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Run(nil), w.sheds...)
+	return append([]Run(nil), w.refusals...)
 }
 
 func (w *Worker) accept() {
@@ -187,11 +187,11 @@
 			return
 		}
 		w.mu.Lock()
-		w.open[c] = true
+		w.conns[c] = true
 		w.mu.Unlock()
 		go func() {
 			defer func() {
-				w.set(func() { delete(w.open, c) })
+				w.set(func() { delete(w.conns, c) })
 				c.Close()
 			}()
 			w.serve(c)
@@ -217,10 +217,10 @@
 		f := w.fault(r)
 		w.mu.Unlock()
 		if r.Method == http.MethodGet && r.URL.Path == "/health" {
-			w.health(k)
+			w.serveHealth(k)
 			continue
 		}
-		if !w.request(k, r, f) {
+		if !w.serveRequest(k, r, f) {
 			return
 		}
 	}
@@ -228,33 +228,33 @@
 
 // reportHeaders returns the header lines that report the load, the limit and that the
 // worker is leaving. The caller holds the lock.
-func (w *Worker) load(probe bool) string {
+func (w *Worker) reportHeaders(probe bool) string {
 	limit := ""
-	if probe && w.silent {
-		return w.plain()
+	if probe && w.probeLoadOnly {
+		return w.loadHeader()
 	}
 	if w.limit != "" {
 		limit = "Server-Limit: " + w.limit + "\r\n"
 	}
-	if w.leaves {
+	if w.leaving {
 		limit += "Server-Leaving: 1\r\n"
 	}
-	return limit + w.plain()
+	return limit + w.loadHeader()
 }
 
 // loadHeader returns the header line that reports the load. The caller holds the lock.
-func (w *Worker) plain() string {
+func (w *Worker) loadHeader() string {
 	waiting := 0
-	if w.free != nil {
-		waiting = max(len(w.free)-len(w.slots), 0)
+	if w.admitted != nil {
+		waiting = max(len(w.admitted)-len(w.slots), 0)
 	}
-	return fmt.Sprintf("Plumpitch-Server-Load: %d,%d,%d,%.0f\r\n", w.now, waiting, w.Slots, 100*w.pace)
+	return fmt.Sprintf("Plumpitch-Server-Load: %d,%d,%d,%.0f\r\n", w.running, waiting, w.Slots, 100*w.pace)
 }
 
-func (w *Worker) health(k *conn) {
+func (w *Worker) serveHealth(k *conn) {
 	w.mu.Lock()
-	head := "HTTP/1.1 200 OK\r\nPlumpitch-Instance-Id: " + w.ID + "\r\n" + w.load(true)
-	if left := time.Until(w.cold); w.tells && left > 0 {
+	head := "HTTP/1.1 200 OK\r\nPlumpitch-Instance-Id: " + w.ID + "\r\n" + w.reportHeaders(true)
+	if left := time.Until(w.coldUntil); w.reportsWarmup && left > 0 {
 		head += "Plumpitch-Warmup-Remaining: " + strconv.FormatInt(left.Milliseconds(), 10) + "\r\n"
 	}
 	head += "Content-Length: 0\r\n\r\n"
@@ -263,37 +263,37 @@
 }
 
 // serveRequest serves one request and reports whether the connection stays open.
-func (w *Worker) request(k *conn, r *http.Request, f Fault) bool {
+func (w *Worker) serveRequest(k *conn, r *http.Request, f Fault) bool {
 	id := r.Header.Get("Plumpitch-Request-Id")
-	if f.Early {
+	if f.EarlyResponse {
 		_, _ = io.WriteString(k, "HTTP/1.1 413 Content Too Large\r\nPlumpitch-Request-Id: "+id+"\r\nContent-Length: 0\r\n\r\n")
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return false
 	}
-	if f.Early {
+	if f.EarlyResponse {
 		return true
 	}
-	if expected := r.Header.Get("Plumpitch-Target-Instance"); expected != "" && expected != w.ID || f.Other != "" && expected != f.Other {
-		_, _ = io.WriteString(k, "HTTP/1.1 421 Misdirected Request\r\nPlumpitch-Instance-Id: "+f.Other+"\r\nContent-Length: 0\r\n\r\n")
+	if expected := r.Header.Get("Plumpitch-Target-Instance"); expected != "" && expected != w.ID || f.ReplacedBy != "" && expected != f.ReplacedBy {
+		_, _ = io.WriteString(k, "HTTP/1.1 421 Misdirected Request\r\nPlumpitch-Instance-Id: "+f.ReplacedBy+"\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	if f.Shed || !w.enter() {
-		w.shed(k, id, f.After)
+	if f.Shed || !w.admit() {
+		w.refuse(k, id, f.RetryAfter)
 		return true
 	}
 	w.run(k, r, string(body))
 	if f.Crash {
-		w.Crashed()
+		w.OnCrash()
 		return false
 	}
-	return w.answer(k, r, f, string(body))
+	return w.respond(k, r, f, string(body))
 }
 
 // refuse refuses a request without running it.
-func (w *Worker) shed(k *conn, id, retryAfter string) {
-	w.set(func() { w.sheds = append(w.sheds, Run{Request: id, Body: retryAfter, At: time.Now()}) })
+func (w *Worker) refuse(k *conn, id, retryAfter string) {
+	w.set(func() { w.refusals = append(w.refusals, Run{Request: id, Body: retryAfter, StartedAt: time.Now()}) })
 	head := "HTTP/1.1 503 Service Unavailable\r\nPlumpitch-Not-Executed: 1\r\nPlumpitch-Request-Id: " + id + "\r\n"
 	if retryAfter != "" {
 		head += "Retry-After: " + retryAfter + "\r\n"
@@ -308,28 +308,28 @@
 	i := len(w.runs)
 	w.runs = append(w.runs, Run{
 		Request: r.Header.Get("Plumpitch-Request-Id"), Path: r.URL.RequestURI(), Body: body,
-		Deadline: r.Header.Get("Plumpitch-Request-Deadline"), At: time.Now(),
+		Deadline: r.Header.Get("Plumpitch-Request-Deadline"), StartedAt: time.Now(),
 	})
 	w.mu.Unlock()
-	defer w.begin()()
+	defer w.acquireSlot()()
 	began := time.Now()
 	w.mu.Lock()
-	w.now++
-	if w.overdone(began) {
+	w.running++
+	if w.exceedsColdLimit(began) {
 		w.crash()
 	}
-	duration := time.Duration(float64(w.work) * w.pace)
+	duration := time.Duration(float64(w.serviceTime) * w.pace)
 	w.mu.Unlock()
 	if duration > 0 {
 		_ = k.SetReadDeadline(time.Now().Add(duration))
 		if _, err := k.br.Peek(1); err != nil && !isTimeout(err) {
-			w.set(func() { w.runs[i].Gone = time.Now() })
+			w.set(func() { w.runs[i].CallerLeftAt = time.Now() })
 		} else if rest := time.Until(began.Add(duration)); rest > 0 {
 			time.Sleep(rest)
 		}
 		_ = k.SetReadDeadline(time.Time{})
 	}
-	w.set(func() { w.now-- })
+	w.set(func() { w.running-- })
 }
 
 func isTimeout(err error) bool {
@@ -337,17 +337,17 @@
 	return ok && t.Timeout()
 }
 
-func (w *Worker) answer(k *conn, r *http.Request, f Fault, body string) bool {
+func (w *Worker) respond(k *conn, r *http.Request, f Fault, body string) bool {
 	text := "ran " + r.URL.Path + " " + body
 	id := r.Header.Get("Plumpitch-Request-Id")
-	if f.Crossed {
+	if f.WrongRequestID {
 		id = "another"
 	}
 	status, sign := "200 OK", "Plumpitch-Response-Signature: signed-by-"+w.ID+"\r\n"
 	switch {
-	case f.Lose:
+	case f.LoseResponse:
 		return false
-	case f.Mute:
+	case f.NoResponse:
 		_, _ = io.Copy(io.Discard, k)
 		return false
 	case f.Plain503:
@@ -359,9 +359,9 @@
 		sign = ""
 	}
 	w.mu.Lock()
-	head := "HTTP/1.1 " + status + "\r\nPlumpitch-Request-Id: " + id + "\r\n" + sign + w.load(false)
+	head := "HTTP/1.1 " + status + "\r\nPlumpitch-Request-Id: " + id + "\r\n" + sign + w.reportHeaders(false)
 	w.mu.Unlock()
-	if f.Unframed {
+	if f.NoLength {
 		_, _ = io.WriteString(k, head+"\r\n"+text)
 		return false
 	}
@@ -371,9 +371,9 @@
 		return false
 	}
 	_, _ = io.WriteString(k, response)
-	if f.Extra {
-		if f.ExtraIn > 0 {
-			time.Sleep(f.ExtraIn)
+	if f.DuplicateResponse {
+		if f.DuplicateDelay > 0 {
+			time.Sleep(f.DuplicateDelay)
 		}
 		_, _ = io.WriteString(k, response)
 	}
--- a/internal/store/answer_test.go
+++ b/internal/store/answer_test.go
@@ -16,7 +16,7 @@
 // The store, or a server that answers in its place, sends a response that violates
 // the protocol. The client must not treat it as a value, as a missing object or as
 // a conflict: an entry would create an object that exists, or overwrite it.
-func TestBadAnswers(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		status      int
--- a/internal/store/call.go
+++ b/internal/store/call.go
@@ -15,13 +15,13 @@
 
 // maxResponseBytes bounds the body of a response. It holds a list of a few values
 // of 1 MB each.
-const maxAnswer = 16 << 20
+const maxResponseBytes = 16 << 20
 
 // Get reads one object.
 func (s *Client) Get(ctx context.Context, kind, name string) (o Object, err error) {
 	defer func() { err = errors.WithMessagef(err, "get %s/%s", kind, name) }()
 	var j objectJSON
-	err = s.query(ctx, read, objectPath(kind, name), &j)
+	err = s.query(ctx, readCalls, objectPath(kind, name), &j)
 	return Object(j), err
 }
 
@@ -30,7 +30,7 @@
 func (s *Client) List(ctx context.Context, kind string) (objects []Object, version uint64, err error) {
 	defer func() { err = errors.WithMessagef(err, "list %s", kind) }()
 	var j listJSON
-	if err = s.query(ctx, read, "/v1/objects/"+url.PathEscape(kind), &j); err != nil {
+	if err = s.query(ctx, readCalls, "/v1/objects/"+url.PathEscape(kind), &j); err != nil {
 		return nil, 0, err
 	}
 	for _, o := range j.Objects {
@@ -43,7 +43,7 @@
 func (s *Client) VMs(ctx context.Context) (list []VM, err error) {
 	defer func() { err = errors.WithMessage(err, "vms") }()
 	var j vmsJSON
-	if err = s.query(ctx, vms, "/v1/vms", &j); err != nil {
+	if err = s.query(ctx, vmListCalls, "/v1/vms", &j); err != nil {
 		return nil, err
 	}
 	for _, vm := range j.VMs {
@@ -75,10 +75,10 @@
 
 func (s *Client) write(ctx context.Context, method, path string, body []byte, expected uint64) (uint64, error) {
 	if err := s.writes.Wait(ctx); err != nil {
-		return 0, &Unavailable{Cause: err, Untouched: true}
+		return 0, &Unavailable{Cause: err, NotSent: true}
 	}
 	var j versionJSON
-	err := s.attempt(ctx, write, method, path, body, &j)
+	err := s.attempt(ctx, writeCalls, method, path, body, &j)
 	var c *ErrConflict
 	if errors.As(err, &c) {
 		c.Expected = expected
@@ -88,36 +88,36 @@
 
 // query sends a read request, and retries it until ctx is done while the store is
 // unavailable.
-func (s *Client) query(ctx context.Context, k kind, path string, into any) error {
+func (s *Client) query(ctx context.Context, k counter, path string, into any) error {
 	for n := 0; ; n++ {
 		if err := s.reads.Wait(ctx); err != nil {
-			return &Unavailable{Cause: err, Untouched: true}
+			return &Unavailable{Cause: err, NotSent: true}
 		}
 		err := s.attempt(ctx, k, http.MethodGet, path, nil, into)
 		if !IsUnavailable(err) || s.pause(ctx, n) != nil {
 			return err
 		}
-		s.counts[retry].Add(1)
+		s.counts[retriedCalls].Add(1)
 	}
 }
 
-func (s *Client) attempt(ctx context.Context, k kind, method, path string, body []byte, into any) (err error) {
+func (s *Client) attempt(ctx context.Context, k counter, method, path string, body []byte, into any) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	s.counts[k].Add(1)
 	defer func() {
 		if IsUnavailable(err) {
-			s.counts[failed].Add(1)
+			s.counts[failedCalls].Add(1)
 		}
 	}()
 	r, err := http.NewRequestWithContext(ctx, method, s.addr+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	cached := s.tags.condition(r)
+	cached := s.cache.makeConditional(r)
 	w, err := s.http.Do(r)
 	if err != nil {
-		return &Unavailable{Cause: err, Untouched: unsent(err)}
+		return &Unavailable{Cause: err, NotSent: dialFailed(err)}
 	}
 	defer func() { _ = w.Body.Close() }()
 	if w.StatusCode == http.StatusNotModified && cached != nil {
@@ -125,14 +125,14 @@
 	}
 	b, err := decode(w, into)
 	if err == nil {
-		s.tags.keep(r, w, b)
+		s.cache.save(r, w, b)
 	}
 	return err
 }
 
 // decode reads a response, unmarshals its body into into and returns the body.
 func decode(w *http.Response, into any) (b []byte, err error) {
-	b, err = io.ReadAll(io.LimitReader(w.Body, maxAnswer))
+	b, err = io.ReadAll(io.LimitReader(w.Body, maxResponseBytes))
 	if err != nil {
 		return nil, &Unavailable{Cause: err}
 	}
@@ -162,7 +162,7 @@
 
 // dialFailed reports whether err is a failure to connect, in which case no request
 // was sent.
-func unsent(err error) bool {
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/store/count.go
+++ b/internal/store/count.go
@@ -1,16 +1,16 @@
 package store
 
 // counter identifies one of the counters behind Counts.
-type kind int
+type counter int
 
 const (
-	read kind = iota
-	write
-	watch
-	vms
-	retry
-	failed
-	kinds
+	readCalls counter = iota
+	writeCalls
+	watchCalls
+	vmListCalls
+	retriedCalls
+	failedCalls
+	numCounters
 )
 
 // Counts are the numbers of calls that a Client has made. Each attempt counts.
@@ -26,11 +26,11 @@
 // Counts returns the number of calls made so far.
 func (s *Client) Counts() Counts {
 	return Counts{
-		Reads:   s.counts[read].Load(),
-		Writes:  s.counts[write].Load(),
-		Watches: s.counts[watch].Load(),
-		VMs:     s.counts[vms].Load(),
-		Retries: s.counts[retry].Load(),
-		Failed:  s.counts[failed].Load(),
+		Reads:   s.counts[readCalls].Load(),
+		Writes:  s.counts[writeCalls].Load(),
+		Watches: s.counts[watchCalls].Load(),
+		VMs:     s.counts[vmListCalls].Load(),
+		Retries: s.counts[retriedCalls].Load(),
+		Failed:  s.counts[failedCalls].Load(),
 	}
 }
--- a/internal/store/error.go
+++ b/internal/store/error.go
@@ -24,8 +24,8 @@
 // Unavailable is returned when the store gave no usable response. A write may
 // have taken effect unless NotSent is set.
 type Unavailable struct {
-	Cause     error
-	Untouched bool // no request was sent to the store
+	Cause   error
+	NotSent bool // no request was sent to the store
 }
 
 // Error returns a message with the cause.
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -20,12 +20,12 @@
 	// OnChange is called with the object when it is first read, and whenever its
 	// version differs from the last one. The version may be lower, after the store
 	// was restored from a backup. Version 0 means that the object doesn't exist.
-	Took func(Object)
+	OnChange func(Object)
 }
 
 // nextPollDelay returns the delay until the next poll: Poll with a jitter of 25%
 // either way.
-func (f Follow) next(r *rand.Rand) time.Duration {
+func (f Follow) nextPollDelay(r *rand.Rand) time.Duration {
 	return f.Poll*3/4 + time.Duration(r.Int64N(int64(f.Poll/2)+1))
 }
 
@@ -42,7 +42,7 @@
 	}
 	w := follower{client: s, follow: f}
 	for n := 0; ctx.Err() == nil; n++ {
-		if w.round(ctx) {
+		if w.readAndWatch(ctx) {
 			n = 0
 		}
 		if s.pause(ctx, n) != nil {
@@ -53,36 +53,36 @@
 }
 
 type follower struct {
-	client *Client
-	follow Follow
-	seen   uint64
-	any    bool // OnChange was called
+	client      *Client
+	follow      Follow
+	lastVersion uint64
+	reported    bool // OnChange was called
 }
 
 // readAndWatch reads the object and then watches it until the watch ends or a
 // poll shows that the watch missed a change. It reports whether the first read
 // succeeded.
-func (w *follower) round(ctx context.Context) (reachable bool) {
+func (w *follower) readAndWatch(ctx context.Context) (reachable bool) {
 	if !w.poll(ctx) {
 		return false
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	changes, ended := w.watch(ctx)
-	timer := time.NewTimer(w.period())
+	timer := time.NewTimer(w.pollDelay())
 	defer timer.Stop()
 	for {
 		select {
 		case c := <-changes:
-			w.took(c)
+			w.handleChange(c)
 		case <-ended:
 			return true
 		case <-timer.C:
-			previous := w.seen
-			if !w.poll(ctx) || w.seen != previous {
+			previous := w.lastVersion
+			if !w.poll(ctx) || w.lastVersion != previous {
 				return true
 			}
-			timer.Reset(w.period())
+			timer.Reset(w.pollDelay())
 		}
 	}
 }
@@ -92,7 +92,7 @@
 // caller has received every change before the second one is closed.
 func (w *follower) watch(ctx context.Context) (<-chan Change, <-chan struct{}) {
 	changes, ended := make(chan Change), make(chan struct{})
-	from := w.seen
+	from := w.lastVersion
 	go func() {
 		defer close(ended)
 		_ = w.client.Watch(ctx, w.follow.Kind, from, func(c Change) {
@@ -105,7 +105,7 @@
 	return changes, ended
 }
 
-func (w *follower) took(c Change) {
+func (w *follower) handleChange(c Change) {
 	if c.Object.Name != w.follow.Name {
 		return
 	}
@@ -130,15 +130,15 @@
 }
 
 func (w *follower) report(o Object) {
-	if w.any && o.Version == w.seen {
+	if w.reported && o.Version == w.lastVersion {
 		return
 	}
-	w.seen, w.any = o.Version, true
-	w.follow.Took(o)
+	w.lastVersion, w.reported = o.Version, true
+	w.follow.OnChange(o)
 }
 
-func (w *follower) period() time.Duration {
+func (w *follower) pollDelay() time.Duration {
 	w.client.mu.Lock()
 	defer w.client.mu.Unlock()
-	return w.follow.next(w.client.rand)
+	return w.follow.nextPollDelay(w.client.rand)
 }
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -26,15 +26,15 @@
 		after platform.Faults
 	}{
 		{"none, by watch", long, platform.Faults{}, platform.Faults{}},
-		{"silent watch", short, platform.Faults{Silent: true}, platform.Faults{Silent: true}},
+		{"silent watch", short, platform.Faults{SilentWatches: true}, platform.Faults{SilentWatches: true}},
 		{"down, then up", short, platform.Faults{Down: true}, platform.Faults{}},
 		{"slow", short, platform.Faults{Delay: 20 * time.Millisecond}, platform.Faults{Delay: 20 * time.Millisecond}},
-		{"flapping", short, platform.Faults{Flap: 30 * time.Millisecond}, platform.Faults{Flap: 30 * time.Millisecond}},
-		{"older data, then right", short, platform.Faults{Older: 1}, platform.Faults{}},
+		{"flapping", short, platform.Faults{FlapInterval: 30 * time.Millisecond}, platform.Faults{FlapInterval: 30 * time.Millisecond}},
+		{"older data, then right", short, platform.Faults{ReadVersion: 1}, platform.Faults{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := qt.New(t)
-			p, s, ctx := site(t)
+			p, s, ctx := startPlatform(t)
 			version, err := s.Put(ctx, "settings", "tree", 0, []byte("old"))
 			q.Assert(err, qt.IsNil)
 			got := make(chan string, 64)
@@ -43,12 +43,12 @@
 			go func() {
 				_ = s.Follow(ctx, store.Follow{
 					Kind: "settings", Name: "tree", Poll: c.poll,
-					Took: func(o store.Object) { got <- string(o.Value) },
+					OnChange: func(o store.Object) { got <- string(o.Value) },
 				})
 			}()
 			q.Assert(<-got, qt.Equals, "old")
 			waitUntil(q, func() bool { return p.Counts().Watches > 0 })
-			p.SetFaults(platform.Faults{Silent: c.fault.Silent, Older: c.fault.Older})
+			p.SetFaults(platform.Faults{SilentWatches: c.fault.SilentWatches, ReadVersion: c.fault.ReadVersion})
 			_, err = s.Put(ctx, "settings", "tree", version, []byte("new"))
 			q.Assert(err, qt.IsNil)
 			p.SetFaults(c.fault)
@@ -72,7 +72,7 @@
 // detect the older data.
 func TestFollowSeesRollback(t *testing.T) {
 	q := qt.New(t)
-	p, s, ctx := site(t)
+	p, s, ctx := startPlatform(t)
 	one, err := s.Put(ctx, "settings", "tree", 0, []byte("one"))
 	q.Assert(err, qt.IsNil)
 	two, err := s.Put(ctx, "settings", "tree", one, []byte("two"))
@@ -81,7 +81,7 @@
 	go func() {
 		_ = s.Follow(ctx, store.Follow{
 			Kind: "settings", Name: "tree", Poll: 20 * time.Millisecond,
-			Took: func(o store.Object) { got <- o },
+			OnChange: func(o store.Object) { got <- o },
 		})
 	}()
 	q.Assert((<-got).Version, qt.Equals, two)
@@ -93,10 +93,10 @@
 
 // A write takes effect and its response is lost. The client must not retry the
 // write: the retry would report a conflict with the client's own write.
-func TestLostAnswer(t *testing.T) {
+func TestWriteIsNotRetriedAfterLostResponse(t *testing.T) {
 	q := qt.New(t)
-	p, s, ctx := site(t)
-	p.SetFaults(platform.Faults{Lose: 1})
+	p, s, ctx := startPlatform(t)
+	p.SetFaults(platform.Faults{LostResponses: 1})
 	_, err := s.Put(ctx, "settings", "tree", 0, []byte("a"))
 	q.Assert(store.IsUnavailable(err), qt.IsTrue, qt.Commentf("%v", err))
 	q.Assert(p.Counts().Writes, qt.Equals, uint64(1))
@@ -105,9 +105,9 @@
 	q.Assert(string(o.Value), qt.Equals, "a")
 }
 
-func TestReadsWaitOutAnOutage(t *testing.T) {
+func TestReadsRetryDuringOutage(t *testing.T) {
 	q := qt.New(t)
-	p, s, ctx := site(t)
+	p, s, ctx := startPlatform(t)
 	_, err := s.Put(ctx, "settings", "tree", 0, []byte("a"))
 	q.Assert(err, qt.IsNil)
 	p.SetFaults(platform.Faults{Down: true})
@@ -149,7 +149,7 @@
 // Even with a very short backoff, the calls must stay within the entry's rate limit.
 func TestRateHoldsDuringOutage(t *testing.T) {
 	q := qt.New(t)
-	p, _, _ := site(t)
+	p, _, _ := startPlatform(t)
 	p.SetFaults(platform.Faults{Down: true})
 	srv := httptest.NewServer(p)
 	q.Cleanup(srv.Close)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -55,8 +55,8 @@
 	backoff Backoff
 	mu      sync.Mutex // guards rand
 	rand    *rand.Rand
-	counts  [kinds]atomic.Uint64
-	tags    tags
+	counts  [numCounters]atomic.Uint64
+	cache   responseCache
 }
 
 // New returns a Client for the platform at c.Addr.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,7 +13,7 @@
 	"plumpitch.example/plumpitch/internal/store"
 )
 
-func site(t *testing.T) (*platform.Platform, *store.Client, context.Context) {
+func startPlatform(t *testing.T) (*platform.Platform, *store.Client, context.Context) {
 	p := platform.New(platform.Config{})
 	srv := httptest.NewServer(p)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -33,7 +33,7 @@
 
 func TestConditionalWrites(t *testing.T) {
 	q := qt.New(t)
-	_, s, ctx := site(t)
+	_, s, ctx := startPlatform(t)
 	_, err := s.Get(ctx, "settings", "tree")
 	q.Assert(err, qt.ErrorIs, store.ErrNotFound)
 	v1, err := s.Put(ctx, "settings", "tree", 0, []byte("a"))
@@ -55,7 +55,7 @@
 
 func TestVMs(t *testing.T) {
 	q := qt.New(t)
-	p, s, ctx := site(t)
+	p, s, ctx := startPlatform(t)
 	vm := platform.VM{ID: "vm-1", Addr: "127.0.0.1:9", Place: "fremantle-hall", Service: "fitting-diary", Slots: 2, State: platform.Live}
 	p.PutVM(vm)
 	list, err := s.VMs(ctx)
--- a/internal/store/tag.go
+++ b/internal/store/tag.go
@@ -9,68 +9,68 @@
 // Bounds of the response cache: the number of responses, and the size of one
 // response in bytes.
 const (
-	maxTags   = 16
-	maxTagged = 2 << 20
+	maxCachedResponses     = 16
+	maxCachedResponseBytes = 2 << 20
 )
 
 // responseCache keeps the last response to each read together with its ETag, so
 // that a read can be made conditional and transfers only a changed response.
 // Without it every entry would fetch the whole VM list each second, which is
 // 283 KB at 2,000 workers; all other control traffic of an entry takes 6 KB.
-type tags struct {
-	mu   sync.Mutex
-	kept map[string]tagged // by path
+type responseCache struct {
+	mu        sync.Mutex
+	responses map[string]cachedResponse // by path
 }
 
-type tagged struct {
-	tag  string
+type cachedResponse struct {
+	etag string
 	body []byte
 }
 
 // makeConditional adds If-None-Match to a read whose response is cached, and
 // returns the cached body, or nil if there is none.
-func (t *tags) condition(r *http.Request) (body []byte) {
+func (t *responseCache) makeConditional(r *http.Request) (body []byte) {
 	if r.Method != http.MethodGet {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	cached, ok := t.kept[r.URL.Path]
+	cached, ok := t.responses[r.URL.Path]
 	if !ok {
 		return nil
 	}
-	r.Header.Set("If-None-Match", cached.tag)
+	r.Header.Set("If-None-Match", cached.etag)
 	return cached.body
 }
 
 // save caches a response that has an ETag. A full cache is cleared, which is rare
 // because an entry reads only a few paths.
-func (t *tags) keep(r *http.Request, w *http.Response, body []byte) {
+func (t *responseCache) save(r *http.Request, w *http.Response, body []byte) {
 	tag := w.Header.Get("ETag")
-	if r.Method != http.MethodGet || tag == "" || len(body) > maxTagged {
+	if r.Method != http.MethodGet || tag == "" || len(body) > maxCachedResponseBytes {
 		return
 	}
-	t.put(r.URL.Path, tagged{tag: tag, body: body})
+	t.put(r.URL.Path, cachedResponse{etag: tag, body: body})
 }
 
 // saveWatched caches an object received from a watch, so that the next read of the
 // object doesn't transfer it a second time.
-func (t *tags) watched(c changeJSON) {
+func (t *responseCache) saveWatched(c changeJSON) {
 	if c.Tag == "" {
 		return
 	}
 	body, err := json.Marshal(c.Object)
-	if err != nil || len(body) > maxTagged {
+	if err != nil || len(body) > maxCachedResponseBytes {
 		return
 	}
-	t.put(objectPath(c.Object.Kind, c.Object.Name), tagged{tag: c.Tag, body: body})
+	t.put(objectPath(c.Object.Kind, c.Object.Name), cachedResponse{etag: c.Tag, body: body})
 }
 
-func (t *tags) put(path string, response tagged) {
+func (t *responseCache) put(path string, response cachedResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.kept == nil || len(t.kept) >= maxTags {
-		t.kept = make(map[string]tagged)
+	if t.responses == nil || len(t.responses) >= maxCachedResponses {
+		t.responses = make(map[string]cachedResponse)
 	}
-	t.kept[path] = response
+	t.responses[path] = response
 }
--- a/internal/store/tag_test.go
+++ b/internal/store/tag_test.go
@@ -15,27 +15,27 @@
 )
 
 // byteCounter counts the bytes of the response bodies.
-type counted struct {
+type byteCounter struct {
 	http.ResponseWriter
 	n *atomic.Int64
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c byteCounter) Write(p []byte) (int, error) {
 	c.n.Add(int64(len(p)))
 	return c.ResponseWriter.Write(p)
 }
 
-func (c counted) Unwrap() http.ResponseWriter { return c.ResponseWriter }
+func (c byteCounter) Unwrap() http.ResponseWriter { return c.ResponseWriter }
 
 // An entry reads the VM list repeatedly. While the list doesn't change it must not
 // be transferred again. A change must be seen by the next read, also one that
 // restores an earlier list.
-func TestUnchangedListIsNotSentAgain(t *testing.T) {
+func TestUnchangedListIsNotTransferredAgain(t *testing.T) {
 	q := qt.New(t)
 	p := platform.New(platform.Config{})
 	var sent atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		p.ServeHTTP(counted{w, &sent}, r)
+		p.ServeHTTP(byteCounter{w, &sent}, r)
 	}))
 	defer srv.Close()
 	s := store.New(store.Config{Addr: srv.URL, Reads: rate.NewLimiter(rate.Inf, 1)})
@@ -77,7 +77,7 @@
 	p := platform.New(platform.Config{})
 	var sent atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		p.ServeHTTP(counted{w, &sent}, r)
+		p.ServeHTTP(byteCounter{w, &sent}, r)
 	}))
 	defer srv.Close()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -16,9 +16,9 @@
 func (s *Client) Watch(ctx context.Context, kind string, from uint64, onChange func(Change)) (err error) {
 	defer func() { err = errors.WithMessagef(err, "watch %s", kind) }()
 	if err := s.reads.Wait(ctx); err != nil {
-		return &Unavailable{Cause: err, Untouched: true}
+		return &Unavailable{Cause: err, NotSent: true}
 	}
-	s.counts[watch].Add(1)
+	s.counts[watchCalls].Add(1)
 	path := "/v1/watch/" + url.PathEscape(kind) + "?from=" + strconv.FormatUint(from, 10)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, s.addr+path, nil)
 	if err != nil {
@@ -39,7 +39,7 @@
 		if err := stream.Decode(&j); err != nil {
 			return &Unavailable{Cause: err}
 		}
-		s.tags.watched(j)
+		s.cache.saveWatched(j)
 		onChange(Change{Object: Object(j.Object), Deleted: j.Deleted})
 	}
 }
--- a/settings.go
+++ b/settings.go
@@ -102,7 +102,7 @@
 
 // report prints the outcome of an edit. With --wait it first waits until the edit is in
 // force.
-func (f *writer) report(ctx context.Context, a settings.Accepted, err error) error {
+func (f *writer) report(ctx context.Context, a settings.EditResult, err error) error {
 	if err != nil {
 		return withExit(errors.WithMessagef(err, "edit %s", f.id))
 	}
@@ -146,7 +146,7 @@
 
 // withExitCode sets the exit code of an error that an entry returned.
 func withExit(err error) error {
-	var r *settings.Refused
+	var r *settings.ResponseError
 	if !errors.As(err, &r) {
 		return err
 	}
--- a/standin.go
+++ b/standin.go
@@ -49,14 +49,14 @@
 func standinTarget() *command {
 	addr := "127.0.0.1:0"
 	var platformURL, place string
-	cfg := target.Config{Name: "target", Service: "service", Slots: 2, Mean: 5 * time.Millisecond, Sigma: 1}
+	cfg := target.Config{Name: "target", Service: "service", Slots: 2, MeanServiceTime: 5 * time.Millisecond, Sigma: 1}
 	sub := flaggy.NewSubcommand("target")
 	sub.Description = "stand-in of a target: a worker with slots, a log and faults"
 	sub.String(&addr, "l", "listen", "host:port to listen on")
 	sub.String(&cfg.Name, "n", "name", "name of the target")
 	sub.String(&cfg.Service, "s", "service", "service of the target")
 	sub.Int(&cfg.Slots, "", "slots", "number of requests served concurrently")
-	sub.Duration(&cfg.Mean, "", "mean", "mean service time")
+	sub.Duration(&cfg.MeanServiceTime, "", "mean", "mean service time")
 	sub.Float64(&cfg.Sigma, "", "sigma", "sigma of the lognormal service time")
 	sub.UInt64(&cfg.Seed, "", "seed", "random seed of the service times")
 	sub.String(&platformURL, "p", "platform", "URL of the platform stand-in to register the target with")
