--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	err = s.pullSince(ctx, address, s.settings.Document().Revision)
-	if errors.Is(err, tree.ErrGap) {
+	if errors.Is(err, tree.ErrHistoryMismatch) {
 		err = s.pullSince(ctx, address, 0)
 	}
 	return err
--- a/internal/settings/api.go
+++ b/internal/settings/api.go
@@ -20,7 +20,7 @@
 	Path     string
 	Kind     tree.Kind
 	Parent   string // path; empty if the parent is the enclosing node
-	Values   []tree.Origin
+	Values   []tree.ResolvedValue
 }
 
 // Proposal is a settings file that describes the whole desired tree.
@@ -118,7 +118,7 @@
 			return nil, err
 		}
 		d := s.Document()
-		if e, ok := d.Find(p.ID); ok {
+		if e, ok := d.FindEdit(p.ID); ok {
 			return EditResult{ID: e.ID, Revision: e.Revision, Changes: e.Changes}, nil
 		}
 		e := tree.Edit{ID: p.ID, Author: p.Author, Base: d.Revision, Changes: d.Diff(file)}
@@ -129,7 +129,7 @@
 			e.Base = *p.Base
 		}
 		result, err := s.acceptEdit(ctx, e)
-		var reused *tree.Reused
+		var reused *tree.ReusedID
 		if errors.As(err, &reused) {
 			return EditResult{ID: reused.Edit.ID, Revision: reused.Edit.Revision, Changes: reused.Edit.Changes}, nil
 		}
--- a/internal/settings/edit.go
+++ b/internal/settings/edit.go
@@ -74,9 +74,9 @@
 // rejected reports whether err means that the document rejects the edit, so that no
 // earlier write of it can still take effect.
 func rejected(err error) bool {
-	return errors.As(err, new(*tree.Conflict)) || errors.As(err, new(*tree.Stale)) ||
-		errors.As(err, new(*tree.Ahead)) || errors.As(err, new(*tree.Reused)) ||
-		errors.As(err, new(*tree.Dropped)) || errors.As(err, new(tree.Problems))
+	return errors.As(err, new(*tree.Conflict)) || errors.As(err, new(*tree.StaleBase)) ||
+		errors.As(err, new(*tree.FutureBase)) || errors.As(err, new(*tree.ReusedID)) ||
+		errors.As(err, new(*tree.DroppedEdit)) || errors.As(err, new(tree.Problems))
 }
 
 // retriable reports whether a new attempt, which reads the store again, may succeed.
--- a/internal/settings/heal.go
+++ b/internal/settings/heal.go
@@ -68,7 +68,7 @@
 	if stored.Revision < inForce.Revision {
 		stored, inForce = inForce, stored
 	}
-	joined, dropped := tree.Join(stored, inForce)
+	joined, dropped := tree.MergeDiverged(stored, inForce)
 	for _, e := range dropped {
 		s.cfg.Log.WithField("id", e.ID).WithField("author", e.Author).
 			Error("settings: dropped an accepted edit that conflicts with another one; its author must repeat it")
@@ -80,7 +80,7 @@
 const readTimeout = 10 * time.Second
 
 // read gets the store's document and merges it with the one in force.
-func (s *Settings) read(ctx context.Context) (o store.Object, d tree.Document, v tree.Verdict, err error) {
+func (s *Settings) read(ctx context.Context) (o store.Object, d tree.Document, v tree.MergeResult, err error) {
 	limited, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	o, err = s.cfg.Store.Get(limited, Kind, Name)
--- a/internal/settings/http_test.go
+++ b/internal/settings/http_test.go
@@ -51,11 +51,11 @@
 	for _, v := range n.Values {
 		switch v.Field {
 		case "slots":
-			q.Assert(v, qt.Equals, tree.Origin{Field: "slots", Value: "4", From: "/swanbourne/gown-catalogue"})
+			q.Assert(v, qt.Equals, tree.ResolvedValue{Field: "slots", Value: "4", Source: "/swanbourne/gown-catalogue"})
 		case "timeout":
-			q.Assert(v, qt.Equals, tree.Origin{Field: "timeout", Value: "2s", From: "/"})
+			q.Assert(v, qt.Equals, tree.ResolvedValue{Field: "timeout", Value: "2s", Source: "/"})
 		case "queue":
-			q.Assert(v, qt.Equals, tree.Origin{Field: "queue", Value: "256"})
+			q.Assert(v, qt.Equals, tree.ResolvedValue{Field: "queue", Value: "256"})
 		}
 	}
 	edits, err := c.History(w.ctx, 1)
--- a/internal/settings/own.go
+++ b/internal/settings/own.go
@@ -39,7 +39,7 @@
 type documentMessage struct {
 	document  tree.Document
 	fromStore bool // the document was read from the store or written to it
-	done      chan tree.Verdict
+	done      chan tree.MergeResult
 }
 
 func (m documentMessage) apply(s *Settings) {
@@ -51,10 +51,10 @@
 }
 
 // merge brings a document into force if it is newer than the current one.
-func (s *Settings) merge(d tree.Document) tree.Verdict {
+func (s *Settings) merge(d tree.Document) tree.MergeResult {
 	next, verdict := tree.Merge(*s.Document(), d)
 	switch verdict {
-	case tree.Taken:
+	case tree.FastForward:
 		s.current.Store(&next)
 		notify(s.changed)
 	case tree.Diverged:
@@ -66,8 +66,8 @@
 
 // submit sends a document to the goroutine that owns the current one, and waits for
 // the merge verdict.
-func (s *Settings) submit(ctx context.Context, d tree.Document, fromStore bool) (tree.Verdict, error) {
-	m := documentMessage{document: d, fromStore: fromStore, done: make(chan tree.Verdict, 1)}
+func (s *Settings) submit(ctx context.Context, d tree.Document, fromStore bool) (tree.MergeResult, error) {
+	m := documentMessage{document: d, fromStore: fromStore, done: make(chan tree.MergeResult, 1)}
 	if err := s.enqueue(ctx, m); err != nil {
 		return tree.Same, err
 	}
--- a/internal/settings/peer.go
+++ b/internal/settings/peer.go
@@ -25,7 +25,7 @@
 	if revision >= d.Revision {
 		return c
 	}
-	edits, ok := d.Since(revision)
+	edits, ok := d.EditsFrom(revision)
 	if !ok {
 		c.Document = tree.Encode(*d)
 		return c
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -148,8 +148,8 @@
 			_, err = w.edit(1, "two", 1, c.second)
 			var conflict *tree.Conflict
 			q.Assert(errors.As(err, &conflict), qt.IsTrue, qt.Commentf("%v", err))
-			q.Assert(conflict.Theirs.Author, qt.Equals, "op-one")
-			q.Assert(conflict.Mine.ID, qt.Equals, "two")
+			q.Assert(conflict.Accepted.Author, qt.Equals, "op-one")
+			q.Assert(conflict.Rejected.ID, qt.Equals, "two")
 			w.waitInForce(2, "one")
 		})
 	}
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -88,7 +88,7 @@
 func nodeToJSON(n Node) nodeJSON {
 	j := nodeJSON{Revision: n.Revision, Path: n.Path, Kind: string(n.Kind), Parent: n.Parent}
 	for _, o := range n.Values {
-		v := valueJSON{Field: o.Field, Value: o.Value, From: o.From}
+		v := valueJSON{Field: o.Field, Value: o.Value, From: o.Source}
 		if v.From == "" {
 			v.From = fromDefault
 		}
@@ -100,9 +100,9 @@
 func nodeFromJSON(j nodeJSON) Node {
 	n := Node{Revision: j.Revision, Path: j.Path, Kind: tree.Kind(j.Kind), Parent: j.Parent}
 	for _, v := range j.Values {
-		o := tree.Origin{Field: v.Field, Value: v.Value, From: v.From}
+		o := tree.ResolvedValue{Field: v.Field, Value: v.Value, Source: v.From}
 		if v.From == fromDefault {
-			o.From = ""
+			o.Source = ""
 		}
 		n.Values = append(n.Values, o)
 	}
@@ -157,7 +157,7 @@
 	j := errorJSON{Error: err.Error()}
 	var c *tree.Conflict
 	if errors.As(err, &c) {
-		j.Mine, j.Theirs = editToJSON(c.Mine), editToJSON(c.Theirs)
+		j.Mine, j.Theirs = editToJSON(c.Rejected), editToJSON(c.Accepted)
 	}
 	problems, _ := tree.AsProblems(err)
 	for _, p := range problems {
--- a/internal/settings/world_test.go
+++ b/internal/settings/world_test.go
@@ -238,7 +238,7 @@
 }
 
 func (e *entry) sendChanges(o *entry) {
-	if err := o.ApplyChange(e.site.ctx, e.Since(o.Document().Revision)); errors.Is(err, tree.ErrGap) {
+	if err := o.ApplyChange(e.site.ctx, e.Since(o.Document().Revision)); errors.Is(err, tree.ErrHistoryMismatch) {
 		_ = o.ApplyChange(e.site.ctx, e.Since(0))
 	}
 }
@@ -271,7 +271,7 @@
 				return false
 			}
 			for _, id := range ids {
-				if _, ok := d.Find(id); !ok {
+				if _, ok := d.FindEdit(id); !ok {
 					return false
 				}
 			}
--- a/pkg/tree/check.go
+++ b/pkg/tree/check.go
@@ -16,7 +16,7 @@
 	for _, path := range d.paths() {
 		found = append(found, d.checkNode(path)...)
 	}
-	found = append(found, d.checkNames()...)
+	found = append(found, d.checkUniqueNames()...)
 	if len(found) == 0 {
 		found = d.checkServices()
 	}
@@ -36,7 +36,7 @@
 func (d Document) checkNode(path string) Problems {
 	n := d.Nodes[path]
 	var found Problems
-	if !pathForm.MatchString(path) {
+	if !pathPattern.MatchString(path) {
 		found = append(found, Problem{
 			Path: path, Found: "path " + quote(path),
 			Expected: "lower-case names after slashes, such as /swanbourne/deposit-ledger",
@@ -95,7 +95,7 @@
 // cycle describes the chain of parents through which a node inherits from itself.
 // It returns an empty string for a node that is not part of a cycle.
 func (d Document) cycle(path string) string {
-	chain, complete := d.chain(path)
+	chain, complete := d.chainToRoot(path)
 	if complete {
 		return ""
 	}
@@ -109,12 +109,12 @@
 func checkValue(k Kind, name, text string) *Problem {
 	f, ok := Lookup(name)
 	if !ok {
-		return unknownField(name)
+		return unknownFieldProblem(name)
 	}
-	if !slices.Contains(f.Levels, k) {
-		return &Problem{Field: name, Found: "a node of kind " + string(k), Expected: "it at " + joinKinds(f.Levels)}
+	if !slices.Contains(f.Kinds, k) {
+		return &Problem{Field: name, Found: "a node of kind " + string(k), Expected: "it at " + joinKinds(f.Kinds)}
 	}
-	_, p := f.Canon(text)
+	_, p := f.Canonicalize(text)
 	return p
 }
 
@@ -128,7 +128,7 @@
 
 // checkUniqueNames reports services that share a name, and places that share a
 // name. Callers and VMs refer to them by name, without the path.
-func (d Document) checkNames() Problems {
+func (d Document) checkUniqueNames() Problems {
 	var found Problems
 	firstPaths := map[string]string{} // keyed by kind and name
 	for _, path := range d.paths() {
@@ -160,14 +160,14 @@
 			if !slices.Contains(placeNames, name) {
 				found = append(found, Problem{
 					Path: s.Path, Field: "places", Found: "unknown place " + quote(name),
-					Expected: "the name of a place in the tree", Hint: nearest(name, placeNames),
+					Expected: "the name of a place in the tree", Hint: closestName(name, placeNames),
 				})
 			}
 		}
 		if s.Policy.DrainHold < s.Policy.LocateTTL {
 			found = append(found, Problem{
-				Path: s.Path, Field: "drainhold", Found: formatSpan(s.Policy.DrainHold),
-				Expected: "at least locatettl, " + formatSpan(s.Policy.LocateTTL),
+				Path: s.Path, Field: "drainhold", Found: formatDuration(s.Policy.DrainHold),
+				Expected: "at least locatettl, " + formatDuration(s.Policy.LocateTTL),
 			})
 		}
 	}
--- a/pkg/tree/conflict.go
+++ b/pkg/tree/conflict.go
@@ -5,60 +5,60 @@
 // Conflict is the error for an edit that depends on a value or node which another
 // edit has changed since the base revision.
 type Conflict struct {
-	Mine   Edit
-	Change Change // the conflicting change of Rejected
-	Theirs Edit   // the edit accepted since the base revision
-	Their  Change // the conflicting change of Accepted
+	Rejected       Edit
+	RejectedChange Change // the conflicting change of Rejected
+	Accepted       Edit   // the edit accepted since the base revision
+	AcceptedChange Change // the conflicting change of Accepted
 }
 
 // Error describes both edits and their conflicting changes.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("conflict: your edit %s of revision %d would %s; edit %s by %s, revision %d, did %s",
-		c.Mine.ID, c.Mine.Base, c.Change, c.Theirs.ID, c.Theirs.Author, c.Theirs.Revision, c.Their)
+		c.Rejected.ID, c.Rejected.Base, c.RejectedChange, c.Accepted.ID, c.Accepted.Author, c.Accepted.Revision, c.AcceptedChange)
 }
 
 // StaleBase is the error for an edit whose base revision is older than the log, so
 // that conflicts cannot be detected.
-type Stale struct {
+type StaleBase struct {
 	Base   uint64
 	Oldest uint64 // oldest base revision for which conflicts can be detected
 }
 
 // Error returns a message with both revisions.
-func (s *Stale) Error() string {
+func (s *StaleBase) Error() string {
 	return fmt.Sprintf("conflict: found base revision %d, expected %d or newer; read the settings again", s.Base, s.Oldest)
 }
 
 // FutureBase is the error for an edit whose base revision is newer than the
 // document.
-type Ahead struct {
+type FutureBase struct {
 	Base     uint64
 	Revision uint64 // of the document
 }
 
 // Error returns a message with both revisions.
-func (f *Ahead) Error() string {
+func (f *FutureBase) Error() string {
 	return fmt.Sprintf("found base revision %d, expected %d or older", f.Base, f.Revision)
 }
 
 // ReusedID is the error for an edit whose ID belongs to a different accepted edit.
-type Reused struct {
+type ReusedID struct {
 	Edit Edit
 }
 
 // Error returns a message with the accepted edit.
-func (r *Reused) Error() string {
+func (r *ReusedID) Error() string {
 	return fmt.Sprintf("conflict: edit id %s was used by another edit, revision %d", r.Edit.ID, r.Edit.Revision)
 }
 
 // DroppedEdit is the error for a resent edit that was accepted but later dropped
 // because of a conflict between diverged histories; see MergeDiverged.
-type Dropped struct {
+type DroppedEdit struct {
 	Edit Edit
 }
 
 // Error returns a message with the dropped edit.
-func (d *Dropped) Error() string {
+func (d *DroppedEdit) Error() string {
 	return fmt.Sprintf("conflict: edit %s lost against another edit when the store came back older, revision %d",
 		d.Edit.ID, d.Edit.Revision)
 }
@@ -82,12 +82,12 @@
 // changes or inherits. Without this check, the later of two operators would
 // overwrite a value that they never saw, and the earlier would believe that their
 // value is in effect.
-func (d Document) clash(e Edit) error {
+func (d Document) checkConflict(e Edit) error {
 	if e.Base > d.Revision {
-		return &Ahead{Base: e.Base, Revision: d.Revision}
+		return &FutureBase{Base: e.Base, Revision: d.Revision}
 	}
-	if oldest := d.oldest(); e.Base < oldest {
-		return &Stale{Base: e.Base, Oldest: oldest}
+	if oldest := d.oldestBase(); e.Base < oldest {
+		return &StaleBase{Base: e.Base, Oldest: oldest}
 	}
 	for _, accepted := range d.Edits {
 		if accepted.Revision <= e.Base {
@@ -95,8 +95,8 @@
 		}
 		for _, change := range e.Changes {
 			for _, acceptedChange := range accepted.Changes {
-				if d.touches(change, acceptedChange) {
-					return &Conflict{Mine: e, Change: change, Theirs: accepted, Their: acceptedChange}
+				if d.conflicts(change, acceptedChange) {
+					return &Conflict{Rejected: e, RejectedChange: change, Accepted: accepted, AcceptedChange: acceptedChange}
 				}
 			}
 		}
@@ -105,7 +105,7 @@
 }
 
 // oldestBase returns the oldest revision after which the log holds every edit.
-func (d Document) oldest() uint64 {
+func (d Document) oldestBase() uint64 {
 	if len(d.Edits) == 0 {
 		return d.Revision
 	}
@@ -114,7 +114,7 @@
 
 // conflicts reports whether an accepted change alters a node or value that change
 // alters or inherits, or relies on a node or value that change alters.
-func (d Document) touches(change, accepted Change) bool {
+func (d Document) conflicts(change, accepted Change) bool {
 	switch {
 	case change.Path == accepted.Path && (structural(change) || structural(accepted)):
 		return true
@@ -125,7 +125,7 @@
 	case !structural(change) && !structural(accepted) && change.Field != accepted.Field:
 		return false
 	case d.inherits(change.Path, accepted.Path):
-		return structural(accepted) || !structural(change) && !d.shielded(change, accepted.Path)
+		return structural(accepted) || !structural(change) && !d.overridden(change, accepted.Path)
 	case d.inherits(accepted.Path, change.Path):
 		return structural(change) || accepted.Op == Unset
 	}
@@ -135,8 +135,8 @@
 // overridden reports whether a node below ancestor overrides the field of change,
 // so that a change of the field at ancestor does not reach the changed node. The
 // value that an Unset removes does not count.
-func (d Document) shielded(change Change, ancestor string) bool {
-	chain, _ := d.chain(change.Path)
+func (d Document) overridden(change Change, ancestor string) bool {
+	chain, _ := d.chainToRoot(change.Path)
 	for _, path := range chain {
 		if path == ancestor {
 			return false
@@ -162,7 +162,7 @@
 		if n, ok := d.Nodes[current]; ok {
 			current = parentOf(current, n)
 		} else {
-			current = enclosing(current)
+			current = enclosingPath(current)
 		}
 		if current == ancestor {
 			return path != ancestor
--- a/pkg/tree/doc_test.go
+++ b/pkg/tree/doc_test.go
@@ -12,9 +12,9 @@
 )
 
 // documentedRow returns the table row of docs/SETTINGS.md for a field.
-func row(f tree.Field) string {
+func documentedRow(f tree.Field) string {
 	var levels []string
-	for _, k := range f.Levels {
+	for _, k := range f.Kinds {
 		levels = append(levels, string(k))
 	}
 	def := f.Default
@@ -22,7 +22,7 @@
 		def = "empty"
 	}
 	return fmt.Sprintf("| %s | %s | %s | %s | %s | %s |",
-		f.Name, f.Unit, def, f.Range(), strings.Join(levels, ", "), f.Help)
+		f.Name, f.Type, def, f.Range(), strings.Join(levels, ", "), f.Help)
 }
 
 // The table of docs/SETTINGS.md must contain exactly the rows of tree.Fields.
@@ -32,7 +32,7 @@
 	q.Assert(err, qt.IsNil)
 	lines := strings.Split(string(page), "\n")
 	for _, f := range tree.Fields {
-		q.Check(lines, qt.Contains, row(f))
+		q.Check(lines, qt.Contains, documentedRow(f))
 	}
 	documented := 0
 	for _, l := range lines {
--- a/pkg/tree/edit.go
+++ b/pkg/tree/edit.go
@@ -10,8 +10,8 @@
 // edit whose response was lost, to detect conflicts, and to send a peer only the
 // edits that it lacks instead of the whole document.
 const (
-	maxLog     = 128
-	maxChanges = 2048 // total of all edits in the log; the latest edit is kept even if it exceeds this
+	maxLogEdits   = 128
+	maxLogChanges = 2048 // total of all edits in the log; the latest edit is kept even if it exceeds this
 )
 
 // Apply returns the document with an edit applied, and the edit as accepted at
@@ -19,19 +19,19 @@
 // and the logged edit. An error is of type *Conflict, *StaleBase, *FutureBase,
 // *ReusedID, *DroppedEdit or Problems.
 func (d Document) Apply(e Edit, now time.Time) (Document, Edit, error) {
-	if logged, ok := d.Find(e.ID); ok {
-		return d, logged, sameEdit(logged, e)
+	if logged, ok := d.FindEdit(e.ID); ok {
+		return d, logged, checkResend(logged, e)
 	}
-	e, err := canonical(e)
+	e, err := canonicalizeEdit(e)
 	if err != nil {
 		return d, Edit{}, err
 	}
-	if err := d.clash(e); err != nil {
+	if err := d.checkConflict(e); err != nil {
 		return d, Edit{}, err
 	}
 	e.Time = now.UTC().Truncate(time.Millisecond)
 	e.Revision = d.Revision + 1
-	next, err := d.advance(e)
+	next, err := d.applyAccepted(e)
 	if err != nil {
 		return d, Edit{}, err
 	}
@@ -39,7 +39,7 @@
 }
 
 // FindEdit returns the edit with an ID, if the log still holds it.
-func (d Document) Find(id string) (Edit, bool) {
+func (d Document) FindEdit(id string) (Edit, bool) {
 	for _, e := range d.Edits {
 		if e.ID == id {
 			return e, true
@@ -50,18 +50,18 @@
 
 // checkResend returns an error unless e is a resend of the logged edit with the
 // same ID.
-func sameEdit(logged, e Edit) error {
+func checkResend(logged, e Edit) error {
 	if len(logged.Changes) == 0 {
-		return &Dropped{Edit: logged}
+		return &DroppedEdit{Edit: logged}
 	}
-	if resent, err := canonical(e); err == nil && slices.Equal(resent.Changes, logged.Changes) {
+	if resent, err := canonicalizeEdit(e); err == nil && slices.Equal(resent.Changes, logged.Changes) {
 		return nil
 	}
-	return &Reused{Edit: logged}
+	return &ReusedID{Edit: logged}
 }
 
 // canonicalizeEdit validates an edit and converts its values to canonical text.
-func canonical(e Edit) (Edit, error) {
+func canonicalizeEdit(e Edit) (Edit, error) {
 	var found Problems
 	if e.ID == "" {
 		found = append(found, Problem{Field: "edit id", Found: "nothing", Expected: "an id"})
@@ -71,7 +71,7 @@
 	}
 	e.Changes = slices.Clone(e.Changes)
 	for i, c := range e.Changes {
-		canonical, p := c.canonical()
+		canonical, p := c.canonicalize()
 		if p != nil {
 			p.Path = c.Path
 			found = append(found, *p)
@@ -87,7 +87,7 @@
 
 // canonicalize validates the operation and field of a change and converts its
 // value to canonical text.
-func (c Change) canonical() (Change, *Problem) {
+func (c Change) canonicalize() (Change, *Problem) {
 	switch c.Op {
 	case Set, Unset:
 	case Create, Remove, Move:
@@ -97,23 +97,23 @@
 	}
 	f, ok := Lookup(c.Field)
 	if !ok {
-		return c, unknownField(c.Field)
+		return c, unknownFieldProblem(c.Field)
 	}
 	if c.Op == Unset {
 		return c, nil
 	}
-	value, p := f.Canon(c.Value)
+	value, p := f.Canonicalize(c.Value)
 	c.Value = value
 	return c, p
 }
 
 // applyAccepted applies the changes of an accepted edit, checks the result and
 // appends the edit to the log.
-func (d Document) advance(e Edit) (Document, error) {
+func (d Document) applyAccepted(e Edit) (Document, error) {
 	next := Document{Revision: e.Revision, Nodes: maps.Clone(d.Nodes)}
 	var found Problems
 	for _, c := range e.Changes {
-		if p := next.step(c); p != nil {
+		if p := next.applyChange(c); p != nil {
 			p.Path = c.Path
 			found = append(found, *p)
 		}
@@ -124,17 +124,17 @@
 	if found = next.Check(); len(found) > 0 {
 		return d, found
 	}
-	next.Edits = trim(append(slices.Clone(d.Edits), e))
+	next.Edits = trimLog(append(slices.Clone(d.Edits), e))
 	return next, nil
 }
 
 // trimLog returns the latest edits that fit within maxLogEdits and
 // maxLogChanges.
-func trim(log []Edit) []Edit {
+func trimLog(log []Edit) []Edit {
 	changes, edits := 0, 0
 	for i := len(log) - 1; i >= 0; i-- {
 		changes += len(log[i].Changes)
-		if edits > 0 && (edits == maxLog || changes > maxChanges) {
+		if edits > 0 && (edits == maxLogEdits || changes > maxLogChanges) {
 			break
 		}
 		edits++
@@ -144,8 +144,8 @@
 
 // applyChange applies a change to the nodes of d in place. The caller must own
 // the map d.Nodes; the values of a node are cloned.
-func (d Document) step(c Change) *Problem {
-	c, p := c.canonical()
+func (d Document) applyChange(c Change) *Problem {
+	c, p := c.canonicalize()
 	if p != nil {
 		return p
 	}
@@ -158,7 +158,7 @@
 		return nil
 	}
 	if !ok {
-		return &Problem{Found: "no such node", Expected: "a node of the tree", Hint: nearest(c.Path, d.paths())}
+		return &Problem{Found: "no such node", Expected: "a node of the tree", Hint: closestName(c.Path, d.paths())}
 	}
 	switch c.Op {
 	case Remove:
--- a/pkg/tree/edit_test.go
+++ b/pkg/tree/edit_test.go
@@ -11,7 +11,7 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-var start = time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
+var acceptTime = time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
 
 func set(path, field, value string) tree.Change {
 	return tree.Change{Op: tree.Set, Path: path, Field: field, Value: value}
@@ -35,7 +35,7 @@
 
 // newSite returns a document of revision 1 with a group of two services, one of
 // which overrides slots.
-func site(q *qt.C) tree.Document {
+func newSite(q *qt.C) tree.Document {
 	return apply(q, tree.New(), edit("first", 0,
 		create("/g", tree.GroupKind), create("/g/s", tree.ServiceKind), create("/g/t", tree.ServiceKind),
 		set("/g/s", "slots", "4")))
@@ -45,7 +45,7 @@
 func apply(q *qt.C, d tree.Document, edits ...tree.Edit) tree.Document {
 	q.Helper()
 	for _, e := range edits {
-		next, _, err := d.Apply(e, start)
+		next, _, err := d.Apply(e, acceptTime)
 		q.Assert(err, qt.IsNil)
 		d = next
 	}
@@ -57,7 +57,7 @@
 // value, a value that the second one inherits, or a node that now inherits the value
 // that the second one sets. It must then be rejected with a Conflict that holds both
 // edits. Any other edit is applied to revision 2.
-func TestRace(t *testing.T) {
+func TestConflict(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		first    tree.Change
@@ -84,8 +84,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := qt.New(t)
-			d := apply(q, site(q), edit("one", 1, c.first))
-			next, _, err := d.Apply(edit("two", 1, c.second), start)
+			d := apply(q, newSite(q), edit("one", 1, c.first))
+			next, _, err := d.Apply(edit("two", 1, c.second), acceptTime)
 			if !c.conflict {
 				q.Assert(err, qt.IsNil)
 				q.Assert(next.Revision, qt.Equals, uint64(3))
@@ -93,8 +93,8 @@
 			}
 			var conflict *tree.Conflict
 			q.Assert(errors.As(err, &conflict), qt.IsTrue, qt.Commentf("%v", err))
-			q.Assert(conflict.Theirs.ID, qt.Equals, "one")
-			q.Assert(conflict.Mine.ID, qt.Equals, "two")
+			q.Assert(conflict.Accepted.ID, qt.Equals, "one")
+			q.Assert(conflict.Rejected.ID, qt.Equals, "two")
 			q.Assert(tree.Encode(next), qt.DeepEquals, tree.Encode(d))
 		})
 	}
@@ -105,17 +105,17 @@
 // reported as a conflict with itself.
 func TestResend(t *testing.T) {
 	q := qt.New(t)
-	d := apply(q, site(q), edit("one", 1, set("/g/s", "timeout", "1s")), edit("two", 2, set("/g/s", "timeout", "2s")))
-	next, accepted, err := d.Apply(edit("one", 1, set("/g/s", "timeout", "1000ms")), start)
+	d := apply(q, newSite(q), edit("one", 1, set("/g/s", "timeout", "1s")), edit("two", 2, set("/g/s", "timeout", "2s")))
+	next, accepted, err := d.Apply(edit("one", 1, set("/g/s", "timeout", "1000ms")), acceptTime)
 	q.Assert(err, qt.IsNil)
 	q.Assert(accepted.Revision, qt.Equals, uint64(2))
 	q.Assert(next.Revision, qt.Equals, uint64(3))
-	_, _, err = d.Apply(edit("one", 1, set("/g/s", "timeout", "9s")), start)
+	_, _, err = d.Apply(edit("one", 1, set("/g/s", "timeout", "9s")), acceptTime)
 	q.Assert(err, qt.ErrorMatches, "conflict: edit id one was used by another edit, revision 2")
 }
 
 // A rejected edit names the problem and leaves the document unchanged.
-func TestRefusedEdits(t *testing.T) {
+func TestRejectedEdits(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		edit tree.Edit
@@ -138,8 +138,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := qt.New(t)
-			d := site(q)
-			next, _, err := d.Apply(c.edit, start)
+			d := newSite(q)
+			next, _, err := d.Apply(c.edit, acceptTime)
 			q.Assert(err, qt.ErrorMatches, c.want)
 			q.Assert(next.Revision, qt.Equals, d.Revision)
 		})
@@ -150,24 +150,24 @@
 // rejected, and EditsFrom must report that it cannot return all edits.
 func TestStaleBase(t *testing.T) {
 	q := qt.New(t)
-	d := site(q)
+	d := newSite(q)
 	for i := range 200 {
 		d = apply(q, d, edit(fmt.Sprintf("e%d", i), d.Revision, set("/g", "slots", fmt.Sprint(1+i%9))))
 	}
 	q.Assert(len(d.Edits) < 200, qt.IsTrue)
-	_, _, err := d.Apply(edit("late", 2, set("/", "timeout", "1s")), start)
+	_, _, err := d.Apply(edit("late", 2, set("/", "timeout", "1s")), acceptTime)
 	q.Assert(err, qt.ErrorMatches, "conflict: found base revision 2, expected .* or newer; read the settings again")
-	_, ok := d.Since(2)
+	_, ok := d.EditsFrom(2)
 	q.Assert(ok, qt.IsFalse)
-	edits, ok := d.Since(d.Revision - 3)
+	edits, ok := d.EditsFrom(d.Revision - 3)
 	q.Assert(ok, qt.IsTrue)
 	q.Assert(edits, qt.HasLen, 4)
 }
 
 // Applying the changes that Diff returns must yield the other document.
-func TestDiffLeadsToOther(t *testing.T) {
+func TestApplyDiff(t *testing.T) {
 	q := qt.New(t)
-	d := site(q)
+	d := newSite(q)
 	other := apply(q, d, edit("x", 1, create("/g/u", tree.ServiceKind), remove("/g/t"),
 		set("/g/u", "slots", "3"), unset("/g/s", "slots"), tree.Change{Op: tree.Move, Path: "/g/s", Parent: "/"}))
 	changed := apply(q, d, edit("y", 1, d.Diff(other)...))
--- a/pkg/tree/merge.go
+++ b/pkg/tree/merge.go
@@ -7,14 +7,14 @@
 )
 
 // MergeResult is the outcome of Merge.
-type Verdict int
+type MergeResult int
 
 // Outcomes of Merge.
 const (
-	Same     Verdict = iota // the incoming document has the same revision and nothing new
-	Taken                   // the incoming document is newer and contains every edit of the current one
-	Older                   // the incoming document is older and the current one contains all its edits
-	Diverged                // each document has an edit that the other lacks; see MergeDiverged
+	Same        MergeResult = iota // the incoming document has the same revision and nothing new
+	FastForward                    // the incoming document is newer and contains every edit of the current one
+	Older                          // the incoming document is older and the current one contains all its edits
+	Diverged                       // each document has an edit that the other lacks; see MergeDiverged
 )
 
 // Merge chooses between the current document and a valid one received from the
@@ -22,26 +22,26 @@
 //
 // This matters when the store is restored from a backup and returns older data:
 // entries would otherwise revert to settings that an operator has replaced.
-func Merge(current, incoming Document) (Document, Verdict) {
+func Merge(current, incoming Document) (Document, MergeResult) {
 	if current.Revision == 0 {
-		return newer(current, incoming)
+		return mergeLinear(current, incoming)
 	}
 	switch {
-	case len(Missing(incoming, current)) > 0 && incoming.Revision >= current.Revision:
+	case len(MissingEdits(incoming, current)) > 0 && incoming.Revision >= current.Revision:
 		return current, Diverged
-	case len(Missing(current, incoming)) > 0 && incoming.Revision <= current.Revision:
+	case len(MissingEdits(current, incoming)) > 0 && incoming.Revision <= current.Revision:
 		return current, Diverged
 	case incoming.Revision == current.Revision && !bytes.Equal(Encode(incoming), Encode(current)):
 		return current, Diverged
 	}
-	return newer(current, incoming)
+	return mergeLinear(current, incoming)
 }
 
 // mergeLinear chooses between documents of the same history by revision.
-func newer(current, incoming Document) (Document, Verdict) {
+func mergeLinear(current, incoming Document) (Document, MergeResult) {
 	switch {
 	case incoming.Revision > current.Revision:
-		return incoming, Taken
+		return incoming, FastForward
 	case incoming.Revision < current.Revision:
 		return current, Older
 	}
@@ -50,13 +50,13 @@
 
 // MissingEdits returns the edits of other that d lacks. Edits older than the log of
 // d are ignored.
-func Missing(d, other Document) []Edit {
+func MissingEdits(d, other Document) []Edit {
 	var missing []Edit
 	for _, e := range other.Edits {
-		if e.Revision <= d.oldest() {
+		if e.Revision <= d.oldestBase() {
 			continue
 		}
-		if _, ok := d.Find(e.ID); !ok {
+		if _, ok := d.FindEdit(e.ID); !ok {
 			missing = append(missing, e)
 		}
 	}
@@ -67,16 +67,16 @@
 // d lacks to d. Histories diverge when the store loses its latest writes and then
 // accepts an edit from an entry that has not received them. An edit that conflicts
 // with one of d is logged without its changes and returned in dropped.
-func Join(d, other Document) (merged Document, dropped []Edit) {
+func MergeDiverged(d, other Document) (merged Document, dropped []Edit) {
 	merged = d
-	missing := Missing(d, other)
+	missing := MissingEdits(d, other)
 	for _, e := range missing {
 		e.Revision = merged.Revision + 1
-		next, err := merged.rejoin(e, other)
+		next, err := merged.applyMissing(e, other)
 		if err != nil {
 			dropped = append(dropped, e)
 			e.Changes = nil
-			next, err = merged.advance(e)
+			next, err = merged.applyAccepted(e)
 		}
 		if err != nil {
 			return merged, dropped
@@ -88,24 +88,24 @@
 
 // applyMissing applies an edit of other to d, unless it conflicts with an edit of
 // d that other lacks.
-func (d Document) rejoin(e Edit, other Document) (Document, error) {
+func (d Document) applyMissing(e Edit, other Document) (Document, error) {
 	for _, accepted := range d.Edits {
-		if _, ok := other.Find(accepted.ID); ok || accepted.Revision <= other.oldest() {
+		if _, ok := other.FindEdit(accepted.ID); ok || accepted.Revision <= other.oldestBase() {
 			continue
 		}
 		for _, change := range e.Changes {
 			for _, acceptedChange := range accepted.Changes {
-				if d.touches(change, acceptedChange) {
-					return d, &Conflict{Mine: e, Change: change, Theirs: accepted, Their: acceptedChange}
+				if d.conflicts(change, acceptedChange) {
+					return d, &Conflict{Rejected: e, RejectedChange: change, Accepted: accepted, AcceptedChange: acceptedChange}
 				}
 			}
 		}
 	}
-	return d.advance(e)
+	return d.applyAccepted(e)
 }
 
 // ErrHistoryMismatch means that edits do not continue the history of a document.
-var ErrGap = errors.New("edits do not continue the history of the document")
+var ErrHistoryMismatch = errors.New("edits do not continue the history of the document")
 
 // EditsFrom returns the edits from the given revision on, including the edit that
 // created it, and reports whether the log reaches back that far.
@@ -113,8 +113,8 @@
 // The first edit lets the receiver verify that its own history is the same.
 // Without it, diverged histories would mix unnoticed and entries would use
 // settings that nobody accepted.
-func (d Document) Since(revision uint64) (edits []Edit, ok bool) {
-	if revision <= d.oldest() || revision > d.Revision {
+func (d Document) EditsFrom(revision uint64) (edits []Edit, ok bool) {
+	if revision <= d.oldestBase() || revision > d.Revision {
 		return nil, false
 	}
 	for _, e := range d.Edits {
@@ -132,19 +132,19 @@
 	defer func() { err = errors.WithMessage(err, "replay") }()
 	next = d
 	if len(edits) > 0 && edits[0].Revision > d.Revision {
-		return d, ErrGap
+		return d, ErrHistoryMismatch
 	}
 	for _, e := range edits {
 		if e.Revision <= next.Revision {
-			if logged, ok := next.Find(e.ID); !ok || logged.Revision != e.Revision {
-				return d, ErrGap
+			if logged, ok := next.FindEdit(e.ID); !ok || logged.Revision != e.Revision {
+				return d, ErrHistoryMismatch
 			}
 			continue
 		}
 		if e.Revision != next.Revision+1 {
-			return d, ErrGap
+			return d, ErrHistoryMismatch
 		}
-		if next, err = next.advance(e); err != nil {
+		if next, err = next.applyAccepted(e); err != nil {
 			return d, err
 		}
 	}
--- a/pkg/tree/merge_test.go
+++ b/pkg/tree/merge_test.go
@@ -14,7 +14,7 @@
 // then gets an edit accepted on the older data. Both histories contain accepted
 // edits, so neither may replace the other: an accepted edit would vanish. The
 // merged document must contain all edits, and conflicting ones must be returned.
-func TestDiverged(t *testing.T) {
+func TestMergeDiverged(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		ours    []tree.Change
@@ -28,7 +28,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := qt.New(t)
-			base := site(q)
+			base := newSite(q)
 			applyAll := func(side string, changes []tree.Change) tree.Document {
 				d := base
 				for i, change := range changes {
@@ -40,12 +40,12 @@
 			current, result := tree.Merge(ours, theirs)
 			q.Assert(result, qt.Equals, tree.Diverged)
 			q.Assert(current.Revision, qt.Equals, ours.Revision)
-			merged, dropped := tree.Join(theirs, ours)
+			merged, dropped := tree.MergeDiverged(theirs, ours)
 			q.Assert(dropped, qt.HasLen, c.dropped)
 			q.Assert(merged.Revision, qt.Equals, uint64(1+len(c.ours)+len(c.theirs)))
 			for _, side := range []tree.Document{ours, theirs} {
 				_, result := tree.Merge(side, merged)
-				q.Assert(result, qt.Equals, tree.Taken)
+				q.Assert(result, qt.Equals, tree.FastForward)
 			}
 		})
 	}
@@ -54,27 +54,27 @@
 // Two histories diverged at revision 2. An entry with one of them receives the edits
 // from revision 2 on from an entry that is at revision 3 of the other. It must not
 // replay them, because that history lacks its own edit 2.
-func TestReplayRefusesAnotherHistory(t *testing.T) {
+func TestReplayRejectsDivergedHistory(t *testing.T) {
 	q := qt.New(t)
-	base := site(q)
+	base := newSite(q)
 	ours := apply(q, base, edit("ours", 1, set("/g/s", "timeout", "1s")))
 	theirs := apply(q, base, edit("a", 1, set("/g/t", "queue", "9")), edit("b", 2, set("/g/t", "slots", "9")))
-	edits, ok := theirs.Since(ours.Revision)
+	edits, ok := theirs.EditsFrom(ours.Revision)
 	q.Assert(ok, qt.IsTrue)
 	current, err := ours.Replay(edits)
-	q.Assert(err, qt.ErrorIs, tree.ErrGap)
+	q.Assert(err, qt.ErrorIs, tree.ErrHistoryMismatch)
 	q.Assert(current.Revision, qt.Equals, ours.Revision)
 	_, err = base.Replay(edits)
-	q.Assert(err, qt.ErrorIs, tree.ErrGap)
+	q.Assert(err, qt.ErrorIs, tree.ErrHistoryMismatch)
 }
 
 // replicas models entries that each hold a copy of the document. They exchange
 // documents and edits in any order, and read documents from a store that may be
 // restored to older data.
-type copies struct {
-	held    []tree.Document // by entry
-	history []tree.Document // the document after each accepted edit, oldest first
-	joins   int
+type replicas struct {
+	documents []tree.Document // by entry
+	history   []tree.Document // the document after each accepted edit, oldest first
+	joins     int
 }
 
 var (
@@ -85,16 +85,16 @@
 // applyRandomEdit applies a random edit to the newest document. Its base revision
 // lies between the document of a random entry, which gets the result, and the
 // newest document.
-func (m *copies) edit(t *rapid.T, n int) {
-	i := rapid.IntRange(0, len(m.held)-1).Draw(t, "entry")
+func (m *replicas) applyRandomEdit(t *rapid.T, n int) {
+	i := rapid.IntRange(0, len(m.documents)-1).Draw(t, "entry")
 	field := rapid.SampledFrom([]string{"timeout", "slots", "queue"}).Draw(t, "field")
 	c := set(rapid.SampledFrom(paths).Draw(t, "path"), field, rapid.SampledFrom(values[field]).Draw(t, "value"))
 	if rapid.Bool().Draw(t, "unset") {
 		c = unset(c.Path, c.Field)
 	}
 	newest := m.history[len(m.history)-1]
-	base := rapid.Uint64Range(m.held[i].Revision, newest.Revision).Draw(t, "base")
-	next, accepted, err := newest.Apply(edit(fmt.Sprint("e", n), base, c), start)
+	base := rapid.Uint64Range(m.documents[i].Revision, newest.Revision).Draw(t, "base")
+	next, accepted, err := newest.Apply(edit(fmt.Sprint("e", n), base, c), acceptTime)
 	if err != nil {
 		return
 	}
@@ -102,13 +102,13 @@
 		t.Fatalf("revision %d after %d", accepted.Revision, newest.Revision)
 	}
 	m.history = append(m.history, next)
-	m.take(t, i, next)
+	m.merge(t, i, next)
 }
 
 // merge merges a document into the copy of entry i and checks that its revision does
 // not decrease.
-func (m *copies) take(t *rapid.T, i int, incoming tree.Document) {
-	before := m.held[i]
+func (m *replicas) merge(t *rapid.T, i int, incoming tree.Document) {
+	before := m.documents[i]
 	after, result := tree.Merge(before, incoming)
 	if after.Revision < before.Revision {
 		t.Fatalf("revision decreased from %d to %d", before.Revision, after.Revision)
@@ -116,75 +116,75 @@
 	if result == tree.Diverged {
 		t.Fatalf("documents of one history reported as diverged: revisions %d and %d", before.Revision, incoming.Revision)
 	}
-	m.held[i] = after
+	m.documents[i] = after
 }
 
 // transfer updates a random entry with a document from the store, or with edits or a
 // document from another entry.
-func (m *copies) pass(t *rapid.T) {
-	to := rapid.IntRange(0, len(m.held)-1).Draw(t, "to")
+func (m *replicas) transfer(t *rapid.T) {
+	to := rapid.IntRange(0, len(m.documents)-1).Draw(t, "to")
 	if rapid.Bool().Draw(t, "store") {
-		m.take(t, to, rapid.SampledFrom(m.history).Draw(t, "older"))
+		m.merge(t, to, rapid.SampledFrom(m.history).Draw(t, "older"))
 		return
 	}
-	from := m.held[rapid.IntRange(0, len(m.held)-1).Draw(t, "from")]
-	edits, ok := from.Since(m.held[to].Revision)
+	from := m.documents[rapid.IntRange(0, len(m.documents)-1).Draw(t, "from")]
+	edits, ok := from.EditsFrom(m.documents[to].Revision)
 	if !ok {
-		m.take(t, to, from)
+		m.merge(t, to, from)
 		return
 	}
-	next, err := m.held[to].Replay(edits)
+	next, err := m.documents[to].Replay(edits)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if from.Revision >= next.Revision && string(tree.Encode(next)) != string(tree.Encode(from)) {
 		t.Fatalf("replayed edits led to a different document at revision %d", next.Revision)
 	}
-	m.take(t, to, next)
+	m.merge(t, to, next)
 }
 
 // Entries exchange documents in any order, and the store may return older ones. The
 // revision at an entry must never decrease.
-func TestMergeNeverGoesBack(t *testing.T) {
-	first := site(qt.New(t))
+func TestMergeNeverLowersRevision(t *testing.T) {
+	first := newSite(qt.New(t))
 	rapid.Check(t, func(t *rapid.T) {
-		m := &copies{history: []tree.Document{first}}
+		m := &replicas{history: []tree.Document{first}}
 		for range 3 {
-			m.held = append(m.held, first)
+			m.documents = append(m.documents, first)
 		}
 		for n := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "edit") {
-				m.edit(t, n)
+				m.applyRandomEdit(t, n)
 				continue
 			}
-			m.pass(t)
+			m.transfer(t)
 		}
 	})
 }
 
 // Two histories diverge by random edits. The merged document must be valid and
 // supersede both.
-func TestJoinKeepsEveryEdit(t *testing.T) {
-	first := site(qt.New(t))
+func TestMergeDivergedSupersedesBoth(t *testing.T) {
+	first := newSite(qt.New(t))
 	rapid.Check(t, func(t *rapid.T) {
 		sides := [2]tree.Document{first, first}
 		for n := range rapid.IntRange(2, 20).Draw(t, "edits") {
 			i := rapid.IntRange(0, 1).Draw(t, "side")
 			field := rapid.SampledFrom([]string{"timeout", "slots"}).Draw(t, "field")
 			c := set(rapid.SampledFrom(paths).Draw(t, "path"), field, rapid.SampledFrom(values[field]).Draw(t, "value"))
-			next, _, err := sides[i].Apply(edit(fmt.Sprint("e", n), sides[i].Revision, c), start)
+			next, _, err := sides[i].Apply(edit(fmt.Sprint("e", n), sides[i].Revision, c), acceptTime)
 			if err != nil {
 				t.Fatal(err)
 			}
 			sides[i] = next
 		}
-		merged, dropped := tree.Join(sides[0], sides[1])
+		merged, dropped := tree.MergeDiverged(sides[0], sides[1])
 		if problems := merged.Check(); len(problems) > 0 {
 			t.Fatal(problems)
 		}
 		for _, side := range sides {
 			after, result := tree.Merge(side, merged)
-			if result != tree.Taken && result != tree.Same {
+			if result != tree.FastForward && result != tree.Same {
 				t.Fatalf("merge result %d: revision %d with %d, %d edits dropped", result, side.Revision, merged.Revision, len(dropped))
 			}
 			if after.Revision != merged.Revision {
--- a/pkg/tree/parse.go
+++ b/pkg/tree/parse.go
@@ -26,13 +26,13 @@
 	if err != nil {
 		return Document{}, Problems{syntaxProblem(file, err)}
 	}
-	p := parser{file: file, ends: lineEnds(text), nodes: map[string]Node{}, lines: map[string]int{}}
-	p.document(root)
-	if len(p.found) > 0 {
-		return Document{}, p.found.sorted()
+	p := parser{file: file, newlines: newlineOffsets(text), nodes: map[string]Node{}, lines: map[string]int{}}
+	p.parseDocument(root)
+	if len(p.problems) > 0 {
+		return Document{}, p.problems.sorted()
 	}
 	d = Document{Nodes: p.nodes}
-	if found := p.locate(d.Check()); len(found) > 0 {
+	if found := p.addLines(d.Check()); len(found) > 0 {
 		return Document{}, found.sorted()
 	}
 	return d, nil
@@ -60,20 +60,20 @@
 // parser collects the nodes of a file, their line numbers, and the problems
 // found.
 type parser struct {
-	file  string
-	ends  []int // byte offsets of the newlines, ascending
-	nodes map[string]Node
-	lines map[string]int // line numbers, keyed by path and by "path member"
-	found Problems
+	file     string
+	newlines []int // byte offsets of the newlines, ascending
+	nodes    map[string]Node
+	lines    map[string]int // line numbers, keyed by path and by "path member"
+	problems Problems
 }
 
 // lineOf returns the line number of a JSON value, starting at 1.
-func (p *parser) line(v hujson.Value) int {
-	return 1 + sort.SearchInts(p.ends, v.StartOffset)
+func (p *parser) lineOf(v hujson.Value) int {
+	return 1 + sort.SearchInts(p.newlines, v.StartOffset)
 }
 
 // newlineOffsets returns the byte offsets of the newlines in text.
-func lineEnds(text []byte) (offsets []int) {
+func newlineOffsets(text []byte) (offsets []int) {
 	for i, c := range text {
 		if c == '\n' {
 			offsets = append(offsets, i)
@@ -83,26 +83,26 @@
 }
 
 // report appends a problem at the line of v.
-func (p *parser) fault(v hujson.Value, path, field, found, expected, hint string) {
-	p.found = append(p.found, Problem{
-		File: p.file, Line: p.line(v), Path: path, Field: field, Found: found, Expected: expected, Hint: hint,
+func (p *parser) report(v hujson.Value, path, field, found, expected, hint string) {
+	p.problems = append(p.problems, Problem{
+		File: p.file, Line: p.lineOf(v), Path: path, Field: field, Found: found, Expected: expected, Hint: hint,
 	})
 }
 
 // eachMember calls visit with the name, the name's JSON value and the value of
 // each member of an object. It reports duplicate names, and v if it is not an
 // object.
-func (p *parser) members(v hujson.Value, path, field, expected string, visit func(name string, nameValue, v hujson.Value)) {
+func (p *parser) eachMember(v hujson.Value, path, field, expected string, visit func(name string, nameValue, v hujson.Value)) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
-		p.fault(v, path, field, describe(v), expected, "")
+		p.report(v, path, field, describe(v), expected, "")
 		return
 	}
 	seen := map[string]bool{}
 	for _, m := range object.Members {
-		name := text(m.Name)
+		name := literalText(m.Name)
 		if seen[name] {
-			p.fault(m.Name, path, field, "a second "+quote(name), "each name once", "")
+			p.report(m.Name, path, field, "a second "+quote(name), "each name once", "")
 			continue
 		}
 		seen[name] = true
@@ -110,61 +110,61 @@
 	}
 }
 
-func (p *parser) document(v hujson.Value) {
-	p.members(v, Root, "", "an object of nodes by path", func(path string, nameValue, v hujson.Value) {
-		p.lines[path] = p.line(nameValue)
-		p.node(path, v)
+func (p *parser) parseDocument(v hujson.Value) {
+	p.eachMember(v, Root, "", "an object of nodes by path", func(path string, nameValue, v hujson.Value) {
+		p.lines[path] = p.lineOf(nameValue)
+		p.parseNode(path, v)
 	})
 }
 
 var nodeMembers = []string{"kind", "parent", "set"}
 
-func (p *parser) node(path string, v hujson.Value) {
+func (p *parser) parseNode(path string, v hujson.Value) {
 	n := Node{}
-	p.members(v, path, "", "an object with kind, parent and set", func(name string, nameValue, v hujson.Value) {
-		p.lines[path+" "+name] = p.line(nameValue)
+	p.eachMember(v, path, "", "an object with kind, parent and set", func(name string, nameValue, v hujson.Value) {
+		p.lines[path+" "+name] = p.lineOf(nameValue)
 		switch name {
 		case "kind":
-			n.Kind = Kind(p.text1(path, name, v))
+			n.Kind = Kind(p.parseString(path, name, v))
 		case "parent":
-			n.Parent = p.text1(path, name, v)
+			n.Parent = p.parseString(path, name, v)
 		case "set":
-			n.Values = p.values(path, v)
+			n.Values = p.parseSettings(path, v)
 		default:
-			p.fault(nameValue, path, name, "unknown member", "kind, parent or set", nearest(name, nodeMembers))
+			p.report(nameValue, path, name, "unknown member", "kind, parent or set", closestName(name, nodeMembers))
 		}
 	})
 	p.nodes[path] = n
 }
 
 // parseString returns the string v, or reports that it is not one.
-func (p *parser) text1(path, name string, v hujson.Value) string {
+func (p *parser) parseString(path, name string, v hujson.Value) string {
 	if literal, ok := v.Value.(hujson.Literal); ok && literal.Kind() == '"' {
 		return literal.String()
 	}
-	p.fault(v, path, name, describe(v), "a string", "")
+	p.report(v, path, name, describe(v), "a string", "")
 	return ""
 }
 
 // parseSettings returns the settings of a node in canonical text.
-func (p *parser) values(path string, v hujson.Value) map[string]string {
+func (p *parser) parseSettings(path string, v hujson.Value) map[string]string {
 	values := map[string]string{}
-	p.members(v, path, "set", "an object of settings", func(name string, nameValue, v hujson.Value) {
-		p.lines[path+" "+name] = p.line(nameValue)
+	p.eachMember(v, path, "set", "an object of settings", func(name string, nameValue, v hujson.Value) {
+		p.lines[path+" "+name] = p.lineOf(nameValue)
 		f, ok := Lookup(name)
 		if !ok {
-			unknown := unknownField(name)
-			p.fault(nameValue, path, name, unknown.Found, unknown.Expected, unknown.Hint)
+			unknown := unknownFieldProblem(name)
+			p.report(nameValue, path, name, unknown.Found, unknown.Expected, unknown.Hint)
 			return
 		}
-		text, ok := plain(v, f.literal)
+		text, ok := settingText(v, f.jsonType)
 		if !ok {
-			p.fault(v, path, name, describe(v), f.expect, "")
+			p.report(v, path, name, describe(v), f.expected, "")
 			return
 		}
-		value, problem := f.Canon(text)
+		value, problem := f.Canonicalize(text)
 		if problem != nil {
-			p.fault(v, path, name, problem.Found, problem.Expected, "")
+			p.report(v, path, name, problem.Found, problem.Expected, "")
 			return
 		}
 		values[name] = value
@@ -173,7 +173,7 @@
 }
 
 // addLines sets the file and line of the problems that Check returned.
-func (p *parser) locate(found Problems) Problems {
+func (p *parser) addLines(found Problems) Problems {
 	for i := range found {
 		found[i].File = p.file
 		line, ok := p.lines[found[i].Path+" "+found[i].Field]
@@ -186,25 +186,25 @@
 }
 
 // literalText returns the text of a literal, such as the name of a member.
-func text(v hujson.Value) string {
+func literalText(v hujson.Value) string {
 	literal, _ := v.Value.(hujson.Literal)
 	return literal.String()
 }
 
 // settingText returns a JSON value as the text of a setting, if the value has the
 // wanted JSON type.
-func plain(v hujson.Value, want literal) (string, bool) {
+func settingText(v hujson.Value, want jsonType) (string, bool) {
 	switch value := v.Value.(type) {
 	case *hujson.Array:
-		return plainList(value, want)
+		return settingListText(value, want)
 	case hujson.Literal:
 		switch value.Kind() {
 		case '"':
-			return value.String(), want == textLiteral
+			return value.String(), want == jsonString
 		case '0':
-			return string(value), want == numberLiteral
+			return string(value), want == jsonNumber
 		case 't', 'f':
-			return string(value), want == flagLiteral
+			return string(value), want == jsonBool
 		}
 	}
 	return "", false
@@ -212,13 +212,13 @@
 
 // settingListText joins the strings of an array with commas. It rejects elements
 // that splitList would not return unchanged.
-func plainList(array *hujson.Array, want literal) (string, bool) {
-	if want != listLiteral {
+func settingListText(array *hujson.Array, want jsonType) (string, bool) {
+	if want != jsonStringList {
 		return "", false
 	}
 	var parts []string
 	for _, element := range array.Elements {
-		s, ok := plain(element, textLiteral)
+		s, ok := settingText(element, jsonString)
 		if !ok || strings.Contains(s, ",") || strings.TrimSpace(s) != s || s == "" {
 			return "", false
 		}
--- a/pkg/tree/parse_test.go
+++ b/pkg/tree/parse_test.go
@@ -31,7 +31,7 @@
 			p, origins, err := d.Resolve(c.service)
 			q.Assert(err, qt.IsNil)
 			q.Assert(p.Timeout, qt.Equals, c.timeout)
-			q.Assert(origins[0].From, qt.Equals, c.from)
+			q.Assert(origins[0].Source, qt.Equals, c.from)
 			q.Assert(d.Services(), qt.HasLen, c.services)
 			q.Assert(d.Places(), qt.HasLen, 3)
 		})
--- a/pkg/tree/path.go
+++ b/pkg/tree/path.go
@@ -8,7 +8,7 @@
 // maxDepth is the maximum number of names in a path. pathPattern has the same limit.
 const maxDepth = 8
 
-var pathForm = regexp.MustCompile(`^(/|(/[a-z0-9][a-z0-9.-]{0,62}){1,8})$`)
+var pathPattern = regexp.MustCompile(`^(/|(/[a-z0-9][a-z0-9.-]{0,62}){1,8})$`)
 
 // Name returns the last name of a path. Callers and VMs refer to a service or place
 // by this name.
@@ -17,7 +17,7 @@
 }
 
 // enclosingPath returns the path without its last name, empty for the root.
-func enclosing(path string) string {
+func enclosingPath(path string) string {
 	if path == Root {
 		return ""
 	}
@@ -33,12 +33,12 @@
 	if n.Parent != "" && path != Root {
 		return n.Parent
 	}
-	return enclosing(path)
+	return enclosingPath(path)
 }
 
 // chainToRoot returns the paths from a node up to the root. The chain is incomplete
 // if a parent is missing or the parents form a cycle.
-func (d Document) chain(path string) (paths []string, complete bool) {
+func (d Document) chainToRoot(path string) (paths []string, complete bool) {
 	seen := map[string]bool{}
 	for path != "" {
 		n, ok := d.Nodes[path]
--- a/pkg/tree/problem.go
+++ b/pkg/tree/problem.go
@@ -71,7 +71,7 @@
 
 // closestName returns the known name with the smallest edit distance to a misspelled
 // one, or an empty string if none is similar.
-func nearest(name string, known []string) string {
+func closestName(name string, known []string) string {
 	const maxDistance = 3
 	closest, least := "", maxDistance+1
 	for _, k := range known {
@@ -91,9 +91,9 @@
 	return names
 }
 
-func unknownField(name string) *Problem {
+func unknownFieldProblem(name string) *Problem {
 	return &Problem{
 		Field: name, Found: "unknown field", Expected: "a field of docs/SETTINGS.md",
-		Hint: nearest(name, fieldNames()),
+		Hint: closestName(name, fieldNames()),
 	}
 }
--- a/pkg/tree/resolve.go
+++ b/pkg/tree/resolve.go
@@ -7,10 +7,10 @@
 )
 
 // ResolvedValue is the value of a field in effect at a node, with its source.
-type Origin struct {
-	Field string
-	Value string // canonical text
-	From  string // path of the node that sets the value; empty for the default
+type ResolvedValue struct {
+	Field  string
+	Value  string // canonical text
+	Source string // path of the node that sets the value; empty for the default
 }
 
 // ErrNoNode means that there is no node at a path.
@@ -18,17 +18,17 @@
 
 // Resolve returns the values in effect at a node, as a policy and as a list in the
 // order of Fields.
-func (d Document) Resolve(path string) (p Policy, values []Origin, err error) {
+func (d Document) Resolve(path string) (p Policy, values []ResolvedValue, err error) {
 	defer func() { err = errors.WithMessage(err, path) }()
 	if _, ok := d.Nodes[path]; !ok {
 		return Policy{}, nil, ErrNoNode
 	}
-	chain, complete := d.chain(path)
+	chain, complete := d.chainToRoot(path)
 	if !complete {
 		return Policy{}, nil, errors.New("parents do not lead to the root")
 	}
 	for _, f := range Fields {
-		value := d.origin(f, chain)
+		value := d.resolveField(f, chain)
 		f.assign(&p, value.Value)
 		values = append(values, value)
 	}
@@ -37,13 +37,13 @@
 
 // resolveField returns the value that the first node of chain sets, or the
 // default. The chain runs from a node to the root.
-func (d Document) origin(f Field, chain []string) Origin {
+func (d Document) resolveField(f Field, chain []string) ResolvedValue {
 	for _, path := range chain {
 		if v, ok := d.Nodes[path].Values[f.Name]; ok {
-			return Origin{Field: f.Name, Value: v, From: path}
+			return ResolvedValue{Field: f.Name, Value: v, Source: path}
 		}
 	}
-	return Origin{Field: f.Name, Value: f.Default}
+	return ResolvedValue{Field: f.Name, Value: f.Default}
 }
 
 // Service is a service with the policy in effect.
--- a/pkg/tree/wire.go
+++ b/pkg/tree/wire.go
@@ -60,12 +60,12 @@
 func Decode(b []byte) (d Document, err error) {
 	defer func() { err = errors.WithMessage(err, "settings document") }()
 	var j documentJSON
-	if err := strict(b, &j); err != nil {
+	if err := decodeStrict(b, &j); err != nil {
 		return Document{}, err
 	}
 	d = Document{Revision: j.Revision, Nodes: map[string]Node{}}
 	for path, n := range j.Nodes {
-		d.Nodes[path] = Node{Kind: Kind(n.Kind), Parent: n.Parent, Values: canonicalValues(n.Set)}
+		d.Nodes[path] = Node{Kind: Kind(n.Kind), Parent: n.Parent, Values: canonicalizeValues(n.Set)}
 	}
 	for _, e := range j.Edits {
 		d.Edits = append(d.Edits, editFromJSON(e))
@@ -90,7 +90,7 @@
 func DecodeEdit(b []byte) (e Edit, err error) {
 	defer func() { err = errors.WithMessage(err, "settings edit") }()
 	var j editJSON
-	if err := strict(b, &j); err != nil {
+	if err := decodeStrict(b, &j); err != nil {
 		return Edit{}, err
 	}
 	if j.ID == "" {
@@ -100,7 +100,7 @@
 }
 
 // decodeStrict decodes exactly one JSON value and rejects unknown members.
-func strict(b []byte, into any) error {
+func decodeStrict(b []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(b))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
@@ -114,10 +114,10 @@
 
 // canonicalizeValues converts valid values to canonical text in place. Invalid
 // values stay unchanged for Check to report.
-func canonicalValues(set map[string]string) map[string]string {
+func canonicalizeValues(set map[string]string) map[string]string {
 	for name, text := range set {
 		if f, ok := Lookup(name); ok {
-			if value, problem := f.Canon(text); problem == nil {
+			if value, problem := f.Canonicalize(text); problem == nil {
 				set[name] = value
 			}
 		}
--- a/pkg/tree/wire_test.go
+++ b/pkg/tree/wire_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestDecodeErrors(t *testing.T) {
-	encoded := string(tree.Encode(site(qt.New(t))))
+	encoded := string(tree.Encode(newSite(qt.New(t))))
 	for _, c := range []struct {
 		name string
 		text string
@@ -52,13 +52,13 @@
 			}
 			return
 		}
-		roundTrip(t, d)
+		checkRoundTrip(t, d)
 	})
 }
 
 func FuzzDecode(f *testing.F) {
 	f.Add(tree.Encode(tree.New()))
-	f.Add(tree.Encode(site(qt.New(f))))
+	f.Add(tree.Encode(newSite(qt.New(f))))
 	f.Add([]byte(`{"revision":1,"nodes":{"/":{"kind":"root"},"/a":{"kind":"group","parent":"/a"}},"edits":[{"id":"x","revision":1}]}`))
 	f.Add([]byte(`{"revision":18446744073709551615,"nodes":{"/":{"kind":"root"}},"edits":[{"id":"x","revision":18446744073709551615}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -66,7 +66,7 @@
 		if err != nil {
 			return
 		}
-		roundTrip(t, d)
+		checkRoundTrip(t, d)
 	})
 }
 
@@ -78,20 +78,20 @@
 		if err != nil {
 			return
 		}
-		d := site(qt.New(t))
+		d := newSite(qt.New(t))
 		next, err := d.Replay([]tree.Edit{d.Edits[0], e})
 		if err != nil && next.Revision != d.Revision {
 			t.Fatalf("a rejected edit led to revision %d", next.Revision)
 		}
 		if err == nil {
-			roundTrip(t, next)
+			checkRoundTrip(t, next)
 		}
 	})
 }
 
 // checkRoundTrip checks that a valid document does not change when it is encoded
 // and decoded, and that every node resolves.
-func roundTrip(t *testing.T, d tree.Document) {
+func checkRoundTrip(t *testing.T, d tree.Document) {
 	decoded, err := tree.Decode(tree.Encode(d))
 	if err != nil {
 		t.Fatalf("decode encoded document: %v", err)
--- a/settings.go
+++ b/settings.go
@@ -200,7 +200,7 @@
 func (f *reader) printNode(n settings.Node) error {
 	v := nodeView{Revision: n.Revision, Path: n.Path, Kind: string(n.Kind)}
 	for _, o := range n.Values {
-		from := o.From
+		from := o.Source
 		if from == "" {
 			from = "default"
 		}
