--- a/apply.go
+++ b/apply.go
@@ -16,7 +16,7 @@
 )
 
 func settingsApply() *command {
-	f := newWriter()
+	f := newEditFlags()
 	var file string
 	sub := flaggy.NewSubcommand("apply")
 	sub.Description = "replace the whole settings tree by a settings file, as one edit"
@@ -40,7 +40,7 @@
 }
 
 func settingsDiff() *command {
-	var f reader
+	var f readFlags
 	var file string
 	sub := flaggy.NewSubcommand("diff")
 	sub.Description = "show what a settings file would change"
@@ -58,7 +58,7 @@
 		}
 		a, err := c.Diff(ctx, settings.Proposal{File: file, Text: text})
 		if err != nil {
-			return withExit(err)
+			return withExitCode(err)
 		}
 		if f.asJSON {
 			return printJSON(diffView{a.Revision, changeTexts(a.Changes)})
@@ -77,10 +77,10 @@
 }
 
 // revisionPollPeriod is the pause between two polls of the entries' revisions.
-const awaitPeriod = 200 * time.Millisecond
+const revisionPollPeriod = 200 * time.Millisecond
 
 // entryRevisionsView is the part of an entry's status that awaitRevision reads.
-type forceView struct {
+type entryRevisionsView struct {
 	Entries []struct {
 		Name     string `json:"name"`
 		Settings uint64 `json:"settings"`
@@ -99,7 +99,7 @@
 		}
 		showProgress(revision, late)
 		select {
-		case <-time.After(awaitPeriod):
+		case <-time.After(revisionPollPeriod):
 		case <-ctx.Done():
 			if err == nil {
 				err = errors.Errorf("not in force after %s at %s", within, strings.Join(late, ", "))
@@ -110,11 +110,11 @@
 }
 
 func lateEntries(ctx context.Context, addr string, revision uint64) (late []string, err error) {
-	body, err := ask(ctx, http.MethodGet, addr, "/v1/status")
+	body, err := requestEntry(ctx, http.MethodGet, addr, "/v1/status")
 	if err != nil {
 		return nil, err
 	}
-	var v forceView
+	var v entryRevisionsView
 	if err := json.Unmarshal(body, &v); err != nil {
 		return nil, errors.WithMessage(err, "status")
 	}
--- a/ask.go
+++ b/ask.go
@@ -12,16 +12,16 @@
 )
 
 // entryRequestTimeout bounds one request to an entry.
-const askTimeout = 10 * time.Second
+const entryRequestTimeout = 10 * time.Second
 
 // requestEntry sends a request without a body to an entry and returns the body of the
 // response. If the status is not 200, the error contains the status and the body.
-func ask(ctx context.Context, method, addr, path string) (body []byte, err error) {
+func requestEntry(ctx context.Context, method, addr, path string) (body []byte, err error) {
 	defer func() { err = errors.WithMessagef(err, "entry %s", addr) }()
 	if addr == "" {
 		return nil, exitError{exitUsage, errors.New("--entry: found nothing, expected host:port")}
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, entryRequestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
@@ -43,8 +43,8 @@
 
 // printResponse sends a GET request to an entry and prints the body of the response
 // unchanged.
-func printAnswer(ctx context.Context, addr, path string) (err error) {
-	body, err := ask(ctx, http.MethodGet, addr, path)
+func printResponse(ctx context.Context, addr, path string) (err error) {
+	body, err := requestEntry(ctx, http.MethodGet, addr, path)
 	if err != nil {
 		return err
 	}
--- a/boot_proof_test.go
+++ b/boot_proof_test.go
@@ -10,31 +10,31 @@
 // An entry boots while the store, which also serves the VM list, is down. It gets the
 // settings from its peers, but has no targets and refuses all requests. Locate responses
 // may name it only once it can serve: every entry in any locate response must answer.
-func TestEntryBootedInAnOutageHurtsNoCaller(t *testing.T) {
+func TestEntryBootedInStoreOutageServesOnceNamed(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
 	s := newCluster(t, 2, 2, time.Millisecond)
-	code, out := s.operate(t, 0, "settings", "set", ledger, "entries", "3", "--wait")
+	code, out := s.runCommand(t, 0, "settings", "set", servicePath, "entries", "3", "--wait")
 	q.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", out))
-	s.faults(t, `{"down":true}`)
+	s.setFaults(t, `{"down":true}`)
 	n := s.startEntry(t)
 	s.awaitRevision(t, s.revision(0), time.Now(), n)
-	eventually(t, "every entry sees the new one as live", func() bool { return s.live(0) == 3 && s.live(1) == 3 && s.live(n) == 3 })
+	eventually(t, "every entry sees the new one as live", func() bool { return s.liveEntries(0) == 3 && s.liveEntries(1) == 3 && s.liveEntries(n) == 3 })
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for queried := range s.entries {
-			for _, named := range s.homes(t, queried) {
+			for _, named := range s.preferredEntries(t, queried) {
 				id := newKey()
 				a := s.get(named, id, 5*time.Second)
-				q.Assert(a.whole(id), qt.IsTrue, qt.Commentf("named by entry %d, entry %d: %+v", queried, named, a))
+				q.Assert(a.complete(id), qt.IsTrue, qt.Commentf("named by entry %d, entry %d: %+v", queried, named, a))
 			}
 		}
 	}
-	s.faults(t, `{}`)
-	eventually(t, "the new entry is named once the store is back", func() bool { return len(s.homes(t, 0)) == 3 && len(s.homes(t, n)) == 3 })
+	s.setFaults(t, `{}`)
+	eventually(t, "the new entry is named once the store is back", func() bool { return len(s.preferredEntries(t, 0)) == 3 && len(s.preferredEntries(t, n)) == 3 })
 }
 
 // liveEntries returns the number of entries that an entry sees as live.
-func (c *cluster) live(n int) (live int) {
+func (c *cluster) liveEntries(n int) (liveEntries int) {
 	var s struct {
 		Entries []struct {
 			Live bool `json:"live"`
@@ -43,8 +43,8 @@
 	_ = getJSON("http://"+c.operators(n)+"/v1/status", &s)
 	for _, e := range s.Entries {
 		if e.Live {
-			live++
+			liveEntries++
 		}
 	}
-	return live
+	return liveEntries
 }
--- a/cluster_test.go
+++ b/cluster_test.go
@@ -23,23 +23,23 @@
 // cluster is a site whose parts run as processes: a store, targets of one service and
 // entries.
 type cluster struct {
-	store   string
-	targets []*process
-	entries []*process
-	names   []string
+	store      string
+	targets    []*process
+	entries    []*process
+	entryNames []string
 }
 
 // clusterSlots bounds the number of clusters that run at a time, so that parallel tests
 // don't starve each other's entries of CPU time.
-var clusters = make(chan struct{}, 3)
+var clusterSlots = make(chan struct{}, 3)
 
-const provedService = "deposit-ledger"
+const testService = "deposit-ledger"
 
 func (c *cluster) callers(n int) string   { return c.entries[n].addrs[0] }
 func (c *cluster) operators(n int) string { return c.entries[n].addrs[1] }
 func (c *cluster) peers(n int) string     { return c.entries[n].addrs[2] }
 
-var provedPlaces = []string{"fremantle-hall", "subiaco-hall", "joondalup-hall"}
+var testPlaces = []string{"fremantle-hall", "subiaco-hall", "joondalup-hall"}
 
 // newCluster starts a cluster and waits until each entry answers keyed requests and sees
 // all entries as ready.
@@ -56,8 +56,8 @@
 // newStore starts a cluster that has only a store with the settings.
 func newStore(t *testing.T) *cluster {
 	t.Helper()
-	clusters <- struct{}{}
-	t.Cleanup(func() { <-clusters })
+	clusterSlots <- struct{}{}
+	t.Cleanup(func() { <-clusterSlots })
 	return &cluster{store: "http://" + spawn(t, 1, "standin", "store", "--settings", "examples/swanbourne.json").addrs[0]}
 }
 
@@ -67,8 +67,8 @@
 	t.Helper()
 	n := len(c.targets)
 	p := spawn(t, 1, append([]string{
-		"standin", "target", "--name", targetName(n), "--service", provedService,
-		"--place", provedPlaces[n%3], "--mean", mean.String(), "--sigma", "0",
+		"standin", "target", "--name", targetName(n), "--service", testService,
+		"--place", testPlaces[n%3], "--mean", mean.String(), "--sigma", "0",
 	}, args...)...)
 	c.targets = append(c.targets, p)
 	return p
@@ -104,25 +104,25 @@
 	}
 	file := filepath.Join(t.TempDir(), "entry.json")
 	text, err := json.Marshal(map[string]any{
-		"name": name, "region": "perth-metro", "place": provedPlaces[n%3],
+		"name": name, "region": "perth-metro", "place": testPlaces[n%3],
 		"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "operators": "127.0.0.1:0",
 		"platform": c.store, "seeds": seeds,
 	})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, os.WriteFile(file, text, 0o600), qt.IsNil)
 	c.entries = append(c.entries, spawn(t, 3, "entry", file))
-	c.names = append(c.names, name)
+	c.entryNames = append(c.entryNames, name)
 	return n
 }
 
 // ready reports whether an entry sees the given number of ready entries and answers a
 // keyed request.
 func (c *cluster) ready(n, entries int) bool {
-	return c.serving(n) == entries && c.post(n, newKey(), time.Second).status == http.StatusOK
+	return c.readyEntries(n) == entries && c.post(n, newKey(), time.Second).status == http.StatusOK
 }
 
 // readyEntries returns the number of entries that an entry sees as live and ready.
-func (c *cluster) serving(n int) (serving int) {
+func (c *cluster) readyEntries(n int) (readyEntries int) {
 	var s struct {
 		Entries []struct {
 			Live  bool `json:"live"`
@@ -132,16 +132,16 @@
 	_ = getJSON("http://"+c.operators(n)+"/v1/status", &s)
 	for _, e := range s.Entries {
 		if e.Live && e.Ready {
-			serving++
+			readyEntries++
 		}
 	}
-	return serving
+	return readyEntries
 }
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
 // callResult is the response to a request, or the error in its place.
-type told struct {
+type callResult struct {
 	status  int
 	outcome string
 	reason  string
@@ -151,22 +151,22 @@
 }
 
 // post sends a keyed request to an entry.
-func (c *cluster) post(n int, key string, timeout time.Duration) told {
+func (c *cluster) post(n int, key string, timeout time.Duration) callResult {
 	return c.send(n, http.MethodPost, "/deposits", key, timeout)
 }
 
 // get sends an idempotent request to an entry.
-func (c *cluster) get(n int, id string, timeout time.Duration) told {
+func (c *cluster) get(n int, id string, timeout time.Duration) callResult {
 	return c.send(n, http.MethodGet, "/deposits", id, timeout)
 }
 
 // send sends a request. Unless it is a GET, its id is also its idempotency key.
-func (c *cluster) send(n int, method, path, id string, timeout time.Duration) told {
+func (c *cluster) send(n int, method, path, id string, timeout time.Duration) callResult {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.callers(n)+"/v1/call/"+provedService+path, nil)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.callers(n)+"/v1/call/"+testService+path, nil)
 	if err != nil {
-		return told{err: err}
+		return callResult{err: err}
 	}
 	if method != http.MethodGet {
 		// A body that can't be replayed prevents http.Transport from resending
@@ -179,17 +179,17 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	res, err := client.Do(req)
 	if err != nil {
-		return told{err: err}
+		return callResult{err: err}
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	h := res.Header
-	return told{res.StatusCode, h.Get(call.HeaderOutcome), h.Get(call.HeaderReason), h.Get("Plumpitch-Replay") != "", string(body), err}
+	return callResult{res.StatusCode, h.Get(call.HeaderOutcome), h.Get(call.HeaderReason), h.Get("Plumpitch-Replay") != "", string(body), err}
 }
 
 // complete reports whether the response is the complete response of a stand-in target to
 // the request with this id.
-func (a told) whole(id string) bool {
+func (a callResult) complete(id string) bool {
 	return a.err == nil && a.status == http.StatusOK && strings.HasPrefix(a.body, "id="+id+" ") && strings.HasSuffix(a.body, "\n")
 }
 
@@ -208,16 +208,16 @@
 }
 
 // setFaults replaces the injected faults of the store.
-func (c *cluster) faults(t *testing.T, body string) {
+func (c *cluster) setFaults(t *testing.T, body string) {
 	t.Helper()
 	c.admin(t, "/faults", body)
 }
 
 // registerVM adds a VM of the tested service to the VM list.
-func (c *cluster) enlist(t *testing.T, name, addr string) {
+func (c *cluster) registerVM(t *testing.T, name, addr string) {
 	t.Helper()
 	c.admin(t, "/vms/"+name, fmt.Sprintf(`{"addr":%q,"place":%q,"service":%q,"slots":2,"boot":%d}`,
-		addr, provedPlaces[0], provedService, time.Now().UnixNano()))
+		addr, testPlaces[0], testService, time.Now().UnixNano()))
 }
 
 // admin makes an admin call to the store. Injected faults don't affect it.
@@ -232,7 +232,7 @@
 }
 
 // runCommand runs an operator's command against an entry.
-func (c *cluster) operate(t *testing.T, n int, args ...string) (code int, out string) {
+func (c *cluster) runCommand(t *testing.T, n int, args ...string) (code int, out string) {
 	t.Helper()
 	cmd := exec.Command(program(t), append(args, "--entry", c.operators(n))...)
 	text, err := cmd.CombinedOutput()
@@ -244,12 +244,12 @@
 
 // preferredEntries returns the entries that an entry's locate response names for the
 // tested service, in order of preference.
-func (c *cluster) homes(t *testing.T, n int) (entries []int) {
+func (c *cluster) preferredEntries(t *testing.T, n int) (entries []int) {
 	t.Helper()
 	var l struct {
 		Addresses []string `json:"addresses"`
 	}
-	if getJSON("http://"+c.callers(n)+"/v1/locate?service="+provedService, &l) != nil {
+	if getJSON("http://"+c.callers(n)+"/v1/locate?service="+testService, &l) != nil {
 		return nil
 	}
 	for _, addr := range l.Addresses {
--- a/dev.go
+++ b/dev.go
@@ -21,9 +21,9 @@
 
 // Load that dev --seconds sends: about half of the targets' capacity.
 const (
-	devRate   = 600
-	devWrites = 0.2
-	devStart  = 20 * time.Second
+	devRate         = 600
+	devWriteShare   = 0.2
+	devStartTimeout = 20 * time.Second
 )
 
 // devSite returns the configuration of the example site, Swanbourne.
@@ -65,7 +65,7 @@
 		return err
 	}
 	defer s.Close()
-	startCtx, cancel := context.WithTimeout(ctx, devStart)
+	startCtx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
 	if err := site.Apply(startCtx, s.Store, "examples/swanbourne.json", swanbourne); err != nil {
 		return err
@@ -121,14 +121,14 @@
 func loadDev(ctx context.Context, s *site.Site, length time.Duration, asJSON bool) (err error) {
 	report, err := load.Run(ctx, load.Config{
 		Entries: s.Callers(), Services: []string{"gown-catalogue", "fitting-diary", "deposit-ledger"},
-		Rate: devRate, Length: length, Writes: devWrites, Timeout: 5 * time.Second, Seed: 1,
+		Rate: devRate, Length: length, Writes: devWriteShare, Timeout: 5 * time.Second, Seed: 1,
 	})
 	if err != nil {
 		return err
 	}
 	r := reportOf(report)
 	d := devJSON{
-		Sent: r.Sent, Answered: r.Answered, Refused: r.Refused, Unknown: r.Unknown, Doubled: s.Doubled(),
+		Sent: r.Sent, Answered: r.Answered, Refused: r.Refused, Unknown: r.Unknown, Doubled: s.DuplicateRuns(),
 		Crossed: r.Crossed, Lost: r.Lost, P50: r.P50, P99: r.P99,
 	}
 	for _, e := range s.Entries {
--- a/dev_gateway.go
+++ b/dev_gateway.go
@@ -17,7 +17,7 @@
 )
 
 // devSendInterval is the pause between two requests of dev --gateway --seconds.
-const devPause = 10 * time.Millisecond
+const devSendInterval = 10 * time.Millisecond
 
 // runDevGateways runs the example site with gateways on stand-ins of the users'
 // platform.
@@ -30,7 +30,7 @@
 		return err
 	}
 	defer s.Close()
-	startCtx, cancel := context.WithTimeout(ctx, devStart)
+	startCtx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
 	if err := s.Ready(startCtx); err != nil {
 		return err
@@ -41,7 +41,7 @@
 		fmt.Println("stopping: gateways keep serving until no directory response names them")
 		return nil
 	}
-	return tryGateways(ctx, s, cfg, length)
+	return sendToGateways(ctx, s, cfg, length)
 }
 
 func printDevGateways(s *site.Gateways) {
@@ -67,7 +67,7 @@
 
 // sendToGateways sends requests to the gateways in turn for the given time. It returns
 // an error if any response isn't a 200.
-func tryGateways(ctx context.Context, s *site.Gateways, cfg site.Config, length time.Duration) (err error) {
+func sendToGateways(ctx context.Context, s *site.Gateways, cfg site.Config, length time.Duration) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	sent, answered := 0, 0
@@ -75,12 +75,12 @@
 		sv := cfg.Services[sent%len(cfg.Services)].Name
 		g := s.Gateways[sent%len(s.Gateways)]
 		sent++
-		if ok, err := tryGateway(g.Addresses().Front, sv, sent); err != nil {
+		if ok, err := sendToGateway(g.Addresses().Front, sv, sent); err != nil {
 			return err
 		} else if ok {
 			answered++
 		}
-		time.Sleep(devPause)
+		time.Sleep(devSendInterval)
 	}
 	fmt.Printf("%d requests, %d answered\n", sent, answered)
 	if answered < sent {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-func tryGateway(front, service string, n int) (ok bool, err error) {
+func sendToGateway(front, service string, n int) (ok bool, err error) {
 	r, err := http.NewRequest(http.MethodGet, "http://"+front+site.Prefix(service)+"x", nil)
 	if err != nil {
 		return false, err
--- a/drain.go
+++ b/drain.go
@@ -10,32 +10,32 @@
 )
 
 func drainCommand() *command {
-	return targetOrder("drain", "send a target no new requests; requests in flight finish")
+	return targetActionCommand("drain", "send a target no new requests; requests in flight finish")
 }
 
 func undrainCommand() *command {
-	return targetOrder("undrain", "end a drain")
+	return targetActionCommand("undrain", "end a drain")
 }
 
 func evacuateCommand() *command {
-	return placeOrder("evacuate", "send the targets of a place no new requests; requests in flight finish")
+	return placeActionCommand("evacuate", "send the targets of a place no new requests; requests in flight finish")
 }
 
 func restoreCommand() *command {
-	return placeOrder("restore", "end an evacuation")
+	return placeActionCommand("restore", "end an evacuation")
 }
 
-func targetOrder(name, description string) *command {
-	return operate(name, description, "TARGET", "id of a VM in the platform's VM list", "gown-1")
+func targetActionCommand(name, description string) *command {
+	return actionCommand(name, description, "TARGET", "id of a VM in the platform's VM list", "gown-1")
 }
 
-func placeOrder(name, description string) *command {
-	return operate(name, description, "PLACE", "name of a failure domain in the platform's VM list", "fremantle-hall")
+func placeActionCommand(name, description string) *command {
+	return actionCommand(name, description, "PLACE", "name of a failure domain in the platform's VM list", "fremantle-hall")
 }
 
 // actionCommand returns a command that sends an action on a target or place to an
 // entry.
-func operate(name, description, placeholder, help, example string) *command {
+func actionCommand(name, description, placeholder, help, example string) *command {
 	var addr, object string
 	sub := flaggy.NewSubcommand(name)
 	sub.Description = description
@@ -43,7 +43,7 @@
 	sub.String(&addr, "e", "entry", "host:port of an entry's operators' listener")
 	sub.AdditionalHelpAppend = "Example: plumpitch " + name + " " + example + " --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		body, err := ask(ctx, http.MethodPost, addr, "/v1/"+name+"?name="+url.QueryEscape(object))
+		body, err := requestEntry(ctx, http.MethodPost, addr, "/v1/"+name+"?name="+url.QueryEscape(object))
 		if err != nil {
 			return err
 		}
--- a/explain.go
+++ b/explain.go
@@ -29,7 +29,7 @@
 	sub := flaggy.NewSubcommand("explain")
 	sub.Description = "show why each target of a service would or would not be chosen, or how a request ended"
 	sub.AddPositionalValue(&service, "SERVICE", 1, true, "name of the service, or id of a request if log files follow")
-	files := fileValues(sub, 2)
+	files := addLogFileArgs(sub, 2)
 	sub.String(&addr, "e", "entry", "host:port of an entry's operators' listener")
 	sub.Bool(&asJSON, "j", "json", "print the entry's JSON response unchanged")
 	sub.AdditionalHelpAppend = "Examples: plumpitch explain gown-catalogue --entry 127.0.0.1:8003\n" +
@@ -40,14 +40,14 @@
 		}
 		path := "/v1/explain?name=" + url.QueryEscape(service)
 		if asJSON {
-			return printAnswer(ctx, addr, path)
+			return printResponse(ctx, addr, path)
 		}
 		return showExplain(ctx, addr, path)
 	}}
 }
 
 func showExplain(ctx context.Context, addr, path string) (err error) {
-	body, err := ask(ctx, http.MethodGet, addr, path)
+	body, err := requestEntry(ctx, http.MethodGet, addr, path)
 	if err != nil {
 		return err
 	}
--- a/gateway.go
+++ b/gateway.go
@@ -34,7 +34,7 @@
 // collections. Gateways run on small VMs, where memory matters more than CPU time:
 // compared with 400 percent, a gateway uses 18 MB instead of 42 MB and a fifth more
 // CPU time (13 gateways, 110 requests per second).
-const gatewayGC = 100
+const gatewayGCPercent = 100
 
 func runGateway(ctx context.Context, level string, port int) (err error) {
 	minLevel, err := log.ParseLevel(level)
@@ -49,7 +49,7 @@
 	if err != nil {
 		return exitError{exitInvalid, err}
 	}
-	debug.SetGCPercent(gatewayGC)
+	debug.SetGCPercent(gatewayGCPercent)
 	handler := logs.New(os.Stdout)
 	defer handler.Close()
 	logger := &log.Logger{Handler: handler, Level: minLevel}
@@ -67,19 +67,19 @@
 	defer signal.Stop(hangups)
 	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go followSettings(watchCtx, g, path, text, hangups)
+	go watchSettings(watchCtx, g, path, text, hangups)
 	return g.Serve(ctx)
 }
 
 // settingsPollPeriod is the interval at which the settings file is checked for changes
 // that come without a signal. It is well below the time within which a configuration
 // must be in force.
-const settingsPeriod = time.Second
+const settingsPollPeriod = time.Second
 
 // watchSettings makes g reload its settings at each signal and whenever the content of
 // the settings file changes. last is the content at the time of the first read.
-func followSettings(ctx context.Context, g *gateway.Gateway, path string, last []byte, hangups <-chan os.Signal) {
-	poll := time.NewTicker(settingsPeriod)
+func watchSettings(ctx context.Context, g *gateway.Gateway, path string, last []byte, hangups <-chan os.Signal) {
+	poll := time.NewTicker(settingsPollPeriod)
 	defer poll.Stop()
 	for {
 		select {
--- a/gateway_proof_test.go
+++ b/gateway_proof_test.go
@@ -25,7 +25,7 @@
 )
 
 // gatewaySite is a site of gateway processes on stand-ins of the users' platform.
-type studio struct {
+type gatewaySite struct {
 	q        *qt.C
 	t        *testing.T
 	store    *objects.Store
@@ -37,21 +37,21 @@
 
 // gatewayProcess is one gateway process, whose output goes to a file.
 type gatewayProcess struct {
-	name  string
-	ip    string
-	boot  string // path of its settings file
-	log   string // path of its log
-	cmd   *exec.Cmd
-	ended chan error
+	name   string
+	ip     string
+	boot   string // path of its settings file
+	log    string // path of its log
+	cmd    *exec.Cmd
+	exited chan error
 }
 
 // lastLoopbackAddr is the number of the last loopback address in use. Each gateway of all
 // tests has its own address, so the settings can use fixed ports.
-var lastHost atomic.Int64
+var lastLoopbackAddr atomic.Int64
 
-func newStudio(t *testing.T, targets int) *studio {
+func newGatewaySite(t *testing.T, targets int) *gatewaySite {
 	t.Helper()
-	s := &studio{q: qt.New(t), t: t, store: objects.New()}
+	s := &gatewaySite{q: qt.New(t), t: t, store: objects.New()}
 	server := httptest.NewServer(s.store)
 	t.Cleanup(server.CloseClientConnections)
 	s.url = strings.TrimPrefix(server.URL, "http://")
@@ -66,14 +66,14 @@
 	return s
 }
 
-func (s *studio) configure() {
+func (s *gatewaySite) configure() {
 	s.version++
 	s.store.PutConfig(s.version, []objects.Route{{
 		Name: "r-a", Host: "veil.example", Prefix: "/a/", NonIdempotent: true, Timeout: "2s", TargetLatency: "200ms", Attempts: 2, Service: "gowns",
 	}}, []string{"gowns"})
 }
 
-const studioBoot = `
+const bootSettings = `
 nodeName: "%s"
 zone: hall
 region: metro
@@ -86,16 +86,16 @@
 `
 
 // start starts a gateway from the given program and waits until it is ready.
-func (s *studio) start(program string) *gatewayProcess {
+func (s *gatewaySite) start(program string) *gatewayProcess {
 	s.t.Helper()
-	n := lastHost.Add(1)
+	n := lastLoopbackAddr.Add(1)
 	g := &gatewayProcess{
 		name: fmt.Sprint("gateway-", len(s.gateways)), ip: fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%64, n/250, 1+n%250),
-		ended: make(chan error, 1),
+		exited: make(chan error, 1),
 	}
 	dir := s.t.TempDir()
 	g.boot, g.log = filepath.Join(dir, "boot.yaml"), filepath.Join(dir, "log")
-	s.settings(g, "3s")
+	s.writeSettings(g, "3s")
 	out, err := os.Create(g.log)
 	s.q.Assert(err, qt.IsNil)
 	s.run(g, program, out)
@@ -104,23 +104,23 @@
 	return g
 }
 
-func (s *studio) settings(g *gatewayProcess, grace string) {
-	text := fmt.Sprintf(studioBoot, g.name, g.ip, grace, s.url)
+func (s *gatewaySite) writeSettings(g *gatewayProcess, grace string) {
+	text := fmt.Sprintf(bootSettings, g.name, g.ip, grace, s.url)
 	s.q.Assert(os.WriteFile(g.boot, []byte(text), 0o600), qt.IsNil)
 }
 
-func (s *studio) run(g *gatewayProcess, program string, out *os.File) {
+func (s *gatewaySite) run(g *gatewayProcess, program string, out *os.File) {
 	g.cmd = exec.Command(program, "gateway", "--metrics", "9464")
 	g.cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+g.boot)
 	g.cmd.Stdout, g.cmd.Stderr = out, out
 	s.q.Assert(g.cmd.Start(), qt.IsNil)
 	out.Close()
-	go func() { g.ended <- g.cmd.Wait() }()
+	go func() { g.exited <- g.cmd.Wait() }()
 	s.t.Cleanup(func() {
 		_ = g.cmd.Process.Kill()
 		if s.t.Failed() {
 			text, _ := os.ReadFile(g.log)
-			s.t.Logf("%s: %s", g.name, tail(string(text)))
+			s.t.Logf("%s: %s", g.name, lastBytes(string(text)))
 		}
 	})
 }
@@ -137,7 +137,7 @@
 func (g *gatewayProcess) signal(s syscall.Signal) { _ = g.cmd.Process.Signal(s) }
 
 // logText returns what the gateway has logged so far.
-func (g *gatewayProcess) text() string {
+func (g *gatewayProcess) logText() string {
 	b, _ := os.ReadFile(g.log)
 	return string(b)
 }
@@ -165,7 +165,7 @@
 }
 
 // explain runs the explain command over the logs of all gateways.
-func (s *studio) explain(id string) (out string, err error) {
+func (s *gatewaySite) explain(id string) (out string, err error) {
 	args := []string{"explain", id}
 	for _, g := range s.gateways {
 		args = append(args, g.log)
@@ -178,7 +178,7 @@
 // once. The explain command must show the reason and the retry delay sent to the caller.
 func TestExplainRefusal(t *testing.T) {
 	t.Parallel()
-	s := newStudio(t, 1)
+	s := newGatewaySite(t, 1)
 	g := s.start(program(t))
 	s.workers[0].SetServiceTime(150 * time.Millisecond)
 	for n := range 3 {
@@ -207,7 +207,7 @@
 // inputs of the target's choice.
 func TestExplainFailedTarget(t *testing.T) {
 	t.Parallel()
-	s := newStudio(t, 2)
+	s := newGatewaySite(t, 2)
 	g := s.start(program(t))
 	for _, w := range s.workers {
 		w.SetFaults(func(r *http.Request) worker.Fault {
@@ -227,13 +227,13 @@
 // gateway noticed first. It must not name the gateway that was stopped by SIGTERM.
 func TestExplainLostGateway(t *testing.T) {
 	t.Parallel()
-	s := newStudio(t, 2)
+	s := newGatewaySite(t, 2)
 	a, b, c := s.start(program(t)), s.start(program(t)), s.start(program(t))
 	eventually(t, "all gateways see each other as live", func() bool {
-		return strings.Contains(a.text(), `"live":3`) && strings.Contains(c.text(), `"live":3`)
+		return strings.Contains(a.logText(), `"live":3`) && strings.Contains(c.logText(), `"live":3`)
 	})
 	c.signal(syscall.SIGTERM)
-	s.q.Assert(<-c.ended, qt.IsNil)
+	s.q.Assert(<-c.exited, qt.IsNil)
 	for _, w := range s.workers {
 		w.SetServiceTime(time.Second)
 	}
@@ -253,13 +253,13 @@
 // The settings file is replaced by valid and invalid settings in turn, each followed by a
 // SIGHUP and requests. Valid settings must come into force, invalid ones must be logged
 // and ignored, and no request may fail.
-func TestHangup(t *testing.T) {
+func TestSettingsReloadOnSIGHUP(t *testing.T) {
 	t.Parallel()
-	s := newStudio(t, 2)
+	s := newGatewaySite(t, 2)
 	g := s.start(program(t))
 	for n := range 6 {
 		if n%2 == 0 {
-			s.settings(g, fmt.Sprint(4+n, "s"))
+			s.writeSettings(g, fmt.Sprint(4+n, "s"))
 		} else {
 			s.q.Assert(os.WriteFile(g.boot, []byte("nodeName: 7\nip: x"), 0o600), qt.IsNil)
 		}
@@ -269,37 +269,37 @@
 		}
 	}
 	eventually(t, "valid and invalid settings are logged", func() bool {
-		text := g.text()
+		text := g.logText()
 		return strings.Contains(text, "settings reloaded") && strings.Contains(text, `"grace":"8s"`) && strings.Contains(text, "those in force stay")
 	})
-	s.settings(g, "3s")
+	s.writeSettings(g, "3s")
 	g.signal(syscall.SIGTERM)
-	s.q.Assert(<-g.ended, qt.IsNil)
+	s.q.Assert(<-g.exited, qt.IsNil)
 }
 
 // The settings file is replaced without a signal, first by invalid and then by valid
 // settings. The invalid ones must be logged and the valid ones must come into force.
 func TestSettingsChangeWithoutASignal(t *testing.T) {
 	t.Parallel()
-	s := newStudio(t, 2)
+	s := newGatewaySite(t, 2)
 	g := s.start(program(t))
 	s.q.Assert(os.WriteFile(g.boot, []byte("nodeName: 7\nip: x"), 0o600), qt.IsNil)
-	eventually(t, "invalid settings are logged", func() bool { return strings.Contains(g.text(), "those in force stay") })
-	s.settings(g, "9s")
-	eventually(t, "valid settings are in force", func() bool { return strings.Contains(g.text(), `"grace":"9s"`) })
+	eventually(t, "invalid settings are logged", func() bool { return strings.Contains(g.logText(), "those in force stay") })
+	s.writeSettings(g, "9s")
+	eventually(t, "valid settings are in force", func() bool { return strings.Contains(g.logText(), `"grace":"9s"`) })
 	s.q.Assert(g.send("after"), qt.Equals, http.StatusOK)
 	g.signal(syscall.SIGTERM)
-	s.q.Assert(<-g.ended, qt.IsNil)
+	s.q.Assert(<-g.exited, qt.IsNil)
 }
 
 // A gateway's standard output is a pipe that isn't read and fills up. The gateway must
 // keep answering requests, however many log lines they cause.
-func TestOutputThatIsNotRead(t *testing.T) {
+func TestUnreadLogOutput(t *testing.T) {
 	t.Parallel()
-	s := newStudio(t, 2)
+	s := newGatewaySite(t, 2)
 	g := s.start(program(t))
 	g.signal(syscall.SIGKILL)
-	<-g.ended
+	<-g.exited
 	unread, out, err := os.Pipe()
 	s.q.Assert(err, qt.IsNil)
 	defer unread.Close()
@@ -319,7 +319,7 @@
 		}
 		s.q.Assert(g.send(id) != 0, qt.IsTrue)
 	}
-	s.q.Assert(time.Since(began) < bound, qt.IsTrue)
+	s.q.Assert(time.Since(began) < waitLimit, qt.IsTrue)
 	res, err := http.Get("http://" + g.ip + ":9464/metrics")
 	s.q.Assert(err, qt.IsNil)
 	defer res.Body.Close()
@@ -331,7 +331,7 @@
 // The status and check commands work with gateways and their files.
 func TestGatewayCommands(t *testing.T) {
 	t.Parallel()
-	s := newStudio(t, 1)
+	s := newGatewaySite(t, 1)
 	g := s.start(program(t))
 	config := filepath.Join(t.TempDir(), "config.json")
 	s.q.Assert(os.WriteFile(config, []byte(`{"version":"x"}`), 0o600), qt.IsNil)
--- a/internal/alarm/alarm.go
+++ b/internal/alarm/alarm.go
@@ -12,12 +12,12 @@
 }
 
 // initialDelay is the delay of a new timer, which New stops at once.
-const never = time.Hour
+const initialDelay = time.Hour
 
 // New returns an alarm that is not set. When it is due, it calls f in a separate
 // goroutine. f must call Fired first.
 func New(f func()) *Alarm {
-	a := &Alarm{timer: time.AfterFunc(never, f)}
+	a := &Alarm{timer: time.AfterFunc(initialDelay, f)}
 	a.timer.Stop()
 	return a
 }
@@ -36,7 +36,7 @@
 }
 
 // Fired records that the alarm has fired, so that the same time can be set again.
-func (a *Alarm) Rang() { a.due = time.Time{} }
+func (a *Alarm) Fired() { a.due = time.Time{} }
 
 // Stop stops the alarm.
 func (a *Alarm) Stop() { a.timer.Stop() }
--- a/internal/alarm/alarm_test.go
+++ b/internal/alarm/alarm_test.go
@@ -26,7 +26,7 @@
 			a.Set(now, tt.next)
 			select {
 			case <-fired:
-				a.Rang()
+				a.Fired()
 				qt.Assert(t, tt.want, qt.IsTrue)
 			case <-time.After(map[bool]time.Duration{true: 10 * time.Second, false: 50 * time.Millisecond}[tt.want]):
 				qt.Assert(t, tt.want, qt.IsFalse)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -219,7 +219,7 @@
 	if s.closed {
 		return
 	}
-	s.alarm.Rang()
+	s.alarm.Fired()
 	s.perform(now, s.balancer.Tick(now, s.scratch[:0]))
 	s.tickRetired(now)
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -175,7 +175,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.alarm.Rang()
+	s.alarm.Fired()
 	s.perform(now, s.balancer.Tick(now, nil))
 }
 
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -32,7 +32,7 @@
 	deadline := time.Now().Add(grace - stopReserve)
 	g.leaving.Store(true)
 	g.control.enqueue(context.Background(), leaveStarted{})
-	g.log.Info(logs.MessageStops)
+	g.log.Info(logs.MessageStopping)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	giveUp := time.AfterFunc(time.Until(deadline)-responseReserve, func() { close(g.giveUp) })
--- a/internal/load/book.go
+++ b/internal/load/book.go
@@ -13,33 +13,33 @@
 )
 
 // locateCache caches locate responses for their TTL.
-type book struct {
+type locateCache struct {
 	client  *http.Client
 	entries []string
 
-	mu     sync.Mutex
-	turn   int
-	places map[string]located
+	mu        sync.Mutex
+	nextEntry int
+	results   map[string]locateResult
 }
 
 // locateResult is one cached locate response.
-type located struct {
-	addrs []string
-	until time.Time
+type locateResult struct {
+	addrs   []string
+	expires time.Time
 }
 
-func newBook(client *http.Client, entries []string) *book {
-	return &book{client: client, entries: entries, places: make(map[string]located)}
+func newLocateCache(client *http.Client, entries []string) *locateCache {
+	return &locateCache{client: client, entries: entries, results: make(map[string]locateResult)}
 }
 
 // address returns the preferred address for a service. It queries an entry unless a
 // cached response is still valid.
-func (c *book) find(ctx context.Context, service string) (addr string, err error) {
+func (c *locateCache) address(ctx context.Context, service string) (addr string, err error) {
 	c.mu.Lock()
-	found, ok := c.places[service]
+	found, ok := c.results[service]
 	c.mu.Unlock()
-	if !ok || time.Now().After(found.until) {
-		if found, err = c.ask(ctx, service); err != nil {
+	if !ok || time.Now().After(found.expires) {
+		if found, err = c.locate(ctx, service); err != nil {
 			return "", err
 		}
 	}
@@ -48,32 +48,32 @@
 
 // dropAddress removes the preferred address of a service after a request to it failed.
 // The next request uses the next address, or a new locate response if none is left.
-func (c *book) forget(service string) {
+func (c *locateCache) dropAddress(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	found := c.places[service]
+	found := c.results[service]
 	if len(found.addrs) > 1 {
 		found.addrs = found.addrs[1:]
-		c.places[service] = found
+		c.results[service] = found
 		return
 	}
-	delete(c.places, service)
+	delete(c.results, service)
 }
 
 // locate queries the entries in turn until one responds, beginning after the one that was
 // queried last.
-func (c *book) ask(ctx context.Context, service string) (found located, err error) {
+func (c *locateCache) locate(ctx context.Context, service string) (found locateResult, err error) {
 	if len(c.entries) == 0 {
 		return found, errors.New("entries: none given, expected at least one host:port")
 	}
 	for range c.entries {
 		c.mu.Lock()
-		entry := c.entries[c.turn%len(c.entries)]
-		c.turn++
+		entry := c.entries[c.nextEntry%len(c.entries)]
+		c.nextEntry++
 		c.mu.Unlock()
-		if found, err = c.askOne(ctx, entry, service); err == nil {
+		if found, err = c.locateFrom(ctx, entry, service); err == nil {
 			c.mu.Lock()
-			c.places[service] = found
+			c.results[service] = found
 			c.mu.Unlock()
 			return found, nil
 		}
@@ -81,7 +81,7 @@
 	return found, err
 }
 
-func (c *book) askOne(ctx context.Context, entry, service string) (found located, err error) {
+func (c *locateCache) locateFrom(ctx context.Context, entry, service string) (found locateResult, err error) {
 	defer func() { err = errors.WithMessagef(err, "entry %s", entry) }()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry+"/v1/locate?service="+url.QueryEscape(service), nil)
 	if err != nil {
@@ -109,5 +109,5 @@
 	if len(response.Addresses) == 0 {
 		return found, errors.New("addresses: found none, expected at least one")
 	}
-	return located{response.Addresses, time.Now().Add(time.Duration(response.TTL) * time.Millisecond)}, nil
+	return locateResult{response.Addresses, time.Now().Add(time.Duration(response.TTL) * time.Millisecond)}, nil
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -52,18 +52,18 @@
 
 // Range and precision of the latency histogram.
 const (
-	shortest = 1
-	longest  = 60_000_000
-	digits   = 3
+	minLatencyMicros = 1
+	maxLatencyMicros = 60_000_000
+	latencyDigits    = 3
 )
 
 // maxInFlight bounds the requests in flight. Requests beyond it are delayed, not dropped.
-const maxOpen = 2048
+const maxInFlight = 2048
 
 type runner struct {
-	cfg    Config
-	client *http.Client
-	book   *book
+	cfg       Config
+	client    *http.Client
+	locations *locateCache
 
 	mu     sync.Mutex
 	report Report
@@ -80,8 +80,8 @@
 	}
 	client := newClient()
 	defer client.CloseIdleConnections()
-	r := &runner{cfg: cfg, client: client, book: newBook(client, cfg.Entries)}
-	r.report.Latency = hdrhistogram.New(shortest, longest, digits)
+	r := &runner{cfg: cfg, client: client, locations: newLocateCache(client, cfg.Entries)}
+	r.report.Latency = hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 	r.send(ctx)
 	return r.report, nil
 }
@@ -90,19 +90,19 @@
 	dialer := &net.Dialer{Timeout: 2 * time.Second}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: maxOpen,
-		MaxConnsPerHost:     maxOpen,
+		MaxIdleConnsPerHost: maxInFlight,
+		MaxConnsPerHost:     maxInFlight,
 	}}
 }
 
 // send sends the requests as a Poisson process and waits until the last one has ended.
 func (r *runner) send(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(r.cfg.Seed, 1))
-	slots := make(chan struct{}, maxOpen)
+	slots := make(chan struct{}, maxInFlight)
 	var inFlight sync.WaitGroup
 	start := time.Now()
 	next := start
-	for n := 0; r.more(ctx, n, start); n++ {
+	for n := 0; r.hasNext(ctx, n, start); n++ {
 		next = next.Add(time.Duration(rnd.ExpFloat64() / r.cfg.Rate * float64(time.Second)))
 		time.Sleep(time.Until(next))
 		service := r.cfg.Services[rnd.IntN(len(r.cfg.Services))]
@@ -111,13 +111,13 @@
 		slots <- struct{}{}
 		inFlight.Go(func() {
 			defer func() { <-slots }()
-			r.one(service, id, write)
+			r.sendOne(service, id, write)
 		})
 	}
 	inFlight.Wait()
 }
 
-func (r *runner) more(ctx context.Context, n int, start time.Time) bool {
+func (r *runner) hasNext(ctx context.Context, n int, start time.Time) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -128,26 +128,26 @@
 }
 
 // sendOne sends a request and records its result.
-func (r *runner) one(service, id string, write bool) {
+func (r *runner) sendOne(service, id string, write bool) {
 	key := ""
 	if write && !r.cfg.Keyless {
 		key = uuid.Must(uuid.NewV7()).String()
 	}
 	began := time.Now()
-	v := r.try(service, id, write, key)
-	r.file(v, key, time.Since(began))
+	v := r.attempt(service, id, write, key)
+	r.record(v, key, time.Since(began))
 }
 
 // result is the outcome of one request, with the reason unless it was answered.
-type verdict struct {
-	kind   kind
-	reason string
+type result struct {
+	outcome outcome
+	reason  string
 }
 
-type kind int
+type outcome int
 
 const (
-	answered kind = iota
+	answered outcome = iota
 	refused
 	unknown
 	failed
@@ -155,35 +155,35 @@
 	lost
 )
 
-func (r *runner) try(service, id string, write bool, key string) verdict {
+func (r *runner) attempt(service, id string, write bool, key string) result {
 	ctx, cancel := context.WithTimeout(context.Background(), r.cfg.Timeout)
 	defer cancel()
-	addr, path, err := r.address(ctx, service)
+	addr, path, err := r.locate(ctx, service)
 	if err != nil {
-		return verdict{lost, "locate: " + err.Error()}
+		return result{lost, "locate: " + err.Error()}
 	}
 	req, err := newRequest(ctx, addr+path, id, write, key)
 	if err != nil {
-		return verdict{lost, err.Error()}
+		return result{lost, err.Error()}
 	}
 	res, err := r.client.Do(req)
 	if err != nil {
-		r.book.forget(service)
-		return verdict{lost, err.Error()}
+		r.locations.dropAddress(service)
+		return result{lost, err.Error()}
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return verdict{lost, "body: " + err.Error()}
+		return result{lost, "body: " + err.Error()}
 	}
-	return judge(res, string(body), id)
+	return classify(res, string(body), id)
 }
 
-func (r *runner) address(ctx context.Context, service string) (addr, path string, err error) {
+func (r *runner) locate(ctx context.Context, service string) (addr, path string, err error) {
 	if n := len(r.cfg.Direct); n > 0 {
 		return r.cfg.Direct[rand.IntN(n)], "/hello", nil
 	}
-	addr, err = r.book.find(ctx, service)
+	addr, err = r.locations.address(ctx, service)
 	return addr, "/v1/call/" + service + "/hello", err
 }
 
@@ -209,24 +209,24 @@
 	return req, nil
 }
 
-func judge(res *http.Response, body, id string) verdict {
+func classify(res *http.Response, body, id string) result {
 	reason := res.Header.Get(call.HeaderReason)
 	switch res.Header.Get(call.HeaderOutcome) {
 	case call.NotRun.String():
-		return verdict{refused, reason}
+		return result{refused, reason}
 	case call.Unknown.String():
-		return verdict{unknown, reason}
+		return result{unknown, reason}
 	}
 	if res.StatusCode != http.StatusOK {
-		return verdict{failed, res.Status}
+		return result{failed, res.Status}
 	}
 	if !strings.HasPrefix(body, "id="+id+" ") || !strings.HasSuffix(body, "\n") {
-		return verdict{crossed, "sent id " + id + ", found " + strconv.Quote(body)}
+		return result{crossed, "sent id " + id + ", found " + strconv.Quote(body)}
 	}
-	return verdict{kind: answered}
+	return result{outcome: answered}
 }
 
-func (r *runner) file(v verdict, key string, took time.Duration) {
+func (r *runner) record(v result, key string, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := &r.report
@@ -234,10 +234,10 @@
 	if key != "" {
 		p.Keys = append(p.Keys, key)
 	}
-	switch v.kind {
+	switch v.outcome {
 	case answered:
 		p.Answered++
-		_ = p.Latency.RecordValue(min(took.Microseconds(), longest))
+		_ = p.Latency.RecordValue(min(took.Microseconds(), maxLatencyMicros))
 	case refused:
 		p.Refused++
 	case unknown:
@@ -249,7 +249,7 @@
 	case lost:
 		p.Lost++
 	}
-	if v.kind != answered && (p.Example == "" || v.kind == crossed) {
+	if v.outcome != answered && (p.Example == "" || v.outcome == crossed) {
 		p.Example = v.reason
 	}
 }
--- a/internal/logs/find.go
+++ b/internal/logs/find.go
@@ -21,7 +21,7 @@
 	Fields  map[string]any
 }
 
-type lineWire struct {
+type jsonLine struct {
 	Timestamp time.Time      `json:"timestamp"`
 	Level     string         `json:"level"`
 	Message   string         `json:"message"`
@@ -30,17 +30,17 @@
 
 // LookbackTime is how long before a request's first line the other lines of its entry are
 // included. Within this time an entry has received the changes in the store.
-const Context = 5 * time.Second
+const LookbackTime = 5 * time.Second
 
 // maxLineBytes bounds the length of a line.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // Find returns the log lines about a request in the order of time. It includes the lines
 // about no request that the entries serving it wrote from LookbackTime before its first
 // line to its last one: they show changes of the entry's state. Find ignores text that is
 // not a log line, and text before the JSON object, as collectors add prefixes.
 func Find(r io.Reader, id string) (found []Line, err error) {
-	lines, err := read(r)
+	lines, err := readLines(r)
 	if err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 			continue
 		}
 		if _, ok := from[l.Entry]; !ok {
-			from[l.Entry] = l.Time.Add(-Context)
+			from[l.Entry] = l.Time.Add(-LookbackTime)
 		}
 		to[l.Entry] = l.Time
 	}
@@ -65,15 +65,15 @@
 	return found, nil
 }
 
-func read(r io.Reader) (lines []Line, err error) {
+func readLines(r io.Reader) (lines []Line, err error) {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		start := bytes.IndexByte(s.Bytes(), '{')
 		if start < 0 {
 			continue
 		}
-		var w lineWire
+		var w jsonLine
 		if json.Unmarshal(s.Bytes()[start:], &w) != nil || w.Timestamp.IsZero() {
 			continue
 		}
@@ -85,7 +85,7 @@
 }
 
 // FieldNames returns the sorted names of the fields other than the request and the entry.
-func (l Line) Names() []string {
+func (l Line) FieldNames() []string {
 	return slices.Sorted(maps.Keys(maps.Collect(func(yield func(string, any) bool) {
 		for k, v := range l.Fields {
 			if k != FieldRequest && k != "entry" && !yield(k, v) {
--- a/internal/logs/find_test.go
+++ b/internal/logs/find_test.go
@@ -30,7 +30,7 @@
 	qt.Assert(t, got, qt.DeepEquals, []string{
 		"a configuration in force", "a dispatch failed", "a answered in place of a target",
 	})
-	qt.Assert(t, lines[1].Names(), qt.DeepEquals, []string{"stage"})
+	qt.Assert(t, lines[1].FieldNames(), qt.DeepEquals, []string{"stage"})
 	none, err := Find(strings.NewReader(collected), "q9")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, none, qt.HasLen, 0)
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -17,25 +17,25 @@
 // rate-limited, since under overload they would use CPU time that requests need. Lines
 // that exceed the rate or don't fit into the buffer are dropped and counted.
 type Handler struct {
-	lines   chan *log.Entry
-	out     *json.Handler
-	served  *rate.Limiter // limits lines about requests that succeeded
-	failed  *rate.Limiter // limits lines about other requests
-	omitted atomic.Int64
+	lines     chan *log.Entry
+	out       *json.Handler
+	succeeded *rate.Limiter // limits lines about requests that succeeded
+	failed    *rate.Limiter // limits lines about other requests
+	omitted   atomic.Int64
 }
 
 const (
 	// bufferedLines is how many lines may wait for an output that isn't read.
-	logBuffer = 1024
+	bufferedLines = 1024
 	// succeededLinesPerSecond and failedLinesPerSecond limit the lines about
 	// requests that succeeded and about other requests. A line costs about 20 µs,
 	// so both together take less than 1 percent of a core.
-	servedLines = 20
-	failedLines = 150
+	succeededLinesPerSecond = 20
+	failedLinesPerSecond    = 150
 	// burstSeconds is the size of a burst of lines, in seconds at the limited rate.
 	burstSeconds = 2
 	// omittedPeriod is how often the number of omitted lines is logged.
-	omittedEvery = time.Second
+	omittedPeriod = time.Second
 )
 
 // FieldRequest is the field with the id of the request that a line is about.
@@ -44,9 +44,9 @@
 // New returns a handler that writes JSON lines to w.
 func New(w io.Writer) *Handler {
 	h := &Handler{
-		lines: make(chan *log.Entry, logBuffer), out: json.New(w),
-		served: rate.NewLimiter(servedLines, burstSeconds*servedLines),
-		failed: rate.NewLimiter(failedLines, burstSeconds*failedLines),
+		lines: make(chan *log.Entry, bufferedLines), out: json.New(w),
+		succeeded: rate.NewLimiter(succeededLinesPerSecond, burstSeconds*succeededLinesPerSecond),
+		failed:    rate.NewLimiter(failedLinesPerSecond, burstSeconds*failedLinesPerSecond),
 	}
 	go h.write()
 	return h
@@ -54,7 +54,7 @@
 
 // HandleLog implements log.Handler.
 func (h *Handler) HandleLog(e *log.Entry) error {
-	if _, ok := e.Fields[FieldRequest]; ok && !h.limit(e.Level).Allow() {
+	if _, ok := e.Fields[FieldRequest]; ok && !h.limiter(e.Level).Allow() {
 		h.omitted.Add(1)
 		return nil
 	}
@@ -66,15 +66,15 @@
 	return nil
 }
 
-func (h *Handler) limit(level log.Level) *rate.Limiter {
+func (h *Handler) limiter(level log.Level) *rate.Limiter {
 	if level < log.WarnLevel {
-		return h.served
+		return h.succeeded
 	}
 	return h.failed
 }
 
 func (h *Handler) write() {
-	tick := time.NewTicker(omittedEvery)
+	tick := time.NewTicker(omittedPeriod)
 	defer tick.Stop()
 	for {
 		select {
@@ -82,12 +82,12 @@
 			// There is no other output to report a write error to.
 			_ = h.out.HandleLog(e)
 		case <-tick.C:
-			h.tellOmitted()
+			h.logOmitted()
 		}
 	}
 }
 
-func (h *Handler) tellOmitted() {
+func (h *Handler) logOmitted() {
 	n := h.omitted.Swap(0)
 	if n == 0 {
 		return
@@ -117,7 +117,7 @@
 
 // Close writes the buffered lines.
 func (h *Handler) Close() {
-	for range logBuffer {
+	for range bufferedLines {
 		select {
 		case e := <-h.lines:
 			_ = h.out.HandleLog(e)
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -16,11 +16,11 @@
 	h := New(w)
 	l := &log.Logger{Handler: h, Level: log.InfoLevel}
 	began := time.Now()
-	for range 3 * logBuffer {
+	for range 3 * bufferedLines {
 		l.Info("line")
 	}
 	qt.Assert(t, time.Since(began) < 2*time.Second, qt.IsTrue)
-	qt.Assert(t, h.omitted.Load() >= logBuffer, qt.IsTrue)
+	qt.Assert(t, h.omitted.Load() >= bufferedLines, qt.IsTrue)
 }
 
 // Lines about requests are rate-limited. Lines about requests that succeeded must not use
@@ -28,16 +28,16 @@
 func TestRequestLines(t *testing.T) {
 	h := New(io.Discard)
 	l := &log.Logger{Handler: h, Level: log.InfoLevel}
-	for range 10 * burstSeconds * servedLines {
+	for range 10 * burstSeconds * succeededLinesPerSecond {
 		l.WithField(FieldRequest, "q").Info("served")
 	}
 	before := h.omitted.Load()
-	qt.Assert(t, before > 8*burstSeconds*servedLines, qt.IsTrue)
+	qt.Assert(t, before > 8*burstSeconds*succeededLinesPerSecond, qt.IsTrue)
 	l.WithField(FieldRequest, "q").Warn("failed")
 	l.Info("no request")
 	qt.Assert(t, h.omitted.Load(), qt.Equals, before)
-	for range 10 * burstSeconds * failedLines {
+	for range 10 * burstSeconds * failedLinesPerSecond {
 		l.WithField(FieldRequest, "q").Warn("failed")
 	}
-	qt.Assert(t, h.omitted.Load() > before+8*burstSeconds*failedLines, qt.IsTrue)
+	qt.Assert(t, h.omitted.Load() > before+8*burstSeconds*failedLinesPerSecond, qt.IsTrue)
 }
--- a/internal/logs/lost.go
+++ b/internal/logs/lost.go
@@ -9,23 +9,23 @@
 
 // Messages from which FindLost detects a lost gateway.
 const (
-	MessageStarted = "gateway started"
-	MessageStops   = "gateway stops"
-	MessageLive    = "live entries changed"
+	MessageStarted  = "gateway started"
+	MessageStopping = "gateway stops"
+	MessageLive     = "live entries changed"
 )
 
 // LostGateway is a gateway that disappeared from the live entries without logging a stop.
-type Loss struct {
-	Entry   string
-	Last    time.Time // time of its last line
-	Noticed time.Time // when the first other gateway logged that it was gone
-	By      string    // name of that gateway
+type LostGateway struct {
+	Entry     string
+	LastSeen  time.Time // time of its last line
+	Noticed   time.Time // when the first other gateway logged that it was gone
+	NoticedBy string    // name of that gateway
 }
 
 // FindLost returns the lost gateways in the order of time. Requests that were in flight
 // at a lost gateway have no line about their end.
-func Lost(r io.Reader) (lost []Loss, err error) {
-	lines, err := read(r)
+func FindLost(r io.Reader) (lost []LostGateway, err error) {
+	lines, err := readLines(r)
 	if err != nil {
 		return nil, err
 	}
@@ -34,15 +34,15 @@
 		switch l.Message {
 		case MessageStarted:
 			running[l.Entry] = true
-		case MessageStops:
+		case MessageStopping:
 			running[l.Entry] = false
 		case MessageLive:
-			for _, name := range missed(l) {
+			for _, name := range departed(l) {
 				if !running[name] {
 					continue
 				}
 				running[name] = false
-				lost = append(lost, Loss{Entry: name, Last: last[name], Noticed: l.Time, By: l.Entry})
+				lost = append(lost, LostGateway{Entry: name, LastSeen: last[name], Noticed: l.Time, NoticedBy: l.Entry})
 			}
 		}
 		last[l.Entry] = l.Time
@@ -51,9 +51,9 @@
 }
 
 // departed returns the entries that the line reports as no longer live.
-func missed(l Line) (names []string) {
-	came := liveNames(l.Fields["came"])
-	for _, name := range liveNames(l.Fields["went"]) {
+func departed(l Line) (names []string) {
+	came := entryNames(l.Fields["came"])
+	for _, name := range entryNames(l.Fields["went"]) {
 		if !slices.Contains(came, name) {
 			names = append(names, name)
 		}
@@ -61,7 +61,7 @@
 	return names
 }
 
-func liveNames(field any) (names []string) {
+func entryNames(field any) (names []string) {
 	text, _ := field.(string)
 	for _, name := range strings.Fields(text) {
 		name, _, _ = strings.Cut(name, "(")
--- a/internal/logs/lost_test.go
+++ b/internal/logs/lost_test.go
@@ -18,13 +18,13 @@
 	}
 	text := strings.Join([]string{
 		line("00", "a", MessageStarted, ""), line("00", "b", MessageStarted, ""), line("00", "c", MessageStarted, ""),
-		line("01", "c", MessageStops, ""), live("01.5", "a", "c", ""), live("01.7", "a", "b", "b(strained)"),
+		line("01", "c", MessageStopping, ""), live("01.5", "a", "c", ""), live("01.7", "a", "b", "b(strained)"),
 		line("02", "b", "answered by its target", ""), live("03", "a", "b(strained)", ""),
 		line("04", "b", MessageStarted, ""), live("04.5", "a", "", "b"),
 	}, "\n")
-	losses, err := Lost(strings.NewReader("collector: " + text))
+	losses, err := FindLost(strings.NewReader("collector: " + text))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, losses, qt.HasLen, 1)
 	l := losses[0]
-	qt.Assert(t, l.Entry+" "+l.By+" "+l.Last.Format("05")+" "+l.Noticed.Format("05"), qt.Equals, "b a 02 03")
+	qt.Assert(t, l.Entry+" "+l.NoticedBy+" "+l.LastSeen.Format("05")+" "+l.Noticed.Format("05"), qt.Equals, "b a 02 03")
 }
--- a/internal/site/gateways.go
+++ b/internal/site/gateways.go
@@ -23,9 +23,9 @@
 	Targets  []*worker.Worker
 	Address  string // host:port of the store
 
-	stop   context.CancelFunc
-	served sync.WaitGroup
-	server *http.Server
+	stop         context.CancelFunc
+	gatewaysDone sync.WaitGroup
+	server       *http.Server
 }
 
 // Host is the host name of the site's routes.
@@ -36,14 +36,14 @@
 
 // The site's configuration and bounds.
 const (
-	siteTimeout   = "2s"
-	siteObjective = "200ms"
-	siteGrace     = 3 * time.Second
-	siteAttempts  = 2
+	siteTimeout     = "2s"
+	siteObjective   = "200ms"
+	siteGrace       = 3 * time.Second
+	siteMaxAttempts = 2
 
-	siteEvacuate   = 5 * time.Second
-	siteWarmFactor = 1.5
-	siteWarmSlack  = 8
+	siteEvacuateBound = 5 * time.Second
+	siteWarmFactor    = 1.5
+	siteWarmSlack     = 8
 )
 
 // StartGateways starts the stand-ins, stores a configuration with a route for each
@@ -97,7 +97,7 @@
 		services = append(services, sv.Name)
 		routes = append(routes, objects.Route{
 			Name: "r-" + sv.Name, Host: Host, Prefix: Prefix(sv.Name), Timeout: siteTimeout, TargetLatency: siteObjective,
-			Attempts: siteAttempts, Service: sv.Name,
+			Attempts: siteMaxAttempts, Service: sv.Name,
 		})
 	}
 	s.Store.PutConfig(1, routes, services)
@@ -111,7 +111,7 @@
 			CallerAddress: anyPort, ReadyAddress: anyPort, DirectoryAddress: anyPort, IP: "127.0.0.1", StoreAddress: store, Cores: 1,
 			Bounds: platform.Bounds{
 				Grace: siteGrace, MaxTTL: time.Second, RetryShare: 0.2, RetrySlack: 50,
-				Evacuate: siteEvacuate, WarmupFactor: siteWarmFactor, WarmupSlack: siteWarmSlack,
+				Evacuate: siteEvacuateBound, WarmupFactor: siteWarmFactor, WarmupSlack: siteWarmSlack,
 			},
 		},
 		Boot: uint64(time.Now().UnixNano()), Log: cfg.Log,
@@ -120,9 +120,9 @@
 		return err
 	}
 	s.Gateways = append(s.Gateways, g)
-	s.served.Add(1)
+	s.gatewaysDone.Add(1)
 	go func() {
-		defer s.served.Done()
+		defer s.gatewaysDone.Done()
 		if err := g.Serve(ctx); err != nil {
 			cfg.Log.WithError(err).Error("gateway ended")
 		}
@@ -147,7 +147,7 @@
 // Close stops the gateways gracefully, then the stand-ins.
 func (s *Gateways) Close() {
 	s.stop()
-	s.served.Wait()
+	s.gatewaysDone.Wait()
 	for _, t := range s.Targets {
 		t.Close()
 	}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -51,7 +51,7 @@
 	Targets  []*Target
 
 	stopEntries context.CancelFunc
-	entries     sync.WaitGroup
+	entriesDone sync.WaitGroup
 	servers     []*http.Server
 }
 
@@ -154,7 +154,7 @@
 		}
 		seeds = append(seeds, e.Addresses().Peers)
 		s.Entries = append(s.Entries, e)
-		s.entries.Go(func() { _ = e.Serve(ctx) })
+		s.entriesDone.Go(func() { _ = e.Serve(ctx) })
 	}
 	return nil
 }
@@ -186,7 +186,7 @@
 }
 
 // DuplicateRuns returns the number of idempotency keys that targets ran more than once.
-func (s *Site) Doubled() (n int) {
+func (s *Site) DuplicateRuns() (n int) {
 	runs := make(map[string]int)
 	for _, t := range s.Targets {
 		for _, r := range t.Runs() {
@@ -221,6 +221,6 @@
 	if s.stopEntries != nil {
 		s.stopEntries()
 	}
-	s.entries.Wait()
+	s.entriesDone.Wait()
 	s.closeServers()
 }
--- a/join_proof_test.go
+++ b/join_proof_test.go
@@ -13,10 +13,10 @@
 func TestJoinedEntryIsNamed(t *testing.T) {
 	t.Parallel()
 	s := newCluster(t, 1, 2, 0)
-	code, out := s.operate(t, 0, "settings", "set", ledger, "entries", "3", "--wait")
+	code, out := s.runCommand(t, 0, "settings", "set", servicePath, "entries", "3", "--wait")
 	qt.Assert(t, code, qt.Equals, 0, qt.Commentf(out))
 	s.startEntry(t)
 	for n := range 3 {
-		eventually(t, "the third entry is named", func() bool { return len(s.homes(t, n)) == 3 })
+		eventually(t, "the third entry is named", func() bool { return len(s.preferredEntries(t, n)) == 3 })
 	}
 }
--- a/leaving_proof_test.go
+++ b/leaving_proof_test.go
@@ -24,7 +24,7 @@
 	t.Parallel()
 	q := qt.New(t)
 	s := newCluster(t, 3, 3, 5*time.Millisecond)
-	preferred := s.homes(t, 0)
+	preferred := s.preferredEntries(t, 0)
 	q.Assert(preferred, qt.HasLen, 2)
 	stopped := make(chan struct{})
 	go func() {
@@ -36,7 +36,7 @@
 		s.entries[preferred[0]].signal(syscall.SIGTERM)
 	}()
 	r, err := load.Run(t.Context(), load.Config{
-		Entries: []string{s.callers(0), s.callers(1), s.callers(2)}, Services: []string{provedService},
+		Entries: []string{s.callers(0), s.callers(1), s.callers(2)}, Services: []string{testService},
 		Rate: 150, Requests: 3000, Writes: 0.3, Timeout: 5 * time.Second, Seed: 4,
 	})
 	q.Assert(err, qt.IsNil)
@@ -51,8 +51,8 @@
 func (c *cluster) awaitEnd(t *testing.T, n int) {
 	t.Helper()
 	select {
-	case <-c.entries[n].ended:
-	case <-time.After(bound):
+	case <-c.entries[n].exited:
+	case <-time.After(waitLimit):
 		t.Fatalf("entry %d did not end", n)
 	}
 	qt.Check(t, c.entries[n].cmd.ProcessState.ExitCode(), qt.Equals, 0)
@@ -69,29 +69,29 @@
 		leave func(t *testing.T, s *cluster)
 	}{
 		{"drained by an operator", func(t *testing.T, s *cluster) {
-			code, out := s.operate(t, 0, "drain", targetName(0))
+			code, out := s.runCommand(t, 0, "drain", targetName(0))
 			qt.Assert(t, code, qt.Equals, exitOK, qt.Commentf("%s", out))
 		}},
-		{"reported on its responses", sayLeaving},
+		{"reported on its responses", reportLeaving},
 		{"reported on its responses, store down", func(t *testing.T, s *cluster) {
-			s.faults(t, `{"down":true}`)
-			sayLeaving(t, s)
+			s.setFaults(t, `{"down":true}`)
+			reportLeaving(t, s)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			q := qt.New(t)
 			s := newCluster(t, 3, 3, 2*time.Millisecond)
-			first := s.flood(0)
+			first := s.startStream(0)
 			eventually(t, "the target works", func() bool { return targetRuns(t, s, 0) > 100 })
 			c.leave(t, s)
 			time.Sleep(2 * time.Second)
 			before := targetRuns(t, s, 0)
-			rest := s.flood(1, 2)
+			rest := s.startStream(1, 2)
 			eventually(t, "the other targets work for all entries", func() bool { return rest.sent.Load() > 500 && first.sent.Load() > 500 })
 			q.Check(targetRuns(t, s, 0), qt.Equals, before)
-			q.Check(first.end(), qt.HasLen, 0)
-			q.Check(rest.end(), qt.HasLen, 0)
+			q.Check(first.stopAndWait(), qt.HasLen, 0)
+			q.Check(rest.stopAndWait(), qt.HasLen, 0)
 		})
 	}
 }
@@ -104,30 +104,30 @@
 	t.Parallel()
 	q := qt.New(t)
 	s := newCluster(t, 3, 3, 2*time.Millisecond)
-	first := s.flood(0, 1, 2)
+	first := s.startStream(0, 1, 2)
 	eventually(t, "the target works", func() bool { return targetRuns(t, s, 0) > 100 })
-	code, out := s.operate(t, 0, "evacuate", "nowhere")
+	code, out := s.runCommand(t, 0, "evacuate", "nowhere")
 	q.Assert(code, qt.Equals, exitFailed, qt.Commentf("%s", out))
-	code, out = s.operate(t, 0, "evacuate", provedPlaces[0])
+	code, out = s.runCommand(t, 0, "evacuate", testPlaces[0])
 	q.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", out))
 	time.Sleep(2 * time.Second)
 	before := targetRuns(t, s, 0)
 	eventually(t, "the other targets work", func() bool { return first.sent.Load() > 500 })
-	q.Check(first.end(), qt.HasLen, 0)
+	q.Check(first.stopAndWait(), qt.HasLen, 0)
 	n := s.startEntry(t)
 	eventually(t, "the late entry serves", func() bool {
-		return s.serving(n) == len(s.entries) && s.get(n, newKey(), time.Second).status == http.StatusOK
+		return s.readyEntries(n) == len(s.entries) && s.get(n, newKey(), time.Second).status == http.StatusOK
 	})
-	late := s.flood(0, 1, 2, n)
+	late := s.startStream(0, 1, 2, n)
 	eventually(t, "the other targets work for all entries", func() bool { return late.sent.Load() > 500 })
 	q.Check(targetRuns(t, s, 0), qt.Equals, before)
-	code, out = s.operate(t, 1, "restore", provedPlaces[0])
+	code, out = s.runCommand(t, 1, "restore", testPlaces[0])
 	q.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", out))
 	eventually(t, "the target works again", func() bool { return targetRuns(t, s, 0) > before })
-	q.Check(late.end(), qt.HasLen, 0)
+	q.Check(late.stopAndWait(), qt.HasLen, 0)
 }
 
-func sayLeaving(t *testing.T, s *cluster) {
+func reportLeaving(t *testing.T, s *cluster) {
 	t.Helper()
 	res, err := http.Post("http://"+s.targets[0].addrs[0]+"/-/drain", "", nil)
 	qt.Assert(t, err, qt.IsNil)
@@ -142,38 +142,38 @@
 }
 
 // requestStream is a steady stream of idempotent requests to some entries.
-type flood struct {
-	sent atomic.Int64
-	stop chan struct{}
-	all  sync.WaitGroup
+type requestStream struct {
+	sent    atomic.Int64
+	stop    chan struct{}
+	senders sync.WaitGroup
 
-	mu  sync.Mutex
-	bad []told
+	mu         sync.Mutex
+	incomplete []callResult
 }
 
 // streamPause is the pause of a sender before each request.
-const floodPause = 5 * time.Millisecond
+const streamPause = 5 * time.Millisecond
 
 // startStream starts two senders for each of the entries.
-func (c *cluster) flood(entries ...int) *flood {
-	s := &flood{stop: make(chan struct{})}
+func (c *cluster) startStream(entries ...int) *requestStream {
+	s := &requestStream{stop: make(chan struct{})}
 	for _, n := range append(entries, entries...) {
-		s.all.Go(func() { s.send(c, n) })
+		s.senders.Go(func() { s.send(c, n) })
 	}
 	return s
 }
 
-func (s *flood) send(c *cluster, n int) {
+func (s *requestStream) send(c *cluster, n int) {
 	for {
 		select {
 		case <-s.stop:
 			return
-		case <-time.After(floodPause):
+		case <-time.After(streamPause):
 		}
 		id := newKey()
-		if a := c.get(n, id, 5*time.Second); !a.whole(id) {
+		if a := c.get(n, id, 5*time.Second); !a.complete(id) {
 			s.mu.Lock()
-			s.bad = append(s.bad, a)
+			s.incomplete = append(s.incomplete, a)
 			s.mu.Unlock()
 		}
 		s.sent.Add(1)
@@ -181,10 +181,10 @@
 }
 
 // stopAndWait stops the senders and returns the incomplete responses.
-func (s *flood) end() []told {
+func (s *requestStream) stopAndWait() []callResult {
 	close(s.stop)
-	s.all.Wait()
-	return s.bad
+	s.senders.Wait()
+	return s.incomplete
 }
 
 // Long responses stream through an entry when it gets SIGTERM twice. They last longer than
@@ -195,16 +195,16 @@
 	q := qt.New(t)
 	s := newStore(t)
 	addr, target := newStreamer(t)
-	s.enlist(t, "ledger-stream", addr)
+	s.registerVM(t, "ledger-stream", addr)
 	s.startEntries(t, 2)
 	for _, set := range [][2]string{{"locatettl", "500ms"}, {"timeout", "1m"}} {
-		code, out := s.operate(t, 0, "settings", "set", ledger, set[0], set[1], "--wait")
+		code, out := s.runCommand(t, 0, "settings", "set", servicePath, set[0], set[1], "--wait")
 		q.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", out))
 	}
-	results := make(chan told, 4)
+	results := make(chan callResult, 4)
 	for n := range cap(results) {
 		go func() {
-			results <- s.send(1, []string{http.MethodGet, http.MethodPost}[n%2], "/stream", newKey(), bound)
+			results <- s.send(1, []string{http.MethodGet, http.MethodPost}[n%2], "/stream", newKey(), waitLimit)
 		}()
 	}
 	eventually(t, "the responses stream", func() bool { return target.streams.Load() == int64(cap(results)) })
@@ -217,7 +217,7 @@
 		}
 		return err != nil
 	})
-	close(target.end)
+	close(target.release)
 	for range cap(results) {
 		a := <-results
 		q.Check(a.err, qt.IsNil)
@@ -230,12 +230,12 @@
 // streamer is a target in the test process whose responses stream until it is released.
 type streamer struct {
 	streams atomic.Int64
-	end     chan struct{}
+	release chan struct{}
 }
 
 func newStreamer(t *testing.T) (addr string, s *streamer) {
 	t.Helper()
-	s = &streamer{end: make(chan struct{})}
+	s = &streamer{release: make(chan struct{})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	srv := &http.Server{Handler: http.HandlerFunc(s.serve)}
@@ -254,7 +254,7 @@
 		_, _ = io.WriteString(w, "part\n")
 		_ = http.NewResponseController(w).Flush()
 		select {
-		case <-s.end:
+		case <-s.release:
 			_, _ = io.WriteString(w, "end\n")
 			return
 		case <-r.Context().Done():
--- a/load.go
+++ b/load.go
@@ -35,7 +35,7 @@
 	sub.AdditionalHelpAppend = "Example: plumpitch load --entries 127.0.0.1:8001 --services gown-catalogue --rate 200 --seconds 5"
 	return &command{sub: sub, run: func(ctx context.Context) error {
 		cfg.Length = time.Duration(seconds) * time.Second
-		cfg.Entries, cfg.Direct, cfg.Services = list(entries), list(direct), list(services)
+		cfg.Entries, cfg.Direct, cfg.Services = splitList(entries), splitList(direct), splitList(services)
 		report, err := load.Run(ctx, cfg)
 		if err != nil {
 			return err
@@ -49,7 +49,7 @@
 }
 
 // splitList splits the value of a comma-separated flag.
-func list(s string) []string {
+func splitList(s string) []string {
 	if s == "" {
 		return nil
 	}
--- a/locate.go
+++ b/locate.go
@@ -15,6 +15,6 @@
 	sub.String(&addr, "e", "entry", "host:port of an entry's callers' listener")
 	sub.AdditionalHelpAppend = "Example: plumpitch locate gown-catalogue --entry 127.0.0.1:8001"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		return printAnswer(ctx, addr, "/v1/locate?service="+url.QueryEscape(service))
+		return printResponse(ctx, addr, "/v1/locate?service="+url.QueryEscape(service))
 	}}
 }
--- a/main.go
+++ b/main.go
@@ -84,7 +84,7 @@
 
 func run(ctx context.Context, args []string) (err error) {
 	all := commands()
-	if err := checkNames(all, args); err != nil {
+	if err := checkCommandNames(all, args); err != nil {
 		return exitError{exitUsage, err}
 	}
 	p := flaggy.NewParser("plumpitch")
@@ -98,7 +98,7 @@
 	if err := p.ParseArgs(args); err != nil {
 		return exitError{exitUsage, err}
 	}
-	c := chosen(all)
+	c := selectedCommand(all)
 	if c == nil || c.run == nil {
 		p.ShowHelp()
 		return exitError{exitUsage, errors.New("no command given")}
@@ -115,12 +115,12 @@
 }
 
 // selectedCommand returns the innermost command that the arguments name, or nil.
-func chosen(all []*command) *command {
+func selectedCommand(all []*command) *command {
 	for _, c := range all {
 		if !c.sub.Used {
 			continue
 		}
-		if inner := chosen(c.subs); inner != nil {
+		if inner := selectedCommand(c.subs); inner != nil {
 			return inner
 		}
 		return c
--- a/metrics.go
+++ b/metrics.go
@@ -13,7 +13,7 @@
 	sub.String(&addr, "e", "entry", "host:port of an entry's operators' listener")
 	sub.AdditionalHelpAppend = "Example: plumpitch ready --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		return printAnswer(ctx, addr, "/readyz")
+		return printResponse(ctx, addr, "/readyz")
 	}}
 }
 
@@ -24,6 +24,6 @@
 	sub.String(&addr, "e", "entry", "host:port of an entry's operators' listener")
 	sub.AdditionalHelpAppend = "Example: plumpitch metrics --entry 127.0.0.1:8003"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		return printAnswer(ctx, addr, "/metrics")
+		return printResponse(ctx, addr, "/metrics")
 	}}
 }
--- a/names.go
+++ b/names.go
@@ -8,11 +8,11 @@
 )
 
 // maxSuggestionDistance is the largest edit distance at which a name is suggested.
-const nearDistance = 3
+const maxSuggestionDistance = 3
 
 // checkCommandNames rejects an unknown command and suggests the closest name. The parser
 // itself would accept the word as a positional argument.
-func checkNames(all []*command, args []string) (err error) {
+func checkCommandNames(all []*command, args []string) (err error) {
 	if len(args) == 0 || strings.HasPrefix(args[0], "-") || args[0] == "help" {
 		return nil
 	}
@@ -22,18 +22,18 @@
 			if len(c.subs) == 0 {
 				return nil
 			}
-			return checkNames(c.subs, args[1:])
+			return checkCommandNames(c.subs, args[1:])
 		}
 		names = append(names, c.sub.Name)
 	}
-	if s := nearest(args[0], names); s != "" {
+	if s := closestName(args[0], names); s != "" {
 		return errors.Errorf("unknown command %q, did you mean %q?", args[0], s)
 	}
 	return errors.Errorf("unknown command %q, expected one of: %s", args[0], strings.Join(names, ", "))
 }
 
-func nearest(word string, names []string) (best string) {
-	bestDistance := nearDistance + 1
+func closestName(word string, names []string) (best string) {
+	bestDistance := maxSuggestionDistance + 1
 	for _, n := range names {
 		if d := levenshtein.ComputeDistance(word, n); d < bestDistance {
 			bestDistance, best = d, n
--- a/once_proof_test.go
+++ b/once_proof_test.go
@@ -38,7 +38,7 @@
 				keys[n] = newKey()
 				first.Go(func() { s.post(c.killed[n%len(c.killed)], keys[n], 3*time.Second) })
 			}
-			eventually(t, "the targets run every request", func() bool { return ran(s.runs(t), keys) == len(keys) })
+			eventually(t, "the targets run every request", func() bool { return countRan(s.runs(t), keys) == len(keys) })
 			for _, n := range c.killed {
 				s.entries[n].signal(syscall.SIGKILL)
 			}
@@ -48,7 +48,7 @@
 				resends.Go(func() {
 					for n := range 2 * len(c.left) {
 						a := s.post(c.left[n%len(c.left)], key, 3*time.Second)
-						ok := a.outcome == call.Unknown.String() || a.replay && a.whole(key)
+						ok := a.outcome == call.Unknown.String() || a.replay && a.complete(key)
 						q.Check(ok, qt.IsTrue, qt.Commentf("resend %d: %+v", n, a))
 					}
 				})
@@ -75,7 +75,7 @@
 		for a.outcome == call.Unknown.String() && a.reason == "in-progress" {
 			a = s.post([]int{0, 2}[n%2], key, 3*time.Second)
 		}
-		q.Check(a.replay && a.whole(key), qt.IsTrue, qt.Commentf("%+v", a))
+		q.Check(a.replay && a.complete(key), qt.IsTrue, qt.Commentf("%+v", a))
 		q.Check(s.runs(t)[key], qt.Equals, 1)
 	}
 }
@@ -88,54 +88,54 @@
 	t.Parallel()
 	q := qt.New(t)
 	s := newCluster(t, 3, 3, 2*time.Millisecond)
-	code, out := s.operate(t, 0, "settings", "set", ledger, "locatettl", "500ms", "--wait")
+	code, out := s.runCommand(t, 0, "settings", "set", servicePath, "locatettl", "500ms", "--wait")
 	q.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", out))
 	l := newKeyedLoad(s, 0, 1, 2)
-	l.progress(t, "before any change")
+	l.awaitProgress(t, "before any change")
 
 	joined := s.startEntry(t)
-	eventually(t, "the new entry is seen as ready", func() bool { return s.serving(0) == 4 && s.serving(joined) == 4 })
+	eventually(t, "the new entry is seen as ready", func() bool { return s.readyEntries(0) == 4 && s.readyEntries(joined) == 4 })
 	l.use(s, 0, 1, 2, joined)
-	l.progress(t, "after a join")
+	l.awaitProgress(t, "after a join")
 
 	s.entries[1].signal(syscall.SIGTERM)
 	l.use(s, 0, 2, joined)
 	s.awaitEnd(t, 1)
-	eventually(t, "the entry that left is gone", func() bool { return s.serving(0) == 3 })
-	l.progress(t, "after a leave")
+	eventually(t, "the entry that left is gone", func() bool { return s.readyEntries(0) == 3 })
+	l.awaitProgress(t, "after a leave")
 
 	s.entries[2].signal(syscall.SIGKILL)
 	l.use(s, 0, joined)
-	l.progress(t, "after a death")
-	restarted := s.startNamed(t, s.names[2])
+	l.awaitProgress(t, "after a death")
+	restarted := s.startNamed(t, s.entryNames[2])
 	l.use(s, 0, joined, restarted)
-	eventually(t, "the restarted entry is seen as ready", func() bool { return s.serving(restarted) == 3 && s.serving(0) == 3 })
-	l.progress(t, "after a restart under the same name")
+	eventually(t, "the restarted entry is seen as ready", func() bool { return s.readyEntries(restarted) == 3 && s.readyEntries(0) == 3 })
+	l.awaitProgress(t, "after a restart under the same name")
 
-	sent := l.end()
+	sent := l.stopAndWait()
 	for n, k := range sent {
 		if n%max(1, len(sent)/200) == 0 {
-			k.told = append(k.told, s.post(restarted, k.key, 3*time.Second))
+			k.results = append(k.results, s.post(restarted, k.key, 3*time.Second))
 		}
 	}
 	runs := s.runs(t)
 	for _, k := range sent {
 		n := runs[k.key]
 		q.Check(n <= 1, qt.IsTrue, qt.Commentf("key %s ran %d times", k.key, n))
-		q.Check(n == 1 || !k.any(answeredWhole), qt.IsTrue, qt.Commentf("answered without a run: %+v", k))
-		q.Check(n == 0 || k.any(notNotRun), qt.IsTrue, qt.Commentf("only outcomes not-run, but it ran: %+v", k))
+		q.Check(n == 1 || !k.any(answeredOK), qt.IsTrue, qt.Commentf("answered without a run: %+v", k))
+		q.Check(n == 0 || k.any(mayHaveRun), qt.IsTrue, qt.Commentf("only outcomes not-run, but it ran: %+v", k))
 	}
 	t.Logf("%d keys, %d answered", len(sent), l.answered.Load())
 }
 
 // sentKey is a key with the result of each request that was sent with it.
 type sentKey struct {
-	key  string
-	told []told
+	key     string
+	results []callResult
 }
 
-func (k *sentKey) any(is func(told) bool) bool {
-	for _, a := range k.told {
+func (k *sentKey) any(is func(callResult) bool) bool {
+	for _, a := range k.results {
 		if is(a) {
 			return true
 		}
@@ -143,18 +143,18 @@
 	return false
 }
 
-func answeredWhole(a told) bool { return a.err == nil && a.status == http.StatusOK }
-func notNotRun(a told) bool     { return a.outcome != call.NotRun.String() }
+func answeredOK(a callResult) bool { return a.err == nil && a.status == http.StatusOK }
+func mayHaveRun(a callResult) bool { return a.outcome != call.NotRun.String() }
 
 // keyedLoad sends keyed requests through the entries in use, up to three per key.
 type keyedLoad struct {
 	answered atomic.Int64
 	stop     chan struct{}
-	all      sync.WaitGroup
+	senders  sync.WaitGroup
 
 	mu      sync.Mutex
-	at      *cluster // copy made by the last call of use
-	through []int
+	cluster *cluster // copy made by the last call of use
+	entries []int
 	sent    []*sentKey
 }
 
@@ -165,7 +165,7 @@
 	l := &keyedLoad{stop: make(chan struct{})}
 	l.use(s, entries...)
 	for n := range keyedSenders {
-		l.all.Go(func() { l.send(rand.New(rand.NewPCG(uint64(n), 1))) })
+		l.senders.Go(func() { l.send(rand.New(rand.NewPCG(uint64(n), 1))) })
 	}
 	return l
 }
@@ -175,13 +175,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	snapshot := *s
-	l.at, l.through = &snapshot, entries
+	l.cluster, l.entries = &snapshot, entries
 }
 
 func (l *keyedLoad) pick(rnd *rand.Rand) (s *cluster, entry int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.at, l.through[rnd.IntN(len(l.through))]
+	return l.cluster, l.entries[rnd.IntN(len(l.entries))]
 }
 
 func (l *keyedLoad) send(rnd *rand.Rand) {
@@ -194,9 +194,9 @@
 		k := &sentKey{key: newKey()}
 		for range 1 + rnd.IntN(3) {
 			s, n := l.pick(rnd)
-			k.told = append(k.told, s.post(n, k.key, 2*time.Second))
+			k.results = append(k.results, s.post(n, k.key, 2*time.Second))
 		}
-		if k.any(answeredWhole) {
+		if k.any(answeredOK) {
 			l.answered.Add(1)
 		}
 		l.mu.Lock()
@@ -206,14 +206,14 @@
 }
 
 // awaitProgress waits until 100 more keys are answered.
-func (l *keyedLoad) progress(t *testing.T, when string) {
+func (l *keyedLoad) awaitProgress(t *testing.T, when string) {
 	t.Helper()
 	want := l.answered.Load() + 100
 	eventually(t, "keys are answered "+when, func() bool { return l.answered.Load() >= want })
 }
 
-func (l *keyedLoad) end() []*sentKey {
+func (l *keyedLoad) stopAndWait() []*sentKey {
 	close(l.stop)
-	l.all.Wait()
+	l.senders.Wait()
 	return l.sent
 }
--- a/place.go
+++ b/place.go
@@ -25,7 +25,7 @@
 }
 
 func placeList() *command {
-	var f reader
+	var f readFlags
 	sub := flaggy.NewSubcommand("list")
 	sub.Description = "list places with their regions"
 	f.attach(sub)
@@ -37,7 +37,7 @@
 		}
 		d, err := c.Document(ctx)
 		if err != nil {
-			return withExit(err)
+			return withExitCode(err)
 		}
 		views := []placeView{}
 		for _, p := range d.Places() {
--- a/process_test.go
+++ b/process_test.go
@@ -20,7 +20,7 @@
 )
 
 // waitLimit is the longest time that a test waits for a condition.
-const bound = 40 * time.Second
+const waitLimit = 40 * time.Second
 
 var (
 	buildOnce sync.Once
@@ -57,43 +57,43 @@
 
 // process is one process that the test started.
 type process struct {
-	cmd   *exec.Cmd
-	addrs []string // first lines of its standard output
-	errs  *bytes.Buffer
-	ended chan struct{}
+	cmd    *exec.Cmd
+	addrs  []string // first lines of its standard output
+	stderr *bytes.Buffer
+	exited chan struct{}
 }
 
 // spawn starts the program and reads the first n lines of its output.
 func spawn(t *testing.T, n int, args ...string) *process {
 	t.Helper()
-	p := &process{cmd: exec.Command(program(t), args...), errs: &bytes.Buffer{}, ended: make(chan struct{})}
+	p := &process{cmd: exec.Command(program(t), args...), stderr: &bytes.Buffer{}, exited: make(chan struct{})}
 	out, err := p.cmd.StdoutPipe()
 	qt.Assert(t, err, qt.IsNil)
-	p.cmd.Stderr = p.errs
+	p.cmd.Stderr = p.stderr
 	qt.Assert(t, p.cmd.Start(), qt.IsNil)
 	lines := bufio.NewReader(out)
 	for range n {
 		line, err := lines.ReadString('\n')
-		qt.Assert(t, err, qt.IsNil, qt.Commentf("%v: %s", args, p.errs))
+		qt.Assert(t, err, qt.IsNil, qt.Commentf("%v: %s", args, p.stderr))
 		p.addrs = append(p.addrs, strings.TrimSpace(line))
 	}
 	go func() {
 		_, _ = io.Copy(io.Discard, lines)
 		_ = p.cmd.Wait()
-		close(p.ended)
+		close(p.exited)
 	}()
 	t.Cleanup(func() {
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
-		<-p.ended
+		<-p.exited
 		if t.Failed() {
-			t.Logf("%v: %s", args, tail(p.errs.String()))
+			t.Logf("%v: %s", args, lastBytes(p.stderr.String()))
 		}
 	})
 	return p
 }
 
-func tail(s string) string {
+func lastBytes(s string) string {
 	const maxBytes = 2000
 	return s[max(0, len(s)-maxBytes):]
 }
@@ -112,10 +112,10 @@
 // eventually polls a condition and fails the test if it doesn't hold within waitLimit.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	end := time.Now().Add(bound)
+	end := time.Now().Add(waitLimit)
 	for !ok() {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", bound, what)
+			t.Fatalf("not within %v: %s", waitLimit, what)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/proof_test.go
+++ b/proof_test.go
@@ -20,7 +20,7 @@
 // entries, while the store is up, down or loses responses. No key may run twice: a resend
 // gets the outcome unknown or the recorded response, and a resumed entry dispatches
 // nothing again.
-func TestKeyRunsOnceThoughItsEntryFails(t *testing.T) {
+func TestKeyRunsOnceWhenItsEntryFails(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
@@ -43,8 +43,8 @@
 				keys[n] = newKey()
 				first.Go(func() { s.post(1, keys[n], 3*time.Second) })
 			}
-			eventually(t, "the targets run a request of each slot", func() bool { return ran(s.runs(t), keys) == len(keys) })
-			s.faults(t, c.store)
+			eventually(t, "the targets run a request of each slot", func() bool { return countRan(s.runs(t), keys) == len(keys) })
+			s.setFaults(t, c.store)
 			c.fault(s.entries[1])
 			for _, key := range keys {
 				for n := range 4 {
@@ -66,7 +66,7 @@
 }
 
 // countRan returns how many of the keys have been run at least once.
-func ran(runs map[string]int, keys []string) (n int) {
+func countRan(runs map[string]int, keys []string) (n int) {
 	for _, key := range keys {
 		if runs[key] > 0 {
 			n++
@@ -76,7 +76,7 @@
 }
 
 // storeOutages are the faults that make the store unavailable for a whole test.
-var outages = []struct{ name, faults string }{
+var storeOutages = []struct{ name, faults string }{
 	{"down", `{"down":true}`},
 	{"slow", `{"delay":"3s"}`},
 }
@@ -84,18 +84,18 @@
 // The store is unavailable. Callers send idempotent and non-idempotent requests without
 // keys. All of them are answered, since the entries keep the last known settings and
 // targets.
-func TestStoreOutageHurtsNoCaller(t *testing.T) {
+func TestStoreOutageAffectsNoCaller(t *testing.T) {
 	t.Parallel()
-	for _, c := range outages {
+	for _, c := range storeOutages {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			q := qt.New(t)
 			s := newCluster(t, 3, 3, 2*time.Millisecond)
-			code, out := s.operate(t, 0, "settings", "set", ledger, "requirekey", "false", "--wait")
+			code, out := s.runCommand(t, 0, "settings", "set", servicePath, "requirekey", "false", "--wait")
 			q.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", out))
-			s.faults(t, c.faults)
+			s.setFaults(t, c.faults)
 			r, err := load.Run(t.Context(), load.Config{
-				Entries: []string{s.callers(0), s.callers(1), s.callers(2)}, Services: []string{provedService},
+				Entries: []string{s.callers(0), s.callers(1), s.callers(2)}, Services: []string{testService},
 				Rate: 150, Requests: 600, Writes: 0.5, Keyless: true, Timeout: 5 * time.Second, Seed: 3,
 			})
 			q.Assert(err, qt.IsNil)
@@ -110,12 +110,12 @@
 // run.
 func TestKeysDuringAStoreOutage(t *testing.T) {
 	t.Parallel()
-	for _, c := range outages {
+	for _, c := range storeOutages {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			q := qt.New(t)
 			s := newCluster(t, 2, 2, 2*time.Millisecond)
-			s.faults(t, c.faults)
+			s.setFaults(t, c.faults)
 			keys := []string{newKey(), newKey(), newKey()}
 			for n, key := range keys {
 				began := time.Now()
@@ -123,10 +123,10 @@
 				q.Check(a.outcome+" "+a.reason, qt.Equals, "unknown claim-unreachable")
 				q.Check(time.Since(began) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 			}
-			q.Check(ran(s.runs(t), keys), qt.Equals, 0)
-			s.faults(t, `{}`)
+			q.Check(countRan(s.runs(t), keys), qt.Equals, 0)
+			s.setFaults(t, `{}`)
 			for _, key := range keys {
-				eventually(t, "the key is answered", func() bool { return s.post(0, key, 5*time.Second).whole(key) })
+				eventually(t, "the key is answered", func() bool { return s.post(0, key, 5*time.Second).complete(key) })
 				q.Check(s.runs(t)[key], qt.Equals, 1)
 			}
 		})
@@ -136,31 +136,31 @@
 // A request crashes every target that gets it, and its caller sends it again with new
 // keys through every entry. After a bounded number of crashed connections the request
 // must be refused as quarantined.
-func TestOneBadRequestIsStopped(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
 	s := newCluster(t, 4, 3, time.Millisecond)
 	for n := range s.targets {
-		breakTarget(t, s, n, `{"Crash":true}`)
+		setTargetFault(t, s, n, `{"Crash":true}`)
 	}
-	before := total(s.runs(t))
+	before := totalRuns(s.runs(t))
 	for n := range 30 {
 		s.post(n%3, newKey(), 2*time.Second)
 	}
-	crashed := total(s.runs(t)) - before
+	crashed := totalRuns(s.runs(t)) - before
 	q.Check(crashed <= 6, qt.IsTrue, qt.Commentf("%d dispatches of a request that crashes targets", crashed))
 	a := s.post(0, newKey(), time.Second)
 	q.Check(fmt.Sprint(a.outcome, a.reason), qt.Equals, "not-runquarantined")
 }
 
-func breakTarget(t *testing.T, s *cluster, n int, fault string) {
+func setTargetFault(t *testing.T, s *cluster, n int, fault string) {
 	t.Helper()
 	res, err := http.Post("http://"+s.targets[n].addrs[0]+"/-/fault", "application/json", strings.NewReader(fault))
 	qt.Assert(t, err, qt.IsNil)
 	res.Body.Close()
 }
 
-func total(runs map[string]int) (n int) {
+func totalRuns(runs map[string]int) (n int) {
 	for _, r := range runs {
 		n += r
 	}
--- a/service.go
+++ b/service.go
@@ -23,7 +23,7 @@
 
 // createNode returns the create command of services or places.
 func createNode(k tree.Kind, example string) *command {
-	f := newWriter()
+	f := newEditFlags()
 	var path string
 	var values []string
 	sub := flaggy.NewSubcommand("create")
@@ -57,7 +57,7 @@
 
 // removeNode returns the remove command of services or places.
 func removeNode(k tree.Kind, example string) *command {
-	f := newWriter()
+	f := newEditFlags()
 	var name string
 	sub := flaggy.NewSubcommand("remove")
 	sub.Description = fmt.Sprintf("remove a %s", k)
@@ -71,7 +71,7 @@
 		}
 		d, err := c.Document(ctx)
 		if err != nil {
-			return withExit(err)
+			return withExitCode(err)
 		}
 		path, err := findNode(d, k, name)
 		if err != nil {
@@ -94,7 +94,7 @@
 		known = append(known, tree.Name(path))
 	}
 	hint := ""
-	if s := nearest(name, known); s != "" {
+	if s := closestName(name, known); s != "" {
 		hint = fmt.Sprintf("; did you mean %s?", s)
 	}
 	return "", errors.Errorf("found %q, expected the name of a %s%s", name, k, hint)
@@ -111,7 +111,7 @@
 }
 
 func serviceList() *command {
-	var f reader
+	var f readFlags
 	sub := flaggy.NewSubcommand("list")
 	sub.Description = "list services with their main settings"
 	f.attach(sub)
@@ -123,7 +123,7 @@
 		}
 		d, err := c.Document(ctx)
 		if err != nil {
-			return withExit(err)
+			return withExitCode(err)
 		}
 		views := serviceViews(d)
 		if f.asJSON {
--- a/settings.go
+++ b/settings.go
@@ -27,54 +27,54 @@
 }
 
 // readFlags are the flags that all commands of the settings tree share.
-type reader struct {
-	at     string
-	asJSON bool
+type readFlags struct {
+	entryAddr string
+	asJSON    bool
 }
 
-func (f *reader) attach(sub *flaggy.Subcommand) {
-	sub.String(&f.at, "e", "entry", "host:port of an entry's operators' listener")
+func (f *readFlags) attach(sub *flaggy.Subcommand) {
+	sub.String(&f.entryAddr, "e", "entry", "host:port of an entry's operators' listener")
 	sub.Bool(&f.asJSON, "j", "json", "print JSON")
 }
 
-func (f *reader) client() (settings.Client, error) {
-	if f.at == "" {
+func (f *readFlags) client() (settings.Client, error) {
+	if f.entryAddr == "" {
 		return settings.Client{}, exitError{exitUsage, errors.New("--entry: found nothing, expected host:port")}
 	}
-	return settings.Client{Addr: f.at}, nil
+	return settings.Client{Addr: f.entryAddr}, nil
 }
 
 // editFlags are the flags that the editing commands share.
-type writer struct {
-	reader
-	id     string
-	author string
-	base   int64
-	wait   bool
-	within time.Duration
+type editFlags struct {
+	readFlags
+	id          string
+	author      string
+	base        int64
+	wait        bool
+	waitTimeout time.Duration
 }
 
 // noBase is the base value that lets the entry choose the base revision of an edit.
 const noBase = -1
 
-func newWriter() *writer {
-	f := &writer{base: noBase, author: os.Getenv("USER"), within: 30 * time.Second}
+func newEditFlags() *editFlags {
+	f := &editFlags{base: noBase, author: os.Getenv("USER"), waitTimeout: 30 * time.Second}
 	if f.author == "" {
 		f.author = "operator"
 	}
 	return f
 }
 
-func (f *writer) attach(sub *flaggy.Subcommand) {
-	f.reader.attach(sub)
+func (f *editFlags) attach(sub *flaggy.Subcommand) {
+	f.readFlags.attach(sub)
 	sub.String(&f.id, "", "id", "id of the edit, to resend an edit whose outcome is unknown")
 	sub.String(&f.author, "a", "author", "author of the edit, for the history")
 	sub.Int64(&f.base, "b", "base", "revision that the edit is based on; a later edit of the same value is a conflict")
 	sub.Bool(&f.wait, "w", "wait", "wait until the edit is in force at every live entry")
-	sub.Duration(&f.within, "", "within", "maximum time to wait")
+	sub.Duration(&f.waitTimeout, "", "within", "maximum time to wait")
 }
 
-func (f *writer) baseRevision() *uint64 {
+func (f *editFlags) baseRevision() *uint64 {
 	if f.base < 0 {
 		return nil
 	}
@@ -82,7 +82,7 @@
 	return &base
 }
 
-func (f *writer) editID() string {
+func (f *editFlags) editID() string {
 	if f.id == "" {
 		f.id = uuid.NewString()
 	}
@@ -90,7 +90,7 @@
 }
 
 // edit sends changes to the entry as one edit and prints the outcome.
-func (f *writer) edit(ctx context.Context, changes ...tree.Change) error {
+func (f *editFlags) edit(ctx context.Context, changes ...tree.Change) error {
 	c, err := f.client()
 	if err != nil {
 		return err
@@ -102,12 +102,12 @@
 
 // report prints the outcome of an edit. With --wait it first waits until the edit is in
 // force.
-func (f *writer) report(ctx context.Context, a settings.EditResult, err error) error {
+func (f *editFlags) report(ctx context.Context, a settings.EditResult, err error) error {
 	if err != nil {
-		return withExit(errors.WithMessagef(err, "edit %s", f.id))
+		return withExitCode(errors.WithMessagef(err, "edit %s", f.id))
 	}
 	if f.wait {
-		if err := awaitRevision(ctx, f.at, a.Revision, f.within); err != nil {
+		if err := awaitRevision(ctx, f.entryAddr, a.Revision, f.waitTimeout); err != nil {
 			return err
 		}
 	}
@@ -145,7 +145,7 @@
 }
 
 // withExitCode sets the exit code of an error that an entry returned.
-func withExit(err error) error {
+func withExitCode(err error) error {
 	var r *settings.ResponseError
 	if !errors.As(err, &r) {
 		return err
@@ -164,7 +164,7 @@
 }
 
 func settingsGet() *command {
-	var f reader
+	var f readFlags
 	path := tree.Root
 	sub := flaggy.NewSubcommand("get")
 	sub.Description = "show the values in effect at a node and where each comes from"
@@ -178,7 +178,7 @@
 		}
 		n, err := c.Get(ctx, path)
 		if err != nil {
-			return withExit(err)
+			return withExitCode(err)
 		}
 		return f.printNode(n)
 	}}
@@ -197,7 +197,7 @@
 	From  string `json:"from"`
 }
 
-func (f *reader) printNode(n settings.Node) error {
+func (f *readFlags) printNode(n settings.Node) error {
 	v := nodeView{Revision: n.Revision, Path: n.Path, Kind: string(n.Kind)}
 	for _, o := range n.Values {
 		from := o.Source
@@ -219,7 +219,7 @@
 }
 
 func settingsSet() *command {
-	f := newWriter()
+	f := newEditFlags()
 	var path, field, value string
 	sub := flaggy.NewSubcommand("set")
 	sub.Description = "override a value at a node"
@@ -234,7 +234,7 @@
 }
 
 func settingsUnset() *command {
-	f := newWriter()
+	f := newEditFlags()
 	var path, field string
 	sub := flaggy.NewSubcommand("unset")
 	sub.Description = "remove an override, so that the value is inherited again"
@@ -248,7 +248,7 @@
 }
 
 func settingsHistory() *command {
-	var f reader
+	var f readFlags
 	count := 20
 	sub := flaggy.NewSubcommand("history")
 	sub.Description = "show the most recent edits"
@@ -262,7 +262,7 @@
 		}
 		edits, err := c.History(ctx, count)
 		if err != nil {
-			return withExit(err)
+			return withExitCode(err)
 		}
 		return f.printHistory(edits)
 	}}
@@ -277,7 +277,7 @@
 	Changes  []string  `json:"changes"`
 }
 
-func (f *reader) printHistory(edits []tree.Edit) error {
+func (f *readFlags) printHistory(edits []tree.Edit) error {
 	views := []editView{}
 	for _, e := range edits {
 		views = append(views, editView{e.Revision, e.Time, e.Author, e.ID, e.Base, changeTexts(e.Changes)})
--- a/settings_proof_test.go
+++ b/settings_proof_test.go
@@ -15,16 +15,16 @@
 )
 
 // servicePath is the path of the tested service in the settings tree.
-const ledger = "/swanbourne/" + provedService
+const servicePath = "/swanbourne/" + testService
 
 // inForceBound is the time within which an accepted edit must be in force at every entry.
-const inForce = 13 * time.Second
+const inForceBound = 13 * time.Second
 
 // An edit is accepted at one entry and the store fails right after it, in two cases with
 // watches that have been silent since before the edit. The other entries can receive the
 // edit only from their peers. It must be in force there within inForceBound, and also at
 // an entry that boots during the outage.
-func TestAcceptedEditIsInForceThoughTheStoreFails(t *testing.T) {
+func TestAcceptedEditIsInForceDespiteStoreFailure(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, before, after string }{
 		{"down", `{}`, `{"down":true}`},
@@ -35,21 +35,21 @@
 			t.Parallel()
 			q := qt.New(t)
 			s := newCluster(t, 2, 3, time.Millisecond)
-			s.faults(t, c.before)
+			s.setFaults(t, c.before)
 			began := time.Now()
-			code, out := s.operate(t, 1, "settings", "set", ledger, "timeout", "4s")
-			s.faults(t, c.after)
+			code, out := s.runCommand(t, 1, "settings", "set", servicePath, "timeout", "4s")
+			s.setFaults(t, c.after)
 			q.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", out))
 			took := s.awaitRevision(t, s.revision(1), began, 0, 1, 2)
 			t.Logf("edit in force at the last of 3 entries %v after the command began", took)
-			q.Check(took < inForce, qt.IsTrue, qt.Commentf("took %v", took))
+			q.Check(took < inForceBound, qt.IsTrue, qt.Commentf("took %v", took))
 			q.Check(s.value(t, 2, "timeout"), qt.Equals, "4s")
 
 			began = time.Now()
 			n := s.startEntry(t)
 			took = s.awaitRevision(t, s.revision(1), began, n)
 			t.Logf("entry booted during the outage has the settings after %v", took)
-			q.Check(took < inForce, qt.IsTrue, qt.Commentf("took %v", took))
+			q.Check(took < inForceBound, qt.IsTrue, qt.Commentf("took %v", took))
 			q.Check(s.value(t, n, "timeout"), qt.Equals, "4s")
 		})
 	}
@@ -64,15 +64,15 @@
 	s := newCluster(t, 1, 3, time.Millisecond)
 	old := s.stored(t)
 	for _, timeout := range []string{"4s", "3s"} {
-		code, out := s.operate(t, 1, "settings", "set", ledger, "timeout", timeout, "--wait")
+		code, out := s.runCommand(t, 1, "settings", "set", servicePath, "timeout", timeout, "--wait")
 		q.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", out))
 	}
 	newest := s.revision(1)
 	stop := s.watchRevisions(t, 0, 1, 2)
-	s.faults(t, `{"down":true}`)
+	s.setFaults(t, `{"down":true}`)
 	s.admin(t, fmt.Sprintf("/rollback?to=%d", old.Version), "")
 	q.Assert(s.stored(t).Revision < newest, qt.IsTrue)
-	s.faults(t, `{}`)
+	s.setFaults(t, `{}`)
 	began := time.Now()
 	eventually(t, "the store has the newest document again", func() bool { return s.stored(t).Revision >= newest })
 	t.Logf("the store has the newest document after %v", time.Since(began))
@@ -87,7 +87,7 @@
 // Two operators set the same value at the same time through two entries, based on the same
 // revision. One edit must be accepted, and the other rejected with a conflict message that
 // shows both values.
-func TestOperatorsWhoRaceSeeBothEdits(t *testing.T) {
+func TestConcurrentEditsReportConflict(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
 	s := newCluster(t, 1, 3, time.Millisecond)
@@ -103,7 +103,7 @@
 		var race sync.WaitGroup
 		for n, value := range []string{c.one, c.other} {
 			race.Go(func() {
-				codes[n], outs[n] = s.operate(t, n, "settings", "set", ledger, c.field, value, "--base", base, "--wait")
+				codes[n], outs[n] = s.runCommand(t, n, "settings", "set", servicePath, c.field, value, "--base", base, "--wait")
 				if codes[n] == exitOK {
 					s.checkEverywhere(t, c.field, value)
 				}
@@ -131,7 +131,7 @@
 	returned := make(chan struct{})
 	go func() {
 		defer close(returned)
-		code, _ = s.operate(t, 0, "settings", "set", ledger, "timeout", "4s", "--wait")
+		code, _ = s.runCommand(t, 0, "settings", "set", servicePath, "timeout", "4s", "--wait")
 	}()
 	eventually(t, "the edit is in force at the other entries", func() bool { return s.value(t, 0, "timeout") == "4s" && s.value(t, 1, "timeout") == "4s" })
 	select {
@@ -156,7 +156,7 @@
 // value returns the value in force at an entry for a setting of the tested service.
 func (c *cluster) value(t *testing.T, n int, field string) string {
 	t.Helper()
-	node, err := (settings.Client{Addr: c.operators(n)}).Get(t.Context(), ledger)
+	node, err := (settings.Client{Addr: c.operators(n)}).Get(t.Context(), servicePath)
 	qt.Check(t, err, qt.IsNil)
 	for _, v := range node.Values {
 		if v.Field == field {
--- a/settings_test.go
+++ b/settings_test.go
@@ -23,7 +23,7 @@
 
 // newOperatorServer serves the settings API of an entry on a stand-in platform. Its status
 // shows one live entry, and one dead entry that stays at revision 0.
-func operators(q *qt.C) (addr string) {
+func newOperatorServer(q *qt.C) (addr string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := httptest.NewServer(platform.New(platform.Config{}))
 	unlimited := rate.NewLimiter(rate.Inf, 1)
@@ -51,7 +51,7 @@
 func runArgs(q *qt.C, args ...string) (code int, out string) {
 	q.Helper()
 	all := []*command{settingsCommand(), serviceCommand(), placeCommand(), checkCommand()}
-	q.Assert(checkNames(all, args), qt.IsNil)
+	q.Assert(checkCommandNames(all, args), qt.IsNil)
 	p := flaggy.NewParser("plumpitch")
 	for _, c := range all {
 		p.AttachSubcommand(c.attach(), 1)
@@ -64,7 +64,7 @@
 	os.Stdout = printed
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	err = chosen(all).run(ctx)
+	err = selectedCommand(all).run(ctx)
 	os.Stdout = stdout
 	_, _ = printed.Seek(0, io.SeekStart)
 	text, _ := io.ReadAll(printed)
@@ -80,7 +80,7 @@
 
 func TestSettingsCommands(t *testing.T) {
 	q := qt.New(t)
-	addr := operators(q)
+	addr := newOperatorServer(q)
 	bad := filepath.Join(q.TempDir(), "bad.json")
 	q.Assert(os.WriteFile(bad, []byte("{\n\"/\": {\"kind\": \"root\", \"set\": {\"timout\": \"1s\"}}}"), 0o600), qt.IsNil)
 	const catalogue = "/swanbourne/gown-catalogue"
--- a/standin.go
+++ b/standin.go
@@ -33,7 +33,7 @@
 	sub.String(&file, "", "settings", "settings file to load at the start")
 	sub.AdditionalHelpAppend = "Example: plumpitch standin store --listen 127.0.0.1:7400"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		return serveUntil(ctx, addr, platform.New(platform.Config{}), func(addr string) error {
+		return serveUntilDone(ctx, addr, platform.New(platform.Config{}), func(addr string) error {
 			if file == "" {
 				return nil
 			}
@@ -63,11 +63,11 @@
 	sub.String(&place, "", "place", "place of the target, for the VM list")
 	sub.AdditionalHelpAppend = "Example: plumpitch standin target --service gown-catalogue --listen 127.0.0.1:7500"
 	return &command{sub: sub, run: func(ctx context.Context) error {
-		return serveUntil(ctx, addr, target.New(cfg), func(addr string) error {
+		return serveUntilDone(ctx, addr, target.New(cfg), func(addr string) error {
 			if platformURL == "" {
 				return nil
 			}
-			return enlist(ctx, platformURL, platform.VM{
+			return registerTarget(ctx, platformURL, platform.VM{
 				ID: cfg.Name, Addr: addr, Place: place, Service: cfg.Service,
 				Slots: cfg.Slots, Boot: uint64(time.Now().UnixNano()), State: platform.Live,
 			})
@@ -76,7 +76,7 @@
 }
 
 // registerTarget adds a stand-in target to the VM list of a platform stand-in.
-func enlist(ctx context.Context, platformURL string, vm platform.VM) (err error) {
+func registerTarget(ctx context.Context, platformURL string, vm platform.VM) (err error) {
 	defer func() { err = errors.WithMessage(err, "VM list") }()
 	body, err := json.Marshal(map[string]any{
 		"addr": vm.Addr, "place": vm.Place, "service": vm.Service, "slots": vm.Slots, "boot": vm.Boot, "state": vm.State,
@@ -102,7 +102,7 @@
 // serveUntilDone serves h on addr until ctx ends, and then lets requests in flight
 // finish. It prints the listener's address as the first line of standard output. onListen
 // is called before that with the address, unless it is nil.
-func serveUntil(ctx context.Context, addr string, h http.Handler, onListen func(addr string) error) (err error) {
+func serveUntilDone(ctx context.Context, addr string, h http.Handler, onListen func(addr string) error) (err error) {
 	defer func() { err = errors.WithMessage(err, "stand-in") }()
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/status.go
+++ b/status.go
@@ -46,18 +46,18 @@
 	return &command{sub: sub, run: func(ctx context.Context) error {
 		switch {
 		case gatewayAddr != "" && asJSON:
-			return printAnswer(ctx, gatewayAddr, gateway.PathStatus)
+			return printResponse(ctx, gatewayAddr, gateway.PathStatus)
 		case gatewayAddr != "":
 			return showGateway(ctx, gatewayAddr)
 		case asJSON:
-			return printAnswer(ctx, addr, "/v1/status")
+			return printResponse(ctx, addr, "/v1/status")
 		}
 		return showStatus(ctx, addr)
 	}}
 }
 
 func showStatus(ctx context.Context, addr string) (err error) {
-	body, err := ask(ctx, http.MethodGet, addr, "/v1/status")
+	body, err := requestEntry(ctx, http.MethodGet, addr, "/v1/status")
 	if err != nil {
 		return err
 	}
--- a/status_gateway.go
+++ b/status_gateway.go
@@ -13,7 +13,7 @@
 // showGateway prints a gateway's view of itself, of the other gateways and of the
 // targets.
 func showGateway(ctx context.Context, addr string) (err error) {
-	body, err := ask(ctx, http.MethodGet, addr, gateway.PathStatus)
+	body, err := requestEntry(ctx, http.MethodGet, addr, gateway.PathStatus)
 	if err != nil {
 		return err
 	}
@@ -22,13 +22,13 @@
 		return err
 	}
 	fmt.Printf("gateway %s, configuration %d confirmed %.1f s ago, targets %d confirmed %.1f s ago%s\n\n",
-		s.Entry, s.ConfigVersion, s.ConfigAge, s.TargetsRevision, s.TargetsAge, marks(s.Leaving, s.Overloaded, s.StoreUnavailable))
+		s.Entry, s.ConfigVersion, s.ConfigAge, s.TargetsRevision, s.TargetsAge, conditionsText(s.Leaving, s.Overloaded, s.StoreUnavailable))
 	showEvacuations(s)
 	t := newTable("ENTRY", "STATE", "PLACE", "SINCE S", "CONFIG", "TARGETS", "RATE", "MARKS")
 	for _, e := range s.Entries {
 		t.Append([]string{
 			e.Name, e.State, e.Place, fmt.Sprintf("%.1f", e.StateAge), fmt.Sprint(e.ConfigVersion), fmt.Sprint(e.TargetsRevision),
-			fmt.Sprintf("%.0f", e.Rate), strings.TrimPrefix(marks(false, e.Overloaded, e.StoreUnavailable), ", "),
+			fmt.Sprintf("%.0f", e.Rate), strings.TrimPrefix(conditionsText(false, e.Overloaded, e.StoreUnavailable), ", "),
 		})
 	}
 	t.Render()
@@ -66,7 +66,7 @@
 }
 
 // conditionsText lists the abnormal conditions of a gateway, each after a comma.
-func marks(leaving, strained, shut bool) (text string) {
+func conditionsText(leaving, strained, shut bool) (text string) {
 	for _, c := range []struct {
 		active bool
 		name   string
--- a/trace.go
+++ b/trace.go
@@ -19,7 +19,7 @@
 	sub := flaggy.NewSubcommand("trace")
 	sub.Description = "show from collected logs how a request ended, and why"
 	sub.AddPositionalValue(&id, "ID", 1, true, "id of the request")
-	files := fileValues(sub, 2)
+	files := addLogFileArgs(sub, 2)
 	sub.AdditionalHelpAppend = "Example: cat gateway-*.log | plumpitch trace 9c41d07be2a35f68"
 	return &command{sub: sub, run: func(context.Context) error {
 		return traceRequest(os.Stdout, id, files())
@@ -27,12 +27,12 @@
 }
 
 // maxLogFiles is the maximum number of log files on one command line.
-const maxFiles = 64
+const maxLogFiles = 64
 
 // addLogFileArgs adds optional positional arguments for log files, starting at position
 // from. The returned function returns the paths that were given.
-func fileValues(sub *flaggy.Subcommand, from int) (given func() []string) {
-	values := make([]string, maxFiles)
+func addLogFileArgs(sub *flaggy.Subcommand, from int) (given func() []string) {
+	values := make([]string, maxLogFiles)
 	for i := range values {
 		sub.AddPositionalValue(&values[i], fmt.Sprintf("FILE%d", i+1), from+i, false, "log of one or several gateways; standard input if none is given")
 		sub.PositionalFlags[len(sub.PositionalFlags)-1].Hidden = i > 0
@@ -87,11 +87,11 @@
 		return err
 	}
 	if len(lines) == 0 {
-		return traceLost(out, id, text)
+		return reportLostGateways(out, id, text)
 	}
 	for _, l := range lines {
 		var fields []string
-		for _, name := range l.Names() {
+		for _, name := range l.FieldNames() {
 			fields = append(fields, fmt.Sprintf("%s=%v", name, l.Fields[name]))
 		}
 		marker := " "
@@ -106,14 +106,14 @@
 // reportLostGateways prints the gateways that were lost without a stop. It is called for
 // a request without log lines: a gateway that is killed writes no line about the
 // requests in flight.
-func traceLost(out io.Writer, id string, text []byte) (err error) {
-	lost, err := logs.Lost(bytes.NewReader(text))
+func reportLostGateways(out io.Writer, id string, text []byte) (err error) {
+	lost, err := logs.FindLost(bytes.NewReader(text))
 	if err != nil {
 		return err
 	}
 	for _, l := range lost {
 		fmt.Fprintf(out, "! %s %s was lost without a stop; its last line is of %s, %s missed it first\n",
-			l.Noticed.Format("15:04:05.000"), l.Entry, l.Last.Format("15:04:05.000"), l.By)
+			l.Noticed.Format("15:04:05.000"), l.Entry, l.LastSeen.Format("15:04:05.000"), l.NoticedBy)
 	}
 	if len(lost) > 0 {
 		return errors.Errorf("request %s: found no line; a request that a lost gateway had leaves none", id)
--- a/upgrade_proof_test.go
+++ b/upgrade_proof_test.go
@@ -27,7 +27,7 @@
 // gateways within 2 s.
 func TestUpgradeInTurn(t *testing.T) {
 	t.Parallel()
-	s := newStudio(t, 4)
+	s := newGatewaySite(t, 4)
 	old := os.Getenv(oldProgram)
 	if old == "" {
 		old = program(t)
@@ -35,25 +35,25 @@
 	for range 3 {
 		s.start(old)
 	}
-	callers := s.call(6)
+	callers := s.startCallers(6)
 	for _, g := range s.gateways {
-		s.change()
+		s.changeConfiguration()
 		s.upgrade(g)
-		s.change()
+		s.changeConfiguration()
 	}
-	failed, sent := callers.end()
+	failed, sent := callers.stopAndWait()
 	s.q.Assert(failed, qt.HasLen, 0)
 	s.q.Assert(sent > 300, qt.IsTrue)
 }
 
 // changeConfiguration stores a newer configuration and waits until it is in force at all
 // gateways.
-func (s *studio) change() {
+func (s *gatewaySite) changeConfiguration() {
 	s.t.Helper()
 	s.configure()
 	began := time.Now()
 	for _, g := range s.gateways {
-		for !strings.Contains(g.text(), fmt.Sprintf(`"version":%d`, s.version)) {
+		for !strings.Contains(g.logText(), fmt.Sprintf(`"version":%d`, s.version)) {
 			if time.Since(began) > 2*time.Second {
 				s.t.Fatalf("%s doesn't have version %d after %v", g.name, s.version, time.Since(began))
 			}
@@ -63,10 +63,10 @@
 }
 
 // upgrade stops a gateway and restarts it with the current program.
-func (s *studio) upgrade(g *gatewayProcess) {
+func (s *gatewaySite) upgrade(g *gatewayProcess) {
 	s.t.Helper()
 	g.signal(syscall.SIGTERM)
-	s.q.Assert(<-g.ended, qt.IsNil)
+	s.q.Assert(<-g.exited, qt.IsNil)
 	out, err := os.OpenFile(g.log, os.O_APPEND|os.O_WRONLY, 0o600)
 	s.q.Assert(err, qt.IsNil)
 	s.run(g, program(s.t), out)
@@ -75,24 +75,24 @@
 
 // callerLoad is a set of callers that send requests until they are stopped, each to the
 // address from the directory.
-type callers struct {
-	stop chan struct{}
-	all  sync.WaitGroup
+type callerLoad struct {
+	stop    chan struct{}
+	senders sync.WaitGroup
 
 	mu     sync.Mutex
 	sent   int
 	failed []string
 }
 
-func (s *studio) call(n int) *callers {
-	c := &callers{stop: make(chan struct{})}
+func (s *gatewaySite) startCallers(n int) *callerLoad {
+	c := &callerLoad{stop: make(chan struct{})}
 	for i := range n {
-		c.all.Go(func() { c.send(s, i) })
+		c.senders.Go(func() { c.send(s, i) })
 	}
 	return c
 }
 
-func (c *callers) send(s *studio, i int) {
+func (c *callerLoad) send(s *gatewaySite, i int) {
 	address, until := "", time.Time{}
 	for n := 0; ; n++ {
 		select {
@@ -123,7 +123,7 @@
 
 // resolve returns the first address of a resolve response, from the first gateway that
 // returns one.
-func (s *studio) resolve() string {
+func (s *gatewaySite) resolve() string {
 	for _, g := range s.gateways {
 		res, err := http.Get("http://" + g.ip + ":8546/resolve?name=veil.example")
 		if err != nil {
@@ -159,8 +159,8 @@
 	return res.StatusCode, true
 }
 
-func (c *callers) end() (failed []string, sent int) {
+func (c *callerLoad) stopAndWait() (failed []string, sent int) {
 	close(c.stop)
-	c.all.Wait()
+	c.senders.Wait()
 	return c.failed, c.sent
 }
