--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -21,38 +21,38 @@
 
 // attempt is one request that a client sent, and its result.
 type attempt struct {
-	kind     kind
-	id       string
-	path     string
-	text     string
-	once     bool // it must not run twice
-	gateway  *gateway
-	sent     time.Time
-	ended    time.Time
-	deadline time.Duration // counted from sentAt
-	dialled  bool          // a connection was established
-	status   int           // 0 if there was no complete response
-	after    time.Duration // Retry-After of the response
-	echo     string        // request ID of the response
-	signer   string        // ID of the target that signed the response
-	body     string
-	err      error
+	kind         requestKind
+	id           string
+	path         string
+	requestBody  string
+	runOnce      bool // it must not run twice
+	gateway      *gateway
+	sentAt       time.Time
+	endedAt      time.Time
+	deadline     time.Duration // counted from sentAt
+	connected    bool          // a connection was established
+	status       int           // 0 if there was no complete response
+	retryAfter   time.Duration // Retry-After of the response
+	responseID   string        // request ID of the response
+	signer       string        // ID of the target that signed the response
+	responseBody string
+	err          error
 }
 
 // loadGenerator runs the clients and records their attempts.
-type load struct {
-	site   *site
-	cancel context.CancelFunc
-	done   sync.WaitGroup
-	last   atomic.Uint64 // number of the latest request or attempt
+type loadGenerator struct {
+	site       *site
+	cancel     context.CancelFunc
+	done       sync.WaitGroup
+	lastNumber atomic.Uint64 // number of the latest request or attempt
 
 	mu       sync.Mutex
 	attempts []*attempt
 }
 
-func (s *site) startClients() *load {
+func (s *site) startClients() *loadGenerator {
 	ctx, cancel := context.WithCancel(context.Background())
-	s.load = &load{site: s, cancel: cancel}
+	s.load = &loadGenerator{site: s, cancel: cancel}
 	for i := range s.clientCount {
 		c := newClient(s, rand.New(rand.NewPCG(s.seed, uint64(100+i))))
 		s.load.done.Go(func() { c.run(ctx) })
@@ -61,7 +61,7 @@
 }
 
 // stop ends all clients and returns their attempts.
-func (l *load) stop() []*attempt {
+func (l *loadGenerator) stop() []*attempt {
 	l.cancel()
 	l.done.Wait()
 	l.mu.Lock()
@@ -72,12 +72,12 @@
 // client sends one request after the other over persistent connections to gateways that it
 // resolved. It caches the resolved addresses for 1 to 3 s.
 type client struct {
-	site  *site
-	load  *load
-	rnd   *rand.Rand
-	http  *http.Client
-	known []*gateway // result of the latest resolve request
-	until time.Time  // when the result expires
+	site          *site
+	load          *loadGenerator
+	rnd           *rand.Rand
+	http          *http.Client
+	resolved      []*gateway // result of the latest resolve request
+	resolvedUntil time.Time  // when the result expires
 }
 
 func newClient(s *site, rnd *rand.Rand) *client {
@@ -92,22 +92,22 @@
 func (c *client) run(ctx context.Context) {
 	defer c.close()
 	for ctx.Err() == nil {
-		n := c.load.last.Add(1)
-		k := c.drawKind()
-		c.request(k, n)
-		c.rest()
+		n := c.load.lastNumber.Add(1)
+		k := c.pickKind()
+		c.sendWithRetries(k, n)
+		c.waitForNext()
 	}
 }
 
 // pickKind picks a kind of request at random, by weight.
-func (c *client) drawKind() kind {
+func (c *client) pickKind() requestKind {
 	total := 0
 	for _, k := range c.site.kinds {
-		total += k.share
+		total += k.weight
 	}
 	n := c.rnd.IntN(total)
 	for _, k := range c.site.kinds {
-		if n -= k.share; n < 0 {
+		if n -= k.weight; n < 0 {
 			return k
 		}
 	}
@@ -116,12 +116,12 @@
 
 // waitForNext waits until the client's next request: up to 20 ms if the profile sets no
 // rate, else an exponentially distributed time.
-func (c *client) rest() {
-	if c.site.rate == 0 {
+func (c *client) waitForNext() {
+	if c.site.requestRate == 0 {
 		time.Sleep(time.Duration(c.rnd.IntN(20)) * time.Millisecond)
 		return
 	}
-	mean := float64(c.site.clientCount) / c.site.rate * 100 / float64(c.site.rush.Load())
+	mean := float64(c.site.clientCount) / c.site.requestRate * 100 / float64(c.site.loadPercent.Load())
 	time.Sleep(time.Duration(c.rnd.ExpFloat64() * mean * float64(time.Second)))
 }
 
@@ -129,36 +129,36 @@
 // It retries at once while extraRetries is set, else after the time in the response. A
 // request that must not run twice is retried only if the response guarantees that it
 // didn't run.
-func (c *client) request(k kind, n uint64) {
+func (c *client) sendWithRetries(k requestKind, n uint64) {
 	started := time.Now()
-	path := k.prefix + "p" + strconv.FormatUint(n%c.site.paths, 10)
-	extraRetries := int(c.site.insist.Load())
+	path := k.prefix + "p" + strconv.FormatUint(n%c.site.pathCount, 10)
+	extraRetries := int(c.site.extraRetries.Load())
 	for range 1 + k.retries + extraRetries {
-		a := c.once(k, path)
+		a := c.sendOnce(k, path)
 		remaining := k.deadline - time.Since(started)
-		if a == nil || a.status == http.StatusOK || k.once && !promises(a.status) || remaining <= 0 {
+		if a == nil || a.status == http.StatusOK || k.runOnce && !guaranteesNotRun(a.status) || remaining <= 0 {
 			return
 		}
 		if extraRetries == 0 {
-			time.Sleep(min(a.after, remaining/3))
+			time.Sleep(min(a.retryAfter, remaining/3))
 		}
 	}
 }
 
 // sendOnce sends one attempt. It returns nil if it knows no gateway.
-func (c *client) once(k kind, path string) *attempt {
-	if now := time.Now(); len(c.known) == 0 || now.After(c.until) {
+func (c *client) sendOnce(k requestKind, path string) *attempt {
+	if now := time.Now(); len(c.resolved) == 0 || now.After(c.resolvedUntil) {
 		if list := c.site.resolve(c.rnd); len(list) > 0 {
-			c.known, c.until = list, now.Add(time.Duration(1+c.rnd.IntN(3))*time.Second)
+			c.resolved, c.resolvedUntil = list, now.Add(time.Duration(1+c.rnd.IntN(3))*time.Second)
 		}
 	}
-	if len(c.known) == 0 {
+	if len(c.resolved) == 0 {
 		time.Sleep(20 * time.Millisecond)
 		return nil
 	}
-	a := c.load.send(c.http, c.known[c.rnd.IntN(len(c.known))], k, path)
+	a := c.load.send(c.http, c.resolved[c.rnd.IntN(len(c.resolved))], k, path)
 	if a.status == 0 {
-		c.until = time.Time{}
+		c.resolvedUntil = time.Time{}
 	}
 	return a
 }
@@ -168,7 +168,7 @@
 func (s *site) resolve(rnd *rand.Rand) (list []*gateway) {
 	for range 3 {
 		g := s.gateways[rnd.IntN(len(s.gateways))]
-		res, err := quick.Get("http://" + g.ip + ":8546/resolve?region=metro&zone=" + g.place + "&name=" + host)
+		res, err := checkClient.Get("http://" + g.ip + ":8546/resolve?region=metro&zone=" + g.place + "&name=" + host)
 		if err != nil {
 			continue
 		}
@@ -193,10 +193,10 @@
 }
 
 // send sends one attempt to a gateway and records it.
-func (l *load) send(c *http.Client, g *gateway, k kind, path string) *attempt {
-	n := l.last.Add(1)
+func (l *loadGenerator) send(c *http.Client, g *gateway, k requestKind, path string) *attempt {
+	n := l.lastNumber.Add(1)
 	a := &attempt{
-		kind: k, id: fmt.Sprintf("q%d-%d", l.site.seed, n), path: path, once: k.once, gateway: g, deadline: k.deadline, dialled: true,
+		kind: k, id: fmt.Sprintf("q%d-%d", l.site.seed, n), path: path, runOnce: k.runOnce, gateway: g, deadline: k.deadline, connected: true,
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), k.deadline+time.Second)
 	defer cancel()
@@ -205,22 +205,22 @@
 	switch {
 	case k.method == http.MethodGet:
 	case strings.Contains(path, poison):
-		a.text = poison
+		a.requestBody = poison
 	default:
-		a.text = "b" + a.id
+		a.requestBody = "b" + a.id
 	}
 	// The body has no GetBody function, so net/http can't retry the request by itself. An empty
 	// body is sent with an unknown length for the same reason.
-	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(a.text)), int64(len(a.text))
-	if a.text == "" {
+	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(a.requestBody)), int64(len(a.requestBody))
+	if a.requestBody == "" {
 		r.ContentLength, r.TransferEncoding = -1, []string{"identity"}
 	}
 	r.Host = host
 	r.Header.Set("Plumpitch-Request-Id", a.id)
 	r.Header.Set("Plumpitch-Request-Deadline", strconv.FormatInt(k.deadline.Milliseconds(), 10))
-	a.sent = time.Now()
-	a.answer(c.Do(r))
-	a.ended = time.Now()
+	a.sentAt = time.Now()
+	a.readResponse(c.Do(r))
+	a.endedAt = time.Now()
 	l.mu.Lock()
 	l.attempts = append(l.attempts, a)
 	l.mu.Unlock()
@@ -228,9 +228,9 @@
 }
 
 // readResponse records the response. An incomplete response counts as none.
-func (a *attempt) answer(res *http.Response, err error) {
+func (a *attempt) readResponse(res *http.Response, err error) {
 	var op *net.OpError
-	a.dialled = !(errors.As(err, &op) && op.Op == "dial")
+	a.connected = !(errors.As(err, &op) && op.Op == "dial")
 	if a.err = err; err != nil {
 		return
 	}
@@ -239,10 +239,10 @@
 	if a.err = err; err != nil {
 		return
 	}
-	a.status, a.body = res.StatusCode, string(b)
+	a.status, a.responseBody = res.StatusCode, string(b)
 	if seconds, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil {
-		a.after = time.Duration(seconds * float64(time.Second))
+		a.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
-	a.echo = res.Header.Get("Plumpitch-Request-Id")
+	a.responseID = res.Header.Get("Plumpitch-Request-Id")
 	a.signer = strings.TrimPrefix(res.Header.Get("Plumpitch-Response-Signature"), "signed-by-")
 }
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -18,49 +18,49 @@
 // or an empty one if the fault can't be injected now, and a function that ends the fault, or
 // nil if it ends by itself.
 type fault struct {
-	share int // probability, relative to the other faults
-	begin func(s *site, rnd *rand.Rand) (name string, end func())
+	weight int // probability, relative to the other faults
+	start  func(s *site, rnd *rand.Rand) (name string, end func())
 }
 
 // smallSiteFaults are the faults on small sites.
-var faults = []fault{
-	{2, pause},
-	{2, kill},
-	{3, terminate},
-	{1, hangup},
-	{2, storeFault},
-	{1, restore},
-	{1, compact},
-	{2, configure},
-	{3, misbehave},
-	{2, link},
-	{2, leave},
+var smallSiteFaults = []fault{
+	{2, pauseGateway},
+	{2, killGateway},
+	{3, terminateGateway},
+	{1, reloadSettings},
+	{2, failStore},
+	{1, restoreStore},
+	{1, compactStore},
+	{2, changeConfig},
+	{3, failTarget},
+	{2, disturbLink},
+	{2, leaveByRecord},
 	{2, leaveByResponse},
-	{3, nameLimit},
-	{2, wantNothing},
-	{2, join},
+	{3, reportLimit},
+	{2, requestPause},
+	{2, joinTarget},
 }
 
 // maxConcurrentFaults is how many faults may overlap, chosen by seed. Low values are needed
 // because some guarantees are checked only while few other faults are active.
-var mostAtOnce = []int{4, 1, 2}
+var maxConcurrentFaults = []int{4, 1, 2}
 
 // injectFaults starts random faults for the duration d. A fault ends after 0.3 to 3 s, unless
 // its end function takes longer.
 func (s *site) injectFaults(rnd *rand.Rand, d time.Duration) {
 	var active sync.WaitGroup
-	slots := make(chan struct{}, mostAtOnce[s.seed%uint64(len(mostAtOnce))])
+	slots := make(chan struct{}, maxConcurrentFaults[s.seed%uint64(len(maxConcurrentFaults))])
 	for stop := time.Now().Add(d); time.Now().Before(stop); {
 		time.Sleep(time.Duration(100+rnd.IntN(500)) * time.Millisecond)
 		duration := time.Duration(300+rnd.IntN(2700)) * time.Millisecond
-		f := draw(s.faults, rnd)
+		f := pickFault(s.faults, rnd)
 		slots <- struct{}{}
-		name, end := f.begin(s, rnd)
+		name, end := f.start(s, rnd)
 		if name == "" {
 			<-slots
 			continue
 		}
-		s.injected++
+		s.faultCount++
 		s.logf("%s, for %v", name, duration)
 		active.Go(func() {
 			time.Sleep(duration)
@@ -72,19 +72,19 @@
 		})
 	}
 	active.Wait()
-	s.rewrite()
+	s.rewriteAll()
 	s.logf("all faults have ended")
 }
 
 // pickFault picks a fault at random, by weight.
-func draw(faults []fault, rnd *rand.Rand) fault {
+func pickFault(faults []fault, rnd *rand.Rand) fault {
 	total := 0
 	for _, f := range faults {
-		total += f.share
+		total += f.weight
 	}
 	n := rnd.IntN(total)
 	for _, f := range faults {
-		if n -= f.share; n < 0 {
+		if n -= f.weight; n < 0 {
 			return f
 		}
 	}
@@ -93,21 +93,21 @@
 
 // acquiredGateways holds the gateways with a signal fault in progress. A gateway has at most
 // one at a time.
-var held sync.Map
+var acquiredGateways sync.Map
 
 // acquireGateway picks a gateway for a signal fault. It returns nil if that gateway has one
 // already. It never picks the first gateway, so that one stays free of these faults.
-func (s *site) hold(rnd *rand.Rand) *gateway {
+func (s *site) acquireGateway(rnd *rand.Rand) *gateway {
 	g := s.gateways[1+rnd.IntN(len(s.gateways)-1)]
-	if _, busy := held.LoadOrStore(g, true); busy {
+	if _, busy := acquiredGateways.LoadOrStore(g, true); busy {
 		return nil
 	}
 	return g
 }
 
 // pauseGateway suspends a gateway by SIGSTOP.
-func pause(s *site, rnd *rand.Rand) (string, func()) {
-	g := s.hold(rnd)
+func pauseGateway(s *site, rnd *rand.Rand) (string, func()) {
+	g := s.acquireGateway(rnd)
 	if g == nil {
 		return "", nil
 	}
@@ -115,14 +115,14 @@
 	g.signal(syscall.SIGSTOP)
 	return g.name + " is paused", func() {
 		g.signal(syscall.SIGCONT)
-		g.disturbed(from, time.Now())
-		held.Delete(g)
+		g.addDisturbance(from, time.Now())
+		acquiredGateways.Delete(g)
 	}
 }
 
 // killGateway kills a gateway and starts it again at the end of the fault.
-func kill(s *site, rnd *rand.Rand) (string, func()) {
-	g := s.hold(rnd)
+func killGateway(s *site, rnd *rand.Rand) (string, func()) {
+	g := s.acquireGateway(rnd)
 	if g == nil {
 		return "", nil
 	}
@@ -130,48 +130,48 @@
 	g.kill()
 	return g.name + " is killed", func() {
 		g.start()
-		g.disturbed(from, time.Now())
-		held.Delete(g)
+		g.addDisturbance(from, time.Now())
+		acquiredGateways.Delete(g)
 	}
 }
 
 // terminateGateway stops a gateway by SIGTERM and starts it again after it has exited.
-func terminate(s *site, rnd *rand.Rand) (string, func()) {
-	g := s.hold(rnd)
+func terminateGateway(s *site, rnd *rand.Rand) (string, func()) {
+	g := s.acquireGateway(rnd)
 	if g == nil {
 		return "", nil
 	}
-	g.leave()
+	g.markStopping()
 	g.signal(syscall.SIGTERM)
 	from := time.Now()
 	return g.name + " receives SIGTERM", func() {
-		g.wait()
+		g.waitForExit()
 		exitedAt := time.Now()
 		g.mu.Lock()
-		g.planned = append(g.planned, span{from, exitedAt})
+		g.plannedStops = append(g.plannedStops, interval{from, exitedAt})
 		g.mu.Unlock()
 		g.start()
-		g.disturbed(exitedAt, time.Now())
-		held.Delete(g)
+		g.addDisturbance(exitedAt, time.Now())
+		acquiredGateways.Delete(g)
 	}
 }
 
 // reloadSettings makes a gateway reload its settings by SIGHUP. In 1 of 3 cases the settings
 // are invalid.
-func hangup(s *site, rnd *rand.Rand) (string, func()) {
+func reloadSettings(s *site, rnd *rand.Rand) (string, func()) {
 	g := s.gateways[rnd.IntN(len(s.gateways))]
 	if rnd.IntN(3) == 0 {
-		g.spoil()
+		g.writeBadSettings()
 		g.signal(syscall.SIGHUP)
-		return g.name + " reloads invalid settings", func() { g.settings("3s") }
+		return g.name + " reloads invalid settings", func() { g.writeSettings("3s") }
 	}
-	g.settings(strconv.Itoa(3+rnd.IntN(3)) + "s")
+	g.writeSettings(strconv.Itoa(3+rnd.IntN(3)) + "s")
 	g.signal(syscall.SIGHUP)
-	return g.name + " reloads its settings", func() { g.settings("3s") }
+	return g.name + " reloads its settings", func() { g.writeSettings("3s") }
 }
 
 // failStore disturbs the calls to the store, of one gateway or of all.
-func storeFault(s *site, rnd *rand.Rand) (string, func()) {
+func failStore(s *site, rnd *rand.Rand) (string, func()) {
 	kinds := []struct {
 		name  string
 		fault objects.Fault
@@ -195,13 +195,13 @@
 	})
 	return strings.TrimSpace("store " + k.name + " " + only), func() {
 		s.store.SetFaults(nil)
-		s.disturbed(from, time.Now())
+		s.addDisturbance(from, time.Now())
 	}
 }
 
 // restoreStore copies the store and restores the copy later, which loses the changes in
 // between. They are written again 1 s after that.
-func restore(s *site, rnd *rand.Rand) (string, func()) {
+func restoreStore(s *site, rnd *rand.Rand) (string, func()) {
 	backup := s.store.Snapshot()
 	from := time.Now()
 	delay := time.Duration(300+rnd.IntN(2000)) * time.Millisecond
@@ -212,32 +212,32 @@
 		s.mu.Unlock()
 		s.logf("store restored")
 		time.Sleep(time.Second)
-		s.rewrite()
-		s.disturbed(from, time.Now())
+		s.rewriteAll()
+		s.addDisturbance(from, time.Now())
 	}
 }
 
 // compactStore stops the store's watch events, then drops its history, so that watches from
 // an earlier revision fail.
-func compact(s *site, _ *rand.Rand) (string, func()) {
+func compactStore(s *site, _ *rand.Rand) (string, func()) {
 	s.store.PauseWatches(true)
 	from := time.Now()
 	return "store sends no watch events, then drops its history", func() {
 		s.store.PauseWatches(false)
 		s.store.Compact()
-		s.disturbed(from, time.Now())
+		s.addDisturbance(from, time.Now())
 	}
 }
 
 // changeConfig writes a new version of the configuration.
-func configure(s *site, _ *rand.Rand) (string, func()) {
-	s.configure()
+func changeConfig(s *site, _ *rand.Rand) (string, func()) {
+	s.publishConfig()
 	return "a new configuration", nil
 }
 
 // failTarget makes one target fail a random share of its requests.
-func misbehave(s *site, rnd *rand.Rand) (string, func()) {
-	k := s.some(rnd)
+func failTarget(s *site, rnd *rand.Rand) (string, func()) {
+	k := s.pickTarget(rnd)
 	if k == nil {
 		return "", nil
 	}
@@ -257,13 +257,13 @@
 	}
 	n := rnd.IntN(len(kinds))
 	share := 0.1 + 0.9*rnd.Float64()
-	k.Fail(sometimes(rand.NewPCG(rnd.Uint64(), 3), share, kinds[n].fault))
+	k.Fail(withProbability(rand.NewPCG(rnd.Uint64(), 3), share, kinds[n].fault))
 	return fmt.Sprintf("%s %s, %.2f of requests", k.ID, kinds[n].name, share), func() { k.Fail(nil) }
 }
 
 // withProbability returns a function that gives a random share of the requests the fault f.
 // Several targets may use it at the same time.
-func sometimes(source rand.Source, share float64, f worker.Fault) func(*http.Request) worker.Fault {
+func withProbability(source rand.Source, share float64, f worker.Fault) func(*http.Request) worker.Fault {
 	var mu sync.Mutex
 	rnd := rand.New(source)
 	return func(*http.Request) worker.Fault {
@@ -277,8 +277,8 @@
 }
 
 // requestPause makes a target refuse all requests and ask for a pause of 2 s.
-func wantNothing(s *site, rnd *rand.Rand) (string, func()) {
-	k := s.some(rnd)
+func requestPause(s *site, rnd *rand.Rand) (string, func()) {
+	k := s.pickTarget(rnd)
 	if k == nil {
 		return "", nil
 	}
@@ -288,8 +288,8 @@
 
 // pickTarget picks a target at random that neither leaves nor has crashed. It returns nil if
 // there are fewer than 3.
-func (s *site) some(rnd *rand.Rand) *target {
-	list := s.those(func(k *target) bool { return k.left.IsZero() && k.drained.IsZero() && !k.crashed })
+func (s *site) pickTarget(rnd *rand.Rand) *target {
+	list := s.targetsWhere(func(k *target) bool { return k.leavingSince.IsZero() && k.leavingRecordedAt.IsZero() && !k.crashed })
 	if len(list) < 3 {
 		return nil
 	}
@@ -297,44 +297,44 @@
 }
 
 // disturbLink disturbs the connections to a target or to the store.
-func link(s *site, rnd *rand.Rand) (string, func()) {
-	p, name := s.front, "store"
-	if k := s.some(rnd); k != nil && rnd.IntN(4) > 0 {
+func disturbLink(s *site, rnd *rand.Rand) (string, func()) {
+	p, name := s.storeProxy, "store"
+	if k := s.pickTarget(rnd); k != nil && rnd.IntN(4) > 0 {
 		p, name = k.proxy, k.ID
 	}
-	m := mode(rnd.IntN(4))
+	m := proxyMode(rnd.IntN(4))
 	delay := time.Duration(0)
 	effect := []string{"slow", "drops all data", "drops responses", "resets connections"}[m]
-	if m == pass {
+	if m == modePass {
 		delay = time.Duration(10+rnd.IntN(200)) * time.Millisecond
 	}
 	from := time.Now()
-	p.set(m, delay)
+	p.setMode(m, delay)
 	return fmt.Sprintf("link to %s: %s", name, effect), func() {
-		if m == swallow || m == deaf {
-			p.set(refuse, 0) // dropped data never arrives, so the open connections are unusable
+		if m == modeDropAll || m == modeDropResponses {
+			p.setMode(modeReset, 0) // dropped data never arrives, so the open connections are unusable
 		}
-		p.set(pass, 0)
-		s.disturbed(from, time.Now())
+		p.setMode(modePass, 0)
+		s.addDisturbance(from, time.Now())
 	}
 }
 
 // leaveByRecord announces in a target's record that it leaves.
-func leave(s *site, rnd *rand.Rand) (string, func()) {
-	k := s.some(rnd)
+func leaveByRecord(s *site, rnd *rand.Rand) (string, func()) {
+	k := s.pickTarget(rnd)
 	if k == nil {
 		return "", nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k.drained = time.Now()
-	s.record(k)
+	k.leavingRecordedAt = time.Now()
+	s.writeRecord(k)
 	return k.ID + " leaves, by its record", nil
 }
 
 // leaveByResponse makes a target announce that it leaves, in its responses only.
 func leaveByResponse(s *site, rnd *rand.Rand) (string, func()) {
-	k := s.some(rnd)
+	k := s.pickTarget(rnd)
 	if k == nil {
 		return "", nil
 	}
@@ -344,13 +344,13 @@
 		k.ProbeLoadOnly()
 	}
 	k.AnnounceLeaving()
-	k.left = time.Now()
+	k.leavingSince = time.Now()
 	return k.ID + " leaves, by its responses", nil
 }
 
 // reportLimit makes a target report a limit, for 5 s longer than other faults last.
-func nameLimit(s *site, rnd *rand.Rand) (string, func()) {
-	k := s.some(rnd)
+func reportLimit(s *site, rnd *rand.Rand) (string, func()) {
+	k := s.pickTarget(rnd)
 	if k == nil {
 		return "", nil
 	}
@@ -360,7 +360,7 @@
 		return "", nil
 	}
 	rate := []float64{0.5, 2, 2.6, 10}[rnd.IntN(4)]
-	k.limits = append(k.limits, limit{rate, span{from: time.Now()}})
+	k.limits = append(k.limits, limit{rate, interval{from: time.Now()}})
 	k.SetLimit(strconv.FormatFloat(rate, 'f', -1, 64))
 	return fmt.Sprintf("%s reports a limit of %v", k.ID, rate), func() {
 		time.Sleep(5 * time.Second)
@@ -372,6 +372,6 @@
 }
 
 // joinTarget adds a target.
-func join(s *site, rnd *rand.Rand) (string, func()) {
-	return s.addTarget(s.someService(rnd)).ID + " joins", nil
+func joinTarget(s *site, rnd *rand.Rand) (string, func()) {
+	return s.addTarget(s.pickService(rnd)).ID + " joins", nil
 }
--- a/internal/soak/gateway_test.go
+++ b/internal/soak/gateway_test.go
@@ -18,7 +18,7 @@
 )
 
 // settingsTemplate is the settings file of a gateway.
-const settings = `
+const settingsTemplate = `
 nodeName: "%s"
 zone: %s
 region: metro
@@ -32,35 +32,35 @@
 
 // gateway is a gateway process. It keeps its name over restarts.
 type gateway struct {
-	site  *site
-	name  string
-	place string
-	ip    string
-	boot  string
-	log   string
-
-	mu      sync.Mutex // guards the fields below
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	down    bool   // it was killed or received SIGTERM
-	bad     bool   // the settings file is invalid
-	hurt    []span // kills, starts and pauses
-	planned []span // each from SIGTERM to exit
+	site         *site
+	name         string
+	place        string
+	ip           string
+	settingsPath string
+	logPath      string
+
+	mu           sync.Mutex // guards the fields below
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	stopping     bool       // it was killed or received SIGTERM
+	badSettings  bool       // the settings file is invalid
+	disturbed    []interval // kills, starts and pauses
+	plannedStops []interval // each from SIGTERM to exit
 }
 
 // lastAddress is the number of the latest loopback address in use. Each gateway has an address
 // of its own, so that all can use the same ports.
-var lastHost atomic.Int64
+var lastAddress atomic.Int64
 
 func (s *site) addGateway() *gateway {
-	n := lastHost.Add(1)
+	n := lastAddress.Add(1)
 	g := &gateway{
 		site: s, name: fmt.Sprintf("gateway-%d", len(s.gateways)), place: s.place(len(s.gateways)),
 		ip: fmt.Sprintf("127.%d.%d.%d", 128+os.Getpid()%64, n/250, 1+n%250),
 	}
 	dir := s.t.TempDir()
-	g.boot, g.log = filepath.Join(dir, "boot.yaml"), filepath.Join(dir, "log")
-	g.settings("3s")
+	g.settingsPath, g.logPath = filepath.Join(dir, "boot.yaml"), filepath.Join(dir, "log")
+	g.writeSettings("3s")
 	g.start()
 	s.gateways = append(s.gateways, g)
 	s.t.Cleanup(func() { g.kill() })
@@ -68,71 +68,71 @@
 }
 
 // writeBadSettings writes an invalid settings file.
-func (g *gateway) spoil() {
+func (g *gateway) writeBadSettings() {
 	g.mu.Lock()
-	g.bad = true
+	g.badSettings = true
 	g.mu.Unlock()
-	g.site.q.Assert(os.WriteFile(g.boot, []byte("nodeName: 7\nip: x"), 0o600), qt.IsNil)
+	g.site.q.Assert(os.WriteFile(g.settingsPath, []byte("nodeName: 7\nip: x"), 0o600), qt.IsNil)
 }
 
 // writeSettings writes a valid settings file.
-func (g *gateway) settings(grace string) {
+func (g *gateway) writeSettings(grace string) {
 	g.mu.Lock()
-	g.bad = false
+	g.badSettings = false
 	g.mu.Unlock()
-	text := fmt.Sprintf(settings, g.name, g.place, g.ip, g.site.cores, grace, g.site.ratio.Load(), g.site.slack, g.site.front.address())
-	g.site.q.Assert(os.WriteFile(g.boot, []byte(text), 0o600), qt.IsNil)
+	text := fmt.Sprintf(settingsTemplate, g.name, g.place, g.ip, g.site.cpuShare, grace, g.site.retryRatio.Load(), g.site.retrySlack, g.site.storeProxy.address())
+	g.site.q.Assert(os.WriteFile(g.settingsPath, []byte(text), 0o600), qt.IsNil)
 }
 
 func (g *gateway) start() {
-	out, err := os.OpenFile(g.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(g.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	g.site.q.Assert(err, qt.IsNil)
 	defer out.Close()
 	cmd, exited := exec.Command(g.site.program, "gateway", "--metrics", "9464"), make(chan struct{})
-	cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+g.boot)
+	cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+g.settingsPath)
 	cmd.Stdout, cmd.Stderr = out, out
 	g.site.q.Assert(cmd.Start(), qt.IsNil)
 	g.mu.Lock()
-	g.cmd, g.ended, g.down = cmd, exited, false
+	g.cmd, g.exited, g.stopping = cmd, exited, false
 	g.mu.Unlock()
 	go func() {
 		_ = cmd.Wait()
 		stopping, badSettings := g.state() // read before close, after which another process may be started
 		close(exited)
 		if !stopping {
-			g.again(badSettings)
+			g.restart(badSettings)
 		}
 	}()
 }
 
 // restart restarts a process that exited by itself, as the platform does. The test fails
 // unless the process was started with invalid settings.
-func (g *gateway) again(badSettings bool) {
+func (g *gateway) restart(badSettings bool) {
 	const platformDelay = 300 * time.Millisecond
 	from := time.Now()
 	if !badSettings {
-		g.site.t.Errorf("seed %d: %s exited unexpectedly at %s", g.site.seed, g.name, g.site.at(from))
+		g.site.t.Errorf("seed %d: %s exited unexpectedly at %s", g.site.seed, g.name, g.site.timeOffset(from))
 	}
 	time.Sleep(platformDelay)
 	if stopping, _ := g.state(); stopping {
 		return
 	}
 	g.start()
-	g.disturbed(from, time.Now())
+	g.addDisturbance(from, time.Now())
 }
 
 // state reports whether the process is stopping and whether its settings are invalid.
 func (g *gateway) state() (stopping, badSettings bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.down, g.bad
+	return g.stopping, g.badSettings
 }
 
 // markStopping marks the process as stopping, so that its exit is expected.
-func (g *gateway) leave() {
+func (g *gateway) markStopping() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.down = true
+	g.stopping = true
 }
 
 func (g *gateway) signal(s syscall.Signal) {
@@ -142,36 +142,36 @@
 }
 
 func (g *gateway) kill() {
-	g.leave()
+	g.markStopping()
 	g.signal(syscall.SIGCONT)
 	g.signal(syscall.SIGKILL)
-	g.wait()
+	g.waitForExit()
 }
 
-func (g *gateway) wait() {
+func (g *gateway) waitForExit() {
 	g.mu.Lock()
-	exited := g.ended
+	exited := g.exited
 	g.mu.Unlock()
 	<-exited
 }
 
 // addDisturbance records a time when the process was down, started or paused.
-func (g *gateway) disturbed(from, to time.Time) {
+func (g *gateway) addDisturbance(from, to time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.hurt = append(g.hurt, span{from, to})
+	g.disturbed = append(g.disturbed, interval{from, to})
 }
 
 // disturbances returns the times when the process was down because of a kill, started or
 // paused.
-func (g *gateway) disturbances() []span {
+func (g *gateway) disturbances() []interval {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]span(nil), g.hurt...)
+	return append([]interval(nil), g.disturbed...)
 }
 
 func (g *gateway) ready() bool {
-	res, err := quick.Get("http://" + g.ip + ":8542/readiness")
+	res, err := checkClient.Get("http://" + g.ip + ":8542/readiness")
 	if err != nil {
 		return false
 	}
@@ -180,7 +180,7 @@
 }
 
 // checkClient is the HTTP client for status checks and resolve requests.
-var quick = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var checkClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // status is the part of a gateway's status that the tests read.
 type status struct {
@@ -196,7 +196,7 @@
 }
 
 func (g *gateway) status() (s status, ok bool) {
-	res, err := quick.Get("http://" + g.ip + ":9464/status")
+	res, err := checkClient.Get("http://" + g.ip + ":9464/status")
 	if err != nil {
 		return s, false
 	}
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -10,22 +10,22 @@
 )
 
 // proxyMode is how a proxy treats the data it receives.
-type mode uint8
+type proxyMode uint8
 
 const (
-	pass    mode = iota
-	swallow      // drops data in both directions and keeps connections open
-	deaf
-	refuse // resets open and new connections
+	modePass    proxyMode = iota
+	modeDropAll           // drops data in both directions and keeps connections open
+	modeDropResponses
+	modeReset // resets open and new connections
 )
 
 // proxy forwards connections from gateways to one stand-in.
 type proxy struct {
-	l  net.Listener
-	to string
+	listener net.Listener
+	backend  string
 
 	mu    sync.Mutex // guards the fields below
-	mode  mode
+	mode  proxyMode
 	delay time.Duration // before each write of response data
 	conns map[net.Conn]bool
 }
@@ -33,7 +33,7 @@
 func newProxy(t *testing.T, to string) *proxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	p := &proxy{l: l, to: to, conns: make(map[net.Conn]bool)}
+	p := &proxy{listener: l, backend: to, conns: make(map[net.Conn]bool)}
 	t.Cleanup(p.close)
 	go p.accept()
 	return p
@@ -41,18 +41,18 @@
 
 // close stops the listener and resets all connections.
 func (p *proxy) close() {
-	p.l.Close()
-	p.set(refuse, 0)
+	p.listener.Close()
+	p.setMode(modeReset, 0)
 }
 
-func (p *proxy) address() string { return p.l.Addr().String() }
+func (p *proxy) address() string { return p.listener.Addr().String() }
 
 // setMode sets the mode and the delay of responses. modeReset resets all open connections.
-func (p *proxy) set(m mode, delay time.Duration) {
+func (p *proxy) setMode(m proxyMode, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode, p.delay = m, delay
-	if m != refuse {
+	if m != modeReset {
 		return
 	}
 	for c := range p.conns {
@@ -68,7 +68,7 @@
 	c.Close()
 }
 
-func (p *proxy) state() (mode, time.Duration) {
+func (p *proxy) state() (proxyMode, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode, p.delay
@@ -76,15 +76,15 @@
 
 func (p *proxy) accept() {
 	for {
-		in, err := p.l.Accept()
+		in, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		if m, _ := p.state(); m == refuse {
+		if m, _ := p.state(); m == modeReset {
 			p.reset(in)
 			continue
 		}
-		out, err := net.Dial("tcp", p.to)
+		out, err := net.Dial("tcp", p.backend)
 		if err != nil {
 			in.Close()
 			continue
@@ -113,7 +113,7 @@
 			return
 		}
 		m, delay := p.state()
-		if m == swallow || m == deaf && responses {
+		if m == modeDropAll || m == modeDropResponses && responses {
 			continue
 		}
 		if responses && delay > 0 {
--- a/internal/soak/site_test.go
+++ b/internal/soak/site_test.go
@@ -25,73 +25,73 @@
 // site is a test installation: gateway processes, with stand-ins for the store and the targets.
 type site struct {
 	profile
-	t        *testing.T
-	q        *qt.C
-	seed     uint64
-	program  string
-	began    time.Time
-	store    *objects.Store
-	front    *proxy // in front of the store
-	load     *load
-	poisoned atomic.Int64 // requests with refusedSuffix that reached a target
-	rush     atomic.Int64 // request rate, in percent of the normal rate
-	insist   atomic.Int64 // retries that clients send at once, beyond those of the request's kind
-	ratio    atomic.Value // retry budget ratio in the settings files: a float64
-	ratioAt  time.Time    // when all gateways have to apply retryRatio; zero: from the start
-
-	mu       sync.Mutex // guards the fields below
-	gateways []*gateway
-	targets  []*target
-	poisons  int // poison paths used so far
-	version  int
-	started  int    // targets started so far, including those that are gone
-	faulty   []span // disturbances of the store or of links
-	lines    []string
-	injected int // faults injected so far
+	t                  *testing.T
+	q                  *qt.C
+	seed               uint64
+	program            string
+	startedAt          time.Time
+	store              *objects.Store
+	storeProxy         *proxy // in front of the store
+	load               *loadGenerator
+	refusedSuffixCount atomic.Int64 // requests with refusedSuffix that reached a target
+	loadPercent        atomic.Int64 // request rate, in percent of the normal rate
+	extraRetries       atomic.Int64 // retries that clients send at once, beyond those of the request's kind
+	retryRatio         atomic.Value // retry budget ratio in the settings files: a float64
+	retryRatioSince    time.Time    // when all gateways have to apply retryRatio; zero: from the start
+
+	mu             sync.Mutex // guards the fields below
+	gateways       []*gateway
+	targets        []*target
+	poisonPaths    int // poison paths used so far
+	configVersion  int
+	startedTargets int        // targets started so far, including those that are gone
+	disturbances   []interval // disturbances of the store or of links
+	timeline       []string
+	faultCount     int // faults injected so far
 }
 
 // interval is a period of time.
-type span struct{ from, to time.Time }
+type interval struct{ from, to time.Time }
 
 // target is a worker behind a proxy.
 type target struct {
 	*worker.Worker
-	service service
-	place   string
-	proxy   *proxy
-	poisons *atomic.Int64 // counter of the site
-	crashed bool          // its process has exited
-	lapsed  bool          // its record in the store was deleted
-	left    time.Time     // since when its responses announce that it leaves
-	drained time.Time     // when the store recorded that it leaves
-	limits  []limit
+	service            service
+	place              string
+	proxy              *proxy
+	refusedSuffixCount *atomic.Int64 // counter of the site
+	crashed            bool          // its process has exited
+	recordDeleted      bool          // its record in the store was deleted
+	leavingSince       time.Time     // since when its responses announce that it leaves
+	leavingRecordedAt  time.Time     // when the store recorded that it leaves
+	limits             []limit
 }
 
 // limit is a limit that a target reported for some time.
 type limit struct {
 	rate float64 // requests a second
-	span
+	interval
 }
 
 // newSite starts a site and waits until all gateways are ready.
 func newSite(t *testing.T, seed uint64, p profile) *site {
-	s := &site{profile: p, t: t, q: qt.New(t), seed: seed, program: program(t), began: time.Now(), store: objects.New()}
-	s.rush.Store(100)
-	s.ratio.Store(p.firstRatio)
+	s := &site{profile: p, t: t, q: qt.New(t), seed: seed, program: buildProgram(t), startedAt: time.Now(), store: objects.New()}
+	s.loadPercent.Store(100)
+	s.retryRatio.Store(p.initialRetryRatio)
 	server := httptest.NewServer(s.store)
 	t.Cleanup(server.CloseClientConnections)
-	s.front = newProxy(t, strings.TrimPrefix(server.URL, "http://"))
+	s.storeProxy = newProxy(t, strings.TrimPrefix(server.URL, "http://"))
 	for _, sv := range s.services {
 		for range sv.targets {
 			s.addTarget(sv)
 		}
 	}
-	s.configure()
+	s.publishConfig()
 	for range s.gatewayCount {
 		s.addGateway()
 	}
 	for _, g := range s.gateways {
-		s.until(g.name+" ready", g.ready)
+		s.waitUntil(g.name+" ready", g.ready)
 	}
 	return s
 }
@@ -104,9 +104,9 @@
 
 // buildProgram returns the path of the program to test. It builds the program at the first
 // call, unless a flag names one.
-func program(t *testing.T) string {
-	if *built != "" {
-		return *built
+func buildProgram(t *testing.T) string {
+	if *programPath != "" {
+		return *programPath
 	}
 	build.once.Do(func() {
 		var dir string
@@ -135,36 +135,36 @@
 func (s *site) addTarget(sv service) *target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w, err := worker.Start(fmt.Sprintf("i-%d", s.started))
+	w, err := worker.Start(fmt.Sprintf("i-%d", s.startedTargets))
 	s.q.Assert(err, qt.IsNil)
 	s.t.Cleanup(w.Close)
 	w.Slots = sv.slots
-	w.SetServiceTime(sv.work)
-	if sv.queue > 0 {
-		w.LimitQueue(sv.queue)
+	w.SetServiceTime(sv.serviceTime)
+	if sv.queueLimit > 0 {
+		w.LimitQueue(sv.queueLimit)
 	}
-	k := &target{Worker: w, service: sv, place: s.place(s.started), proxy: newProxy(s.t, w.Address()), poisons: &s.poisoned}
-	w.OnCrash = func() { s.crash(k) }
+	k := &target{Worker: w, service: sv, place: s.place(s.startedTargets), proxy: newProxy(s.t, w.Address()), refusedSuffixCount: &s.refusedSuffixCount}
+	w.OnCrash = func() { s.crashTarget(k) }
 	k.Fail(nil)
-	s.started++
+	s.startedTargets++
 	s.targets = append(s.targets, k)
-	s.record(k)
-	if sv.noisy {
-		s.disturbPace(k)
+	s.writeRecord(k)
+	if sv.variablePace {
+		s.varyPace(k)
 	}
 	return k
 }
 
 const (
-	noiseTime  = 150 * time.Millisecond
-	noiseShare = 0.25 // of the intervals
-	noisePace  = 5    // factor on the service time
+	paceInterval = 150 * time.Millisecond
+	slowShare    = 0.25 // of the intervals
+	slowFactor   = 5    // factor on the service time
 )
 
 // varyPace makes a target slow during a random quarter of the time.
-func (s *site) disturbPace(k *target) {
-	rnd := rand.New(rand.NewPCG(s.seed, uint64(1000+s.started)))
-	ticker := time.NewTicker(noiseTime)
+func (s *site) varyPace(k *target) {
+	rnd := rand.New(rand.NewPCG(s.seed, uint64(1000+s.startedTargets)))
+	ticker := time.NewTicker(paceInterval)
 	done := make(chan struct{})
 	s.t.Cleanup(func() {
 		ticker.Stop()
@@ -173,8 +173,8 @@
 	go func() {
 		for {
 			pace := 1.0
-			if rnd.Float64() < noiseShare {
-				pace = noisePace
+			if rnd.Float64() < slowShare {
+				pace = slowFactor
 			}
 			k.SetPace(pace)
 			select {
@@ -195,7 +195,7 @@
 func (k *target) Fail(f func(*http.Request) worker.Fault) {
 	k.Worker.SetFaults(func(r *http.Request) worker.Fault {
 		switch {
-		case strings.HasSuffix(r.URL.Path, amongRefusals) && k.poisons.Add(1)%2 == 0:
+		case strings.HasSuffix(r.URL.Path, refusedSuffix) && k.refusedSuffixCount.Add(1)%2 == 0:
 			return worker.Fault{Shed: true}
 		case strings.Contains(r.URL.Path, poison):
 			return worker.Fault{Crash: true}
@@ -208,13 +208,13 @@
 
 const (
 	// replacementDelay is the time from a crash until another target replaces the crashed one.
-	crashTime = time.Second
+	replacementDelay = time.Second
 	// recordDeletionDelay is the time from a crash until the target's record is deleted.
-	lapseTime = 4500 * time.Millisecond
+	recordDeletionDelay = 4500 * time.Millisecond
 )
 
 // crashTarget ends a target without a notice to the store, as a crash does.
-func (s *site) crash(k *target) {
+func (s *site) crashTarget(k *target) {
 	s.mu.Lock()
 	before := k.crashed
 	k.crashed = true
@@ -225,22 +225,22 @@
 	s.logf("%s crashes", k.ID)
 	k.Close()
 	k.proxy.close()
-	s.later(crashTime, func() { s.addTarget(k.service) })
-	s.later(lapseTime, func() {
+	s.schedule(replacementDelay, func() { s.addTarget(k.service) })
+	s.schedule(recordDeletionDelay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		k.lapsed = true
+		k.recordDeleted = true
 		s.store.Delete("servers", k.ID)
 	})
 }
 
 // recordedTargets returns the targets of a service that have a record in the store.
-func (s *site) onRecord(name string) []*target {
-	return s.those(func(k *target) bool { return k.service.name == name && !k.lapsed })
+func (s *site) recordedTargets(name string) []*target {
+	return s.targetsWhere(func(k *target) bool { return k.service.name == name && !k.recordDeleted })
 }
 
 // targetsWhere returns the targets for which ok returns true. It calls ok with the lock held.
-func (s *site) those(ok func(k *target) bool) (list []*target) {
+func (s *site) targetsWhere(ok func(k *target) bool) (list []*target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, k := range s.targets {
@@ -252,66 +252,66 @@
 }
 
 // schedule calls f after the duration d, unless the test has ended by then.
-func (s *site) later(d time.Duration, f func()) {
+func (s *site) schedule(d time.Duration, f func()) {
 	timer := time.AfterFunc(d, f)
 	s.t.Cleanup(func() { timer.Stop() })
 }
 
 // writeRecord writes the record of a target to the store, unless the target has crashed. The
 // caller holds the lock.
-func (s *site) record(k *target) {
+func (s *site) writeRecord(k *target) {
 	if k.crashed {
 		return
 	}
 	s.store.PutTarget(objects.Target{
-		ID: k.ID, Address: k.proxy.address(), Service: k.service.name, Place: k.place, Slots: k.service.slots, Leaving: !k.drained.IsZero(),
+		ID: k.ID, Address: k.proxy.address(), Service: k.service.name, Place: k.place, Slots: k.service.slots, Leaving: !k.leavingRecordedAt.IsZero(),
 	})
 }
 
 // publishConfig writes the configuration with the next version.
-func (s *site) configure() {
+func (s *site) publishConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.version++
-	s.putConfig()
+	s.configVersion++
+	s.writeConfig()
 }
 
 // writeConfig writes the configuration with the current version. The caller holds the lock.
-func (s *site) putConfig() {
+func (s *site) writeConfig() {
 	var routes []objects.Route
 	var names []string
 	for _, k := range s.kinds {
 		routes = append(routes, objects.Route{
-			Name: k.name, Host: host, Prefix: k.prefix, NonIdempotent: k.once, Timeout: k.timeout.String(), TargetLatency: k.goal.String(),
+			Name: k.name, Host: host, Prefix: k.prefix, NonIdempotent: k.runOnce, Timeout: k.timeout.String(), TargetLatency: k.latencyGoal.String(),
 			Attempts: k.attempts, Service: k.service,
 		})
 	}
 	for _, sv := range s.services {
 		names = append(names, sv.name)
 	}
-	s.store.PutConfig(s.version, routes, names)
+	s.store.PutConfig(s.configVersion, routes, names)
 }
 
 // rewriteAll writes the configuration and the records of all targets again, as the operator
 // and the targets do after a restore of the store.
-func (s *site) rewrite() {
+func (s *site) rewriteAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.putConfig()
+	s.writeConfig()
 	for _, k := range s.targets {
-		s.record(k)
+		s.writeRecord(k)
 	}
 }
 
 // addDisturbance records a disturbance of the store or of links.
-func (s *site) disturbed(from, to time.Time) {
+func (s *site) addDisturbance(from, to time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faulty = append(s.faulty, span{from, to})
+	s.disturbances = append(s.disturbances, interval{from, to})
 }
 
 // overlaps reports whether an interval of the list overlaps the other one.
-func overlaps(list []span, other span) bool {
+func overlaps(list []interval, other interval) bool {
 	for _, f := range list {
 		if f.from.Before(other.to) && other.from.Before(f.to) {
 			return true
@@ -324,14 +324,16 @@
 func (s *site) logf(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lines = append(s.lines, fmt.Sprintf("%7.3f ", time.Since(s.began).Seconds())+fmt.Sprintf(format, args...))
+	s.timeline = append(s.timeline, fmt.Sprintf("%7.3f ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
 // timeOffset formats a time as seconds since the start of the site, as in the timeline.
-func (s *site) at(t time.Time) string { return fmt.Sprintf("%.3f", t.Sub(s.began).Seconds()) }
+func (s *site) timeOffset(t time.Time) string {
+	return fmt.Sprintf("%.3f", t.Sub(s.startedAt).Seconds())
+}
 
 // waitUntil waits until ok returns true. The test fails after 20 s.
-func (s *site) until(what string, ok func() bool) {
+func (s *site) waitUntil(what string, ok func() bool) {
 	s.t.Helper()
 	const timeout = 20 * time.Second
 	for deadline := time.Now().Add(timeout); !ok(); time.Sleep(10 * time.Millisecond) {
@@ -352,7 +354,7 @@
 		return
 	}
 	for _, g := range s.gateways {
-		text, err := os.ReadFile(g.log)
+		text, err := os.ReadFile(g.logPath)
 		if err == nil {
 			err = os.WriteFile(filepath.Join(dir, g.name+".log"), text, 0o600)
 		}
@@ -360,5 +362,5 @@
 			s.t.Log(err)
 		}
 	}
-	s.t.Logf("seed %d, gateway logs in %s, timeline:\n%s", s.seed, dir, strings.Join(s.lines, "\n"))
+	s.t.Logf("seed %d, gateway logs in %s, timeline:\n%s", s.seed, dir, strings.Join(s.timeline, "\n"))
 }
