--- a/internal/lab/hop/hop.go
+++ b/internal/lab/hop/hop.go
@@ -35,19 +35,19 @@
 }
 
 // pathStats is the cost of the requests on one path: direct or through an entry.
-type side struct {
-	latency *hdrhistogram.Histogram
-	cpu     time.Duration
-	allocs  uint64 // heap allocations
-	sent    int
-	bad     int
+type pathStats struct {
+	latency    *hdrhistogram.Histogram
+	cpu        time.Duration
+	allocs     uint64 // heap allocations
+	sent       int
+	unanswered int
 }
 
 // warmUpRequests is the number of unmeasured requests on each path at the start.
-const warmUp = 500
+const warmUpRequests = 500
 
 // startTimeout limits the time until the site is ready.
-const startTime = 20 * time.Second
+const startTimeout = 20 * time.Second
 
 // Run measures both paths and prints the results.
 func Run(ctx context.Context, cfg Config, w io.Writer) (err error) {
@@ -63,19 +63,19 @@
 		return err
 	}
 	defer s.Close()
-	if err := start(ctx, s, cfg.Settings); err != nil {
+	if err := applySettings(ctx, s, cfg.Settings); err != nil {
 		return err
 	}
 	direct, through, err := measure(ctx, s, cfg)
 	if err != nil {
 		return err
 	}
-	return show(w, cfg, direct, through)
+	return writeResults(w, cfg, direct, through)
 }
 
 // applySettings applies the settings and waits until the site is ready.
-func start(ctx context.Context, s *site.Site, settings []byte) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+func applySettings(ctx context.Context, s *site.Site, settings []byte) (err error) {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := site.Apply(ctx, s.Store, "settings", settings); err != nil {
 		return err
@@ -84,7 +84,7 @@
 }
 
 // measure runs the load on both paths in turns and adds up the cost of each path.
-func measure(ctx context.Context, s *site.Site, cfg Config) (direct, through side, err error) {
+func measure(ctx context.Context, s *site.Site, cfg Config) (direct, through pathStats, err error) {
 	directLoad := load.Config{
 		Services: []string{cfg.Service}, Rate: cfg.Rate, Writes: cfg.Writes, Timeout: 5 * time.Second,
 	}
@@ -96,7 +96,7 @@
 	direct.latency = hdrhistogram.New(1, 60_000_000, 3)
 	through.latency = hdrhistogram.New(1, 60_000_000, 3)
 	for _, c := range []load.Config{directLoad, entryLoad} {
-		c.Requests = warmUp
+		c.Requests = warmUpRequests
 		if _, err := load.Run(ctx, c); err != nil {
 			return direct, through, err
 		}
@@ -104,10 +104,10 @@
 	for n := range cfg.Rounds {
 		directLoad.Seed, entryLoad.Seed = uint64(n), uint64(n)
 		directLoad.Requests, entryLoad.Requests = cfg.Requests, cfg.Requests
-		if err := direct.add(ctx, directLoad); err != nil {
+		if err := direct.addRound(ctx, directLoad); err != nil {
 			return direct, through, err
 		}
-		if err := through.add(ctx, entryLoad); err != nil {
+		if err := through.addRound(ctx, entryLoad); err != nil {
 			return direct, through, err
 		}
 	}
@@ -115,7 +115,7 @@
 }
 
 // addRound runs the load of one round on the path and adds its cost.
-func (s *side) add(ctx context.Context, cfg load.Config) (err error) {
+func (s *pathStats) addRound(ctx context.Context, cfg load.Config) (err error) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	cpuBefore, err := cpuTime()
@@ -134,7 +134,7 @@
 	s.cpu += cpuAfter - cpuBefore
 	s.allocs += after.Mallocs - before.Mallocs
 	s.sent += report.Sent
-	s.bad += report.Sent - report.Answered
+	s.unanswered += report.Sent - report.Answered
 	s.latency.Merge(report.Latency)
 	return nil
 }
@@ -149,26 +149,26 @@
 // result is one line of the table. Times are in microseconds; CPU time and
 // allocations are per request.
 type result struct {
-	Way    string  `json:"way"`
-	Sent   int     `json:"sent"`
-	Bad    int     `json:"bad"`
-	P50    float64 `json:"p50us"`
-	P99    float64 `json:"p99us"`
-	CPU    float64 `json:"cpuus"`
-	Allocs float64 `json:"allocs"`
+	Way        string  `json:"way"`
+	Sent       int     `json:"sent"`
+	Unanswered int     `json:"bad"`
+	P50        float64 `json:"p50us"`
+	P99        float64 `json:"p99us"`
+	CPU        float64 `json:"cpuus"`
+	Allocs     float64 `json:"allocs"`
 }
 
-func (s side) result(way string) result {
+func (s pathStats) result(way string) result {
 	n := float64(s.sent)
 	return result{
-		Way: way, Sent: s.sent, Bad: s.bad,
+		Way: way, Sent: s.sent, Unanswered: s.unanswered,
 		P50: float64(s.latency.ValueAtQuantile(50)), P99: float64(s.latency.ValueAtQuantile(99)),
 		CPU: float64(s.cpu.Microseconds()) / n, Allocs: float64(s.allocs) / n,
 	}
 }
 
 // writeResults prints both paths and their difference.
-func show(w io.Writer, cfg Config, direct, through side) (err error) {
+func writeResults(w io.Writer, cfg Config, direct, through pathStats) (err error) {
 	d, t := direct.result("direct"), through.result("entry")
 	added := result{Way: "added", P50: t.P50 - d.P50, P99: t.P99 - d.P99, CPU: t.CPU - d.CPU, Allocs: t.Allocs - d.Allocs}
 	rows := []result{d, t, added}
@@ -181,7 +181,7 @@
 	table.SetCenterSeparator("|")
 	for _, r := range rows {
 		table.Append([]string{
-			r.Way, fmt.Sprint(r.Sent), fmt.Sprint(r.Bad), fmt.Sprintf("%.0f", r.P50), fmt.Sprintf("%.0f", r.P99),
+			r.Way, fmt.Sprint(r.Sent), fmt.Sprint(r.Unanswered), fmt.Sprintf("%.0f", r.P50), fmt.Sprintf("%.0f", r.P99),
 			fmt.Sprintf("%.1f", r.CPU), fmt.Sprintf("%.1f", r.Allocs),
 		})
 	}
--- a/internal/lab/order/order.go
+++ b/internal/lab/order/order.go
@@ -36,11 +36,11 @@
 
 // The site that each policy is measured on.
 const (
-	targets = 8
-	slots   = 2 // per target
-	mean    = 10 * time.Millisecond
-	sigma   = 1.0              // standard deviation of the logarithm of the service time
-	start   = 20 * time.Second // until the site is ready
+	targets          = 8
+	slots            = 2 // per target
+	meanServiceTime  = 10 * time.Millisecond
+	serviceTimeSigma = 1.0              // standard deviation of the logarithm of the service time
+	startTimeout     = 20 * time.Second // until the site is ready
 )
 
 // row is the result of one policy. Ratio is its p99 divided by that of the first
@@ -60,7 +60,7 @@
 	defer func() { err = errors.WithMessage(err, "order") }()
 	var rows []row
 	for _, policy := range pool.PolicyNames() {
-		r, err := measure(ctx, cfg, policy)
+		r, err := measurePolicy(ctx, cfg, policy)
 		if err != nil {
 			return err
 		}
@@ -72,28 +72,28 @@
 	if cfg.JSON {
 		return json.NewEncoder(w).Encode(rows)
 	}
-	table(w, rows)
+	writeTable(w, rows)
 	return nil
 }
 
 // measurePolicy runs the load with one policy, on a site of its own.
-func measure(ctx context.Context, cfg Config, policy string) (r row, err error) {
+func measurePolicy(ctx context.Context, cfg Config, policy string) (r row, err error) {
 	s, err := site.Start(site.Config{
 		Region: "perth-metro", Places: []string{"fremantle-hall"}, Entries: 1,
-		Services: []site.Service{{Name: cfg.Service, Targets: targets, Slots: slots, Mean: mean, Sigma: sigma}},
+		Services: []site.Service{{Name: cfg.Service, Targets: targets, Slots: slots, Mean: meanServiceTime, Sigma: serviceTimeSigma}},
 		Log:      &log.Logger{Handler: discard.New()}, Out: io.Discard,
 	})
 	if err != nil {
 		return r, err
 	}
 	defer s.Kill()
-	if err := prepare(ctx, s, cfg.Settings, policy); err != nil {
+	if err := applyPolicy(ctx, s, cfg.Settings, policy); err != nil {
 		return r, err
 	}
 	s.Targets[0].SetFault(target.Fault{Factor: cfg.Factor})
 	report, err := load.Run(ctx, load.Config{
 		Entries: s.Callers(), Services: []string{cfg.Service}, Seed: cfg.Seed, Timeout: 10 * time.Second,
-		Requests: cfg.Requests, Rate: cfg.Load * targets * slots / mean.Seconds(),
+		Requests: cfg.Requests, Rate: cfg.Load * targets * slots / meanServiceTime.Seconds(),
 	})
 	if err != nil {
 		return r, err
@@ -104,8 +104,8 @@
 
 // applyPolicy applies the settings with the given policy at the root, and waits until
 // the site is ready.
-func prepare(ctx context.Context, s *site.Site, settings []byte, policy string) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, start)
+func applyPolicy(ctx context.Context, s *site.Site, settings []byte, policy string) (err error) {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	doc, err := tree.Parse("settings", settings)
 	if err != nil {
@@ -123,7 +123,7 @@
 	return s.Ready(ctx)
 }
 
-func table(w io.Writer, rows []row) {
+func writeTable(w io.Writer, rows []row) {
 	t := tablewriter.NewWriter(w)
 	t.SetHeader([]string{"policy", "sent", "answered", "refused", "p50 ms", "p99 ms", "p99 ratio"})
 	t.SetAutoFormatHeaders(false)
--- a/internal/lab/tail/event.go
+++ b/internal/lab/tail/event.go
@@ -3,15 +3,15 @@
 type eventKind uint8
 
 const (
-	atEntry  eventKind = iota // a request arrives at its entry
-	atTarget                  // a dispatch or a probe arrives at a worker
-	finished                  // a worker completes a job
-	answered                  // a response arrives at an entry
-	ticked                    // the tick that a balancer asked for is due
-	faultOn
-	faultOff
-	listRead // an entry reads the target list
-	periodic // an entry probes all workers
+	entryArrival    eventKind = iota // a request arrives at its entry
+	workerArrival                    // a dispatch or a probe arrives at a worker
+	jobFinished                      // a worker completes a job
+	responseArrival                  // a response arrives at an entry
+	tickDue                          // the tick that a balancer asked for is due
+	faultStart
+	faultEnd
+	targetListRead // an entry reads the target list
+	periodicProbes // an entry probes all workers
 )
 
 // event is something that happens at one point of virtual time.
@@ -19,7 +19,7 @@
 	at    int64  // nanoseconds since the start of the run
 	seq   uint64 // order of scheduling
 	kind  eventKind
-	where int32 // of the entry, worker or fault
+	index int32 // of the entry, worker or fault
 	job   job
 }
 
@@ -33,10 +33,10 @@
 
 // job is one dispatch of a request, or one probe, at a worker.
 type job struct {
-	request int32 // index in simulator.requests; -1 for a probe
-	try     int32 // 0 for the first dispatch of the request
-	entry   int32
-	worker  int32
-	finish  int64 // virtual time, in nanoseconds
-	end     end
+	request  int32 // index in simulator.requests; -1 for a probe
+	attempt  int32 // 0 for the first dispatch of the request
+	entry    int32
+	worker   int32
+	finishAt int64 // virtual time, in nanoseconds
+	result   result
 }
--- a/internal/lab/tail/experiments.go
+++ b/internal/lab/tail/experiments.go
@@ -10,15 +10,15 @@
 
 // experiment describes one table.
 type experiment struct {
-	name string
-	note string
-	rows func(requests int) []row
-	hide []string // columns without meaning in this experiment
+	name          string
+	description   string
+	rows          func(requests int) []row
+	hiddenColumns []string // columns without meaning in this experiment
 }
 
 func (x experiment) columns() (cols []column) {
 	for _, c := range columns {
-		if !slices.Contains(x.hide, c.name) {
+		if !slices.Contains(x.hiddenColumns, c.name) {
 			cols = append(cols, c)
 		}
 	}
@@ -26,19 +26,19 @@
 }
 
 // showsGapClosed reports whether the rows are compared with the omniscient queue.
-func (x experiment) marked() bool { return !slices.Contains(x.hide, "gap closed %") }
+func (x experiment) showsGapClosed() bool { return !slices.Contains(x.hiddenColumns, "gap closed %") }
 
 // Names of ways in the tables. The first two are the ends of the gap that
 // computeGapClosed measures.
 const (
-	wayMark = "omniscient queue"
-	wayTwo  = "two choices x14"
-	wayOwn  = "plumpitch"
+	wayOmniscient = "omniscient queue"
+	wayTwoChoices = "two choices x14"
+	wayPlumpitch  = "plumpitch"
 )
 
 const (
-	owners      = 1     // preferred entries of a resolve response
-	probeBudget = 0.005 // share of the time of all slots
+	defaultOwners  = 1     // preferred entries of a resolve response
+	probeTimeShare = 0.005 // share of the time of all slots
 )
 
 var experiments = []experiment{
@@ -52,31 +52,31 @@
 }
 
 // baseScenario returns a scenario without policy and faults.
-func base(s Shape, load float64, requests int) scenario {
-	return scenario{shape: s, load: load, requests: requests, deadline: time.Second, retries: true, listLag: 30 * time.Second}
+func baseScenario(s Shape, load float64, requests int) scenario {
+	return scenario{shape: s, load: load, requests: requests, deadline: time.Second, retries: true, listDelay: 30 * time.Second}
 }
 
 // withPlumpitch returns the scenario with the policy, the owners and the probe
 // budget that Plumpitch uses.
-func (s scenario) own() scenario {
-	s.policy, s.owners, s.budget = pool.NameFreeSlot, owners, probeBudget
+func (s scenario) withPlumpitch() scenario {
+	s.policy, s.owners, s.probeShare = pool.NameFreeSlot, defaultOwners, probeTimeShare
 	return s
 }
 
-func (s scenario) with(policy string) scenario {
+func (s scenario) withPolicy(policy string) scenario {
 	s.policy = policy
 	return s
 }
 
 // baselineRows returns the rows of a group that Plumpitch is compared with. The ways
 // that end in x14 use all 14 entries.
-func baselines(group string, sc scenario) []row {
+func baselineRows(group string, sc scenario) []row {
 	return []row{
-		{group: group, way: wayMark, sc: sc.with(omniscient)},
-		{group: group, way: "round robin x14", sc: sc.with(pool.NameRoundRobin)},
-		{group: group, way: "random x14", sc: sc.with(pool.NameRandom)},
-		{group: group, way: wayTwo, sc: sc.with(pool.NameTwoChoices)},
-		{group: group, way: "least in flight x14", sc: sc.with(pool.NameLeastInFlight)},
+		{group: group, way: wayOmniscient, sc: sc.withPolicy(policyOmniscient)},
+		{group: group, way: "round robin x14", sc: sc.withPolicy(pool.NameRoundRobin)},
+		{group: group, way: "random x14", sc: sc.withPolicy(pool.NameRandom)},
+		{group: group, way: wayTwoChoices, sc: sc.withPolicy(pool.NameTwoChoices)},
+		{group: group, way: "least in flight x14", sc: sc.withPolicy(pool.NameLeastInFlight)},
 	}
 }
 
@@ -84,9 +84,9 @@
 	for _, s := range []Shape{gownCatalogue, paydesk, shiftboard} {
 		for _, load := range []float64{0.5, 0.7, 0.85, 0.95} {
 			group := fmt.Sprintf("%s %.0f %%", s.Name, 100*load)
-			sc := base(s, load, requests)
-			rows = append(rows, baselines(group, sc)...)
-			rows = append(rows, row{group: group, way: wayOwn, sc: sc.own()})
+			sc := baseScenario(s, load, requests)
+			rows = append(rows, baselineRows(group, sc)...)
+			rows = append(rows, row{group: group, way: wayPlumpitch, sc: sc.withPlumpitch()})
 		}
 	}
 	return rows
@@ -96,9 +96,9 @@
 	for _, s := range []Shape{gownCatalogue, paydesk} {
 		for _, load := range []float64{0.7, 0.85, 0.95} {
 			group := fmt.Sprintf("%s %.0f %%", s.Name, 100*load)
-			sc := base(s, load, requests)
-			rows = append(rows, row{group: group, way: wayMark, sc: sc.with(omniscient)},
-				row{group: group, way: wayTwo, sc: sc.with(pool.NameTwoChoices)})
+			sc := baseScenario(s, load, requests)
+			rows = append(rows, row{group: group, way: wayOmniscient, sc: sc.withPolicy(policyOmniscient)},
+				row{group: group, way: wayTwoChoices, sc: sc.withPolicy(pool.NameTwoChoices)})
 			rows = append(rows, ownerWays(group, sc)...)
 		}
 	}
@@ -108,17 +108,17 @@
 // ownerWays returns the rows with different numbers of preferred entries, k.
 func ownerWays(group string, sc scenario) (rows []row) {
 	add := func(way string, change func(*scenario)) {
-		own := sc.own()
+		own := sc.withPlumpitch()
 		change(&own)
 		rows = append(rows, row{group: group, way: way, sc: own})
 	}
 	add("k=1", func(*scenario) {})
 	add("least in flight k=1", func(s *scenario) { s.policy = pool.NameLeastInFlight })
-	add("k=1, 5 % astray", func(s *scenario) { s.stray = 0.05 })
-	add("k=2 alike", func(s *scenario) { s.owners, s.even = 2, true })
-	add("k=2 alike, no reports", func(s *scenario) { s.owners, s.even, s.deaf = 2, true, true })
-	add("k=2 alike, reports mislead", func(s *scenario) { s.owners, s.even, s.mislead = 2, true, true })
-	add("k=3 alike", func(s *scenario) { s.owners, s.even = 3, true })
+	add("k=1, 5 % astray", func(s *scenario) { s.strayShare = 0.05 })
+	add("k=2 alike", func(s *scenario) { s.owners, s.evenOwners = 2, true })
+	add("k=2 alike, no reports", func(s *scenario) { s.owners, s.evenOwners, s.noReports = 2, true, true })
+	add("k=2 alike, reports mislead", func(s *scenario) { s.owners, s.evenOwners, s.zeroReports = 2, true, true })
+	add("k=3 alike", func(s *scenario) { s.owners, s.evenOwners = 3, true })
 	add("k=14", func(s *scenario) { s.owners = 0 })
 	return rows
 }
@@ -126,30 +126,30 @@
 func stragglerRows(requests int) (rows []row) {
 	s := gownCatalogue
 	for _, load := range []float64{0.7, 0.85} {
-		sc := base(s, load, requests)
-		length := time.Duration(sc.seconds() * float64(time.Second))
+		sc := baseScenario(s, load, requests)
+		length := time.Duration(sc.expectedSeconds() * float64(time.Second))
 		cases := []struct {
 			name   string
 			faults []fault
 		}{
-			{"slow all the time", []fault{{kind: slow, worker: 3, from: 0, to: 10 * length, factor: 10}}},
-			{"slow mid-run", []fault{{kind: slow, worker: 3, from: length / 3, to: 2 * length / 3, factor: 10}}},
-			{"stalls", stalls(length)},
+			{"slow all the time", []fault{{kind: faultSlow, worker: 3, from: 0, to: 10 * length, factor: 10}}},
+			{"slow mid-run", []fault{{kind: faultSlow, worker: 3, from: length / 3, to: 2 * length / 3, factor: 10}}},
+			{"stalls", periodicStalls(length)},
 		}
 		for _, c := range cases {
 			group := fmt.Sprintf("%s %.0f %%", c.name, 100*load)
 			sc.faults = c.faults
-			rows = append(rows, baselines(group, sc)...)
-			rows = append(rows, row{group: group, way: wayOwn, sc: sc.own()})
+			rows = append(rows, baselineRows(group, sc)...)
+			rows = append(rows, row{group: group, way: wayPlumpitch, sc: sc.withPlumpitch()})
 		}
 	}
 	return rows
 }
 
 // periodicStalls returns a stall of 300 ms in each second, at changing workers.
-func stalls(length time.Duration) (faults []fault) {
+func periodicStalls(length time.Duration) (faults []fault) {
 	for i, at := 0, time.Second; at < length; i, at = i+1, at+time.Second {
-		faults = append(faults, fault{kind: stall, worker: i * 5 % 14, from: at, to: at + 300*time.Millisecond})
+		faults = append(faults, fault{kind: faultStall, worker: i * 5 % 14, from: at, to: at + 300*time.Millisecond})
 	}
 	return faults
 }
@@ -158,10 +158,10 @@
 	for _, s := range []Shape{gownCatalogue, paydesk} {
 		for _, period := range []time.Duration{20 * time.Millisecond, 400 * time.Millisecond} {
 			group := fmt.Sprintf("%s, 9 to 90 %% each %v", s.Name, period/2)
-			sc := base(s, 0.9, requests)
-			sc.swing, sc.period = 10, period
-			rows = append(rows, baselines(group, sc)...)
-			rows = append(rows, row{group: group, way: wayOwn, sc: sc.own()})
+			sc := baseScenario(s, 0.9, requests)
+			sc.swingFactor, sc.swingPeriod = 10, period
+			rows = append(rows, baselineRows(group, sc)...)
+			rows = append(rows, row{group: group, way: wayPlumpitch, sc: sc.withPlumpitch()})
 		}
 	}
 	return rows
@@ -170,31 +170,31 @@
 func probesRows(requests int) (rows []row) {
 	for _, s := range []Shape{gownCatalogue, paydesk, shiftboard} {
 		for _, load := range []float64{0.7, 0.85} {
-			sc := base(s, load, requests)
-			length := time.Duration(sc.seconds() * float64(time.Second))
+			sc := baseScenario(s, load, requests)
+			length := time.Duration(sc.expectedSeconds() * float64(time.Second))
 			for _, faulty := range []bool{false, true} {
 				group := fmt.Sprintf("%s %.0f %%", s.Name, 100*load)
 				if faulty {
 					group += ", straggler and crash"
 					sc.faults = []fault{
-						{kind: slow, worker: 3, from: length / 3, to: 2 * length / 3, factor: 10},
-						{kind: crash, worker: 1, from: length / 2, to: length * 2 / 3},
+						{kind: faultSlow, worker: 3, from: length / 3, to: 2 * length / 3, factor: 10},
+						{kind: faultCrash, worker: 1, from: length / 2, to: length * 2 / 3},
 					}
 				}
 				rows = append(rows, probeWays(group, sc)...)
 			}
 		}
 	}
-	return append(rows, quietRows(requests)...)
+	return append(rows, lowRateRows(requests)...)
 }
 
 // lowRateRows returns rows with so few requests that a target gets none for
 // seconds, and with one target that is down half of the time.
-func quietRows(requests int) []row {
-	sc := base(paydesk, 0.002, requests/10)
-	length := time.Duration(sc.seconds() * float64(time.Second))
+func lowRateRows(requests int) []row {
+	sc := baseScenario(paydesk, 0.002, requests/10)
+	length := time.Duration(sc.expectedSeconds() * float64(time.Second))
 	for at := time.Duration(0); at < length; at += 20 * time.Second {
-		sc.faults = append(sc.faults, fault{kind: crash, worker: 1, from: at, to: at + 10*time.Second})
+		sc.faults = append(sc.faults, fault{kind: faultCrash, worker: 1, from: at, to: at + 10*time.Second})
 	}
 	return probeWays("paydesk 0.2 %, one target gone each other 10 s", sc)
 }
@@ -202,11 +202,11 @@
 // probeWays returns the rows with a probe budget, without probes and with a fixed
 // probe interval.
 func probeWays(group string, sc scenario) []row {
-	own, none, fixed := sc.own(), sc.own(), sc.with(pool.NameTwoChoices)
-	none.budget = 0
-	fixed.every = time.Second
+	own, none, fixed := sc.withPlumpitch(), sc.withPlumpitch(), sc.withPolicy(pool.NameTwoChoices)
+	none.probeShare = 0
+	fixed.probeInterval = time.Second
 	return []row{
-		{group: group, way: wayOwn, sc: own},
+		{group: group, way: wayPlumpitch, sc: own},
 		{group: group, way: "plumpitch, budget zero", sc: none},
 		{group: group, way: "two choices x14, each target each second", sc: fixed},
 	}
@@ -214,30 +214,30 @@
 
 func drainRows(requests int) (rows []row) {
 	for _, load := range []float64{0.7} {
-		sc := base(gownCatalogue, load, requests)
-		length := time.Duration(sc.seconds() * float64(time.Second))
+		sc := baseScenario(gownCatalogue, load, requests)
+		length := time.Duration(sc.expectedSeconds() * float64(time.Second))
 		cases := []struct {
 			name string
 			kind faultKind
 			lag  time.Duration
 		}{
-			{"own word", drainWord, 30 * time.Second},
-			{"refusals only", drainShed, 30 * time.Second},
-			{"list only, 1 s late", drainList, time.Second},
-			{"crash", crash, 30 * time.Second},
-			{"restart, cold", restart, 30 * time.Second},
-			{"fails fast", failFast, 30 * time.Second},
+			{"own word", faultDrainReported, 30 * time.Second},
+			{"refusals only", faultDrainShed, 30 * time.Second},
+			{"list only, 1 s late", faultDrainListed, time.Second},
+			{"crash", faultCrash, 30 * time.Second},
+			{"restart, cold", faultRestart, 30 * time.Second},
+			{"fails fast", faultFailFast, 30 * time.Second},
 		}
 		for _, c := range cases {
 			sc.faults = []fault{{kind: c.kind, worker: 3, from: length / 3, to: 2 * length / 3}}
-			sc.listLag = c.lag
-			if c.kind <= drainList && c.kind >= drainWord {
+			sc.listDelay = c.lag
+			if c.kind <= faultDrainListed && c.kind >= faultDrainReported {
 				sc.faults[0].to = 10 * length
 			}
 			group := fmt.Sprintf("%s %.0f %%", c.name, 100*load)
-			rows = append(rows, row{group: group, way: wayTwo, sc: sc.with(pool.NameTwoChoices)},
-				row{group: group, way: "least in flight x14", sc: sc.with(pool.NameLeastInFlight)},
-				row{group: group, way: wayOwn, sc: sc.own()})
+			rows = append(rows, row{group: group, way: wayTwoChoices, sc: sc.withPolicy(pool.NameTwoChoices)},
+				row{group: group, way: "least in flight x14", sc: sc.withPolicy(pool.NameLeastInFlight)},
+				row{group: group, way: wayPlumpitch, sc: sc.withPlumpitch()})
 		}
 	}
 	return rows
@@ -246,20 +246,20 @@
 func retryRows(requests int) (rows []row) {
 	for _, load := range []float64{0.95, 1, 2} {
 		group := fmt.Sprintf("gown-catalogue %.0f %%, a tenth writes", 100*load)
-		sc := base(gownCatalogue, load, requests)
-		sc.writes = 0.1
-		rows = append(rows, row{group: group, way: wayTwo, sc: sc.with(pool.NameTwoChoices)},
-			row{group: group, way: "least in flight x14", sc: sc.with(pool.NameLeastInFlight)},
-			row{group: group, way: wayOwn, sc: sc.own()})
+		sc := baseScenario(gownCatalogue, load, requests)
+		sc.writeShare = 0.1
+		rows = append(rows, row{group: group, way: wayTwoChoices, sc: sc.withPolicy(pool.NameTwoChoices)},
+			row{group: group, way: "least in flight x14", sc: sc.withPolicy(pool.NameLeastInFlight)},
+			row{group: group, way: wayPlumpitch, sc: sc.withPlumpitch()})
 	}
-	sc := base(gownCatalogue, 0.7, requests)
+	sc := baseScenario(gownCatalogue, 0.7, requests)
 	for i := range gownCatalogue.Workers {
-		sc.faults = append(sc.faults, fault{kind: failFast, worker: i, from: time.Second, to: time.Hour})
+		sc.faults = append(sc.faults, fault{kind: faultFailFast, worker: i, from: time.Second, to: time.Hour})
 	}
-	rows = append(rows, row{group: "all fail", way: wayOwn, sc: sc.own()})
+	rows = append(rows, row{group: "all fail", way: wayPlumpitch, sc: sc.withPlumpitch()})
 	sc.faults = nil
 	for i := range gownCatalogue.Workers {
-		sc.faults = append(sc.faults, fault{kind: crash, worker: i, from: time.Second, to: time.Hour})
+		sc.faults = append(sc.faults, fault{kind: faultCrash, worker: i, from: time.Second, to: time.Hour})
 	}
-	return append(rows, row{group: "all dead", way: wayOwn, sc: sc.own()})
+	return append(rows, row{group: "all dead", way: wayPlumpitch, sc: sc.withPlumpitch()})
 }
--- a/internal/lab/tail/mark.go
+++ b/internal/lab/tail/mark.go
@@ -7,15 +7,15 @@
 )
 
 // slotRelease is the time at which a slot becomes free.
-type instant struct {
-	at   int64 // nanoseconds of virtual time
-	slot int   // the slots of a worker have consecutive numbers
+type slotRelease struct {
+	freeAt int64 // nanoseconds of virtual time
+	slot   int   // the slots of a worker have consecutive numbers
 }
 
 // Before orders releases by time, then by slot.
-func (i instant) Before(o instant) bool {
-	if i.at != o.at {
-		return i.at < o.at
+func (i slotRelease) Before(o slotRelease) bool {
+	if i.freeAt != o.freeAt {
+		return i.freeAt < o.freeAt
 	}
 	return i.slot < o.slot
 }
@@ -24,32 +24,32 @@
 // when each slot becomes free and which targets have a fault. The one-way network
 // delays are those of the other runs. No entry can have this knowledge, so the
 // result is the reference that the policies approach.
-func mark(sc scenario) *stats {
-	s := &site{sc: sc, stat: newStats(sc.shape.Workers)}
-	s.draw()
-	var free heap.Heap[instant]
+func runOmniscient(sc scenario) *stats {
+	s := &simulator{sc: sc, stats: newStats(sc.shape.Workers)}
+	s.generateRequests()
+	var free heap.Heap[slotRelease]
 	for i := range sc.shape.Workers * sc.shape.Slots {
-		free.Push(instant{slot: i})
+		free.Push(slotRelease{slot: i})
 	}
-	delay := int64(sc.shape.Target)
+	delay := int64(sc.shape.TargetDelay)
 	for _, r := range s.requests {
-		s.stat.offered++
-		now := r.at + delay
-		slot := takeSlot(&free, sc, now)
-		begin := max(now, slot.at)
-		end := stalled(sc, slot.slot/sc.shape.Slots, begin, begin+int64(r.demand))
-		s.stat.answer(end+delay-r.at+2*int64(sc.shape.Caller), r.write)
-		s.stat.ended = max(s.stat.ended, end+delay)
-		free.Push(instant{at: end, slot: slot.slot})
+		s.stats.offered++
+		now := r.arrival + delay
+		slot := takeEarliestSlot(&free, sc, now)
+		begin := max(now, slot.freeAt)
+		end := addStalls(sc, slot.slot/sc.shape.Slots, begin, begin+int64(r.serviceTime))
+		s.stats.addServed(end+delay-r.arrival+2*int64(sc.shape.CallerDelay), r.write)
+		s.stats.lastEnd = max(s.stats.lastEnd, end+delay)
+		free.Push(slotRelease{freeAt: end, slot: slot.slot})
 	}
-	s.stat.tries = s.stat.offered
-	return s.stat
+	s.stats.dispatches = s.stats.offered
+	return s.stats
 }
 
 // takeEarliestSlot removes and returns the slot that becomes free first, other than
 // those of impaired workers. The last slot left is taken in any case.
-func takeSlot(free *heap.Heap[instant], sc scenario, now int64) instant {
-	var skipped []instant
+func takeEarliestSlot(free *heap.Heap[slotRelease], sc scenario, now int64) slotRelease {
+	var skipped []slotRelease
 	defer func() {
 		for _, a := range skipped {
 			free.Push(a)
@@ -57,7 +57,7 @@
 	}()
 	for free.Len() > 1 {
 		slot := free.Pop()
-		begin := time.Duration(max(now, slot.at))
+		begin := time.Duration(max(now, slot.freeAt))
 		if !impaired(sc, slot.slot/sc.shape.Slots, begin) {
 			return slot
 		}
@@ -78,9 +78,9 @@
 
 // addStalls delays the end of a request by the length of each stall that starts
 // while the request runs.
-func stalled(sc scenario, worker int, begin, end int64) int64 {
+func addStalls(sc scenario, worker int, begin, end int64) int64 {
 	for _, f := range sc.faults {
-		if f.kind == stall && f.worker == worker && begin < int64(f.from) && end > int64(f.from) {
+		if f.kind == faultStall && f.worker == worker && begin < int64(f.from) && end > int64(f.from) {
 			end += int64(f.to - f.from)
 		}
 	}
--- a/internal/lab/tail/plot.go
+++ b/internal/lab/tail/plot.go
@@ -16,22 +16,22 @@
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 6 * vg.Inch
-	labelTurn  = math.Pi / 6
+	labelAngle = math.Pi / 6
 )
 
 // writePlot writes an SVG plot of the p99 of each way, by group.
-func plotRows(x experiment, rows []row, path string) (err error) {
+func writePlot(x experiment, rows []row, path string) (err error) {
 	defer func() { err = errors.WithMessage(err, "plot") }()
 	p := plot.New()
 	p.Title.Text = "plumpitch experiment " + x.name
 	p.Y.Label.Text = "p99, ms"
 	p.Y.Scale = plot.LogScale{}
-	p.Y.Tick.Marker = plot.TickerFunc(ticks)
+	p.Y.Tick.Marker = plot.TickerFunc(axisTicks)
 	p.Legend.Top = true
 	p.Legend.Left = true
-	groups, ways := axes(rows)
+	groups, ways := groupsAndWays(rows)
 	p.NominalX(groups...)
-	p.X.Tick.Label.Rotation = labelTurn
+	p.X.Tick.Label.Rotation = labelAngle
 	p.X.Tick.Label.XAlign = text.XRight
 	p.X.Tick.Label.YAlign = text.YCenter
 	for i, way := range ways {
@@ -49,7 +49,7 @@
 }
 
 // groupsAndWays returns the names of the groups and ways in order of appearance.
-func axes(rows []row) (groups, ways []string) {
+func groupsAndWays(rows []row) (groups, ways []string) {
 	seenGroup, seenWay := map[string]bool{}, map[string]bool{}
 	for _, r := range rows {
 		if !seenGroup[r.group] {
@@ -67,8 +67,8 @@
 // points returns the p99 of one way in each group that has it.
 func points(rows []row, groups []string, way string) (xy plotter.XYs) {
 	for i, g := range groups {
-		if r := named(rows, g, way); r != nil {
-			xy = append(xy, plotter.XY{X: float64(i), Y: r.p99.mid})
+		if r := findRow(rows, g, way); r != nil {
+			xy = append(xy, plotter.XY{X: float64(i), Y: r.p99.median})
 		}
 	}
 	return xy
@@ -76,7 +76,7 @@
 
 // axisTicks returns the ticks of a logarithmic axis. It also labels values between
 // the powers of ten, since the axis may span less than one power.
-func ticks(low, high float64) (t []plot.Tick) {
+func axisTicks(low, high float64) (t []plot.Tick) {
 	for power := 1.0; power <= high; power *= 10 {
 		for _, step := range []float64{1, 1.5, 2, 3, 4, 5, 7} {
 			if v := power * step; v >= low && v <= high {
--- a/internal/lab/tail/table.go
+++ b/internal/lab/tail/table.go
@@ -10,10 +10,10 @@
 
 // column is a column of the table, with one figure of each row.
 type column struct {
-	name   string
-	value  func(r *row) spread
-	digits int
-	spread bool // also print the lowest and the highest value
+	name      string
+	value     func(r *row) spread
+	decimals  int
+	showRange bool // also print the lowest and the highest value
 }
 
 var columns = []column{
@@ -21,29 +21,29 @@
 	{"p99 ms", func(r *row) spread { return r.p99 }, 1, true},
 	{"p99.9 ms", func(r *row) spread { return r.p999 }, 1, true},
 	{"refused %", func(r *row) spread { return r.refused }, 2, false},
-	{"p99 of writes ms", func(r *row) spread { return r.write99 }, 1, true},
+	{"p99 of writes ms", func(r *row) spread { return r.writeP99 }, 1, true},
 	{"writes refused %", func(r *row) spread { return r.writesRefused }, 2, false},
-	{"after a wait %", func(r *row) spread { return r.late }, 2, false},
+	{"after a wait %", func(r *row) spread { return r.refusedAfterWait }, 2, false},
 	{"failed %", func(r *row) spread { return r.failed }, 2, false},
-	{"probes/s", func(r *row) spread { return r.probes }, 2, false},
-	{"probe share %", func(r *row) spread { return r.share }, 3, false},
-	{"worst 100 ms", func(r *row) spread { return r.worst }, 1, false},
+	{"probes/s", func(r *row) spread { return r.probeRate }, 2, false},
+	{"probe share %", func(r *row) spread { return r.probeShare }, 3, false},
+	{"worst 100 ms", func(r *row) spread { return r.peakProbeTime }, 1, false},
 	{"retries %", func(r *row) spread { return r.retries }, 2, false},
 	{"trials %", func(r *row) spread { return r.trials }, 2, false},
 	{"goodput %", func(r *row) spread { return r.goodput }, 1, false},
-	{"lost tries", func(r *row) spread { return r.lost }, 0, false},
-	{"used again ms", func(r *row) spread { return r.again }, 0, true},
-	{"last new work ms", func(r *row) spread { return r.drained }, 0, false},
+	{"lost tries", func(r *row) spread { return r.lostDispatches }, 0, false},
+	{"used again ms", func(r *row) spread { return r.recovery }, 0, true},
+	{"last new work ms", func(r *row) spread { return r.lastNewWork }, 0, false},
 }
 
 func writeTable(w io.Writer, cfg Config, x experiment, rows []row) (err error) {
-	_, err = fmt.Fprintf(w, "plumpitch experiment %s --seeds %d --seed %d --requests %d\n%s\n\n", cfg.Name, cfg.Seeds, cfg.Seed, cfg.Requests, x.note)
+	_, err = fmt.Fprintf(w, "plumpitch experiment %s --seeds %d --seed %d --requests %d\n%s\n\n", cfg.Name, cfg.Seeds, cfg.Seed, cfg.Requests, x.description)
 	if err != nil {
 		return err
 	}
 	t := tablewriter.NewWriter(w)
 	head := []string{"group", "way"}
-	if x.marked() {
+	if x.showsGapClosed() {
 		head = append(head, "gap closed %")
 	}
 	for _, c := range x.columns() {
@@ -64,16 +64,16 @@
 func cells(r *row, x experiment) (line []string) {
 	line = []string{r.group, r.way}
 	switch {
-	case r.hasClosed:
-		line = append(line, fmt.Sprintf("%.1f", r.closed))
-	case x.marked():
+	case r.hasGapClosed:
+		line = append(line, fmt.Sprintf("%.1f", r.gapClosed))
+	case x.showsGapClosed():
 		line = append(line, "-")
 	}
 	for _, c := range x.columns() {
 		v := c.value(r)
-		text := fmt.Sprintf("%.*f", c.digits, v.mid)
-		if c.spread {
-			text += fmt.Sprintf(" (%.*f-%.*f)", c.digits, v.low, c.digits, v.high)
+		text := fmt.Sprintf("%.*f", c.decimals, v.median)
+		if c.showRange {
+			text += fmt.Sprintf(" (%.*f-%.*f)", c.decimals, v.low, c.decimals, v.high)
 		}
 		line = append(line, text)
 	}
@@ -82,9 +82,9 @@
 
 // jsonFigure and jsonRow are the JSON format of a row.
 type jsonFigure struct {
-	Mid  float64 `json:"median"`
-	Low  float64 `json:"low"`
-	High float64 `json:"high"`
+	Median float64 `json:"median"`
+	Low    float64 `json:"low"`
+	High   float64 `json:"high"`
 }
 
 type jsonRow struct {
@@ -94,7 +94,7 @@
 	Requests   int                   `json:"requests"`
 	Group      string                `json:"group"`
 	Way        string                `json:"way"`
-	Closed     *float64              `json:"closed,omitempty"`
+	GapClosed  *float64              `json:"closed,omitempty"`
 	Figures    map[string]jsonFigure `json:"figures"`
 }
 
@@ -118,12 +118,12 @@
 		Way:        r.way,
 		Figures:    map[string]jsonFigure{},
 	}
-	if r.hasClosed {
-		j.Closed = &r.closed
+	if r.hasGapClosed {
+		j.GapClosed = &r.gapClosed
 	}
 	for _, c := range columns {
 		v := c.value(r)
-		j.Figures[c.name] = jsonFigure{Mid: v.mid, Low: v.low, High: v.high}
+		j.Figures[c.name] = jsonFigure{Median: v.median, Low: v.low, High: v.high}
 	}
 	return j
 }
--- a/internal/lab/tail/tail.go
+++ b/internal/lab/tail/tail.go
@@ -25,7 +25,7 @@
 const (
 	defaultSeeds    = 5
 	defaultRequests = 60000
-	maxThreads      = 4
+	maxParallelRuns = 4
 )
 
 // Names lists the experiments.
@@ -40,17 +40,17 @@
 func Run(cfg Config, w io.Writer) (err error) {
 	defer func() { err = errors.WithMessagef(err, "experiment %s", cfg.Name) }()
 	cfg = cfg.withDefaults()
-	x, err := find(cfg.Name)
+	x, err := findExperiment(cfg.Name)
 	if err != nil {
 		return err
 	}
 	rows := x.rows(cfg.Requests)
-	if err = measure(cfg, rows); err != nil {
+	if err = runAll(cfg, rows); err != nil {
 		return err
 	}
-	close99(rows)
+	computeGapClosed(rows)
 	if cfg.Plot != "" {
-		if err = plotRows(x, rows, cfg.Plot); err != nil {
+		if err = writePlot(x, rows, cfg.Plot); err != nil {
 			return err
 		}
 	}
@@ -73,7 +73,7 @@
 	return c
 }
 
-func find(name string) (x experiment, err error) {
+func findExperiment(name string) (x experiment, err error) {
 	for _, x := range experiments {
 		if x.name == name {
 			return x, nil
@@ -84,12 +84,12 @@
 
 // runAll runs every row with every seed, up to maxParallelRuns at a time. The
 // runs share no state, so the results don't depend on their order.
-func measure(cfg Config, rows []row) (err error) {
+func runAll(cfg Config, rows []row) (err error) {
 	results := make([]*stats, len(rows)*cfg.Seeds)
 	errs := make([]error, len(results))
 	indices := make(chan int)
 	var wg sync.WaitGroup
-	for range min(maxThreads, runtime.GOMAXPROCS(0)) {
+	for range min(maxParallelRuns, runtime.GOMAXPROCS(0)) {
 		wg.Go(func() {
 			for i := range indices {
 				sc := rows[i/cfg.Seeds].sc
@@ -107,7 +107,7 @@
 		if err = firstError(errs[i*cfg.Seeds : (i+1)*cfg.Seeds]); err != nil {
 			return err
 		}
-		rows[i].sum(results[i*cfg.Seeds : (i+1)*cfg.Seeds])
+		rows[i].aggregate(results[i*cfg.Seeds : (i+1)*cfg.Seeds])
 	}
 	return nil
 }
@@ -122,10 +122,10 @@
 }
 
 func runOne(sc scenario) (t *stats, err error) {
-	if sc.policy == omniscient {
-		return mark(sc), nil
+	if sc.policy == policyOmniscient {
+		return runOmniscient(sc), nil
 	}
-	s, err := newSite(sc)
+	s, err := newSimulator(sc)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/tail/tail_test.go
+++ b/internal/lab/tail/tail_test.go
@@ -8,7 +8,7 @@
 )
 
 // The same seed must print the same bytes, however the parallel runs are scheduled.
-func TestSameBytes(t *testing.T) {
+func TestSameSeedPrintsSameBytes(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/lab/tail/tweak.go
+++ b/internal/lab/tail/tweak.go
@@ -3,9 +3,9 @@
 import "plumpitch.example/plumpitch/pkg/pool"
 
 // poolOverride changes the configuration of the balancers for one row.
-type tweak func(*pool.Config)
+type poolOverride func(*pool.Config)
 
-func (t tweak) apply(cfg pool.Config) pool.Config {
+func (t poolOverride) apply(cfg pool.Config) pool.Config {
 	if t != nil {
 		t(&cfg)
 	}
