--- a/experiment.go
+++ b/experiment.go
@@ -76,7 +76,7 @@
 	var cfg capacity.Config
 	sub := flaggy.NewSubcommand("capacity")
 	sub.Description = "cost of the control plane by number of entries, workers and services"
-	sub.String(&cfg.Only, "", "only", "name of the only part to run")
+	sub.String(&cfg.Part, "", "only", "name of the only part to run")
 	sub.Int(&cfg.Seeds, "", "seeds", "runs of each size in virtual time; default 5")
 	sub.AdditionalHelpAppend = "Example: plumpitch experiment capacity"
 	return &command{sub: sub, run: func(context.Context) error {
--- a/internal/gateway/members_test.go
+++ b/internal/gateway/members_test.go
@@ -15,10 +15,10 @@
 // until all know each other.
 func startFleet(c testing.TB, entries int, seed uint64) *fleet.Fleet {
 	cfg := (&Gateway{}).memberConfig()
-	f := fleet.New(fleet.Config{Entries: entries, Places: 5, Regions: 1, Seed: seed, Near: 900 * time.Microsecond, Member: cfg})
+	f := fleet.New(fleet.Config{Entries: entries, Places: 5, Regions: 1, Seed: seed, NearDelay: 900 * time.Microsecond, Member: cfg})
 	f.BootAll()
-	took := f.RunUntil(20*time.Second, f.Agreed)
-	qt.Assert(c, f.Agreed(), qt.IsTrue, qt.Commentf("%d entries, seed %d: no agreement after %v", entries, seed, took))
+	took := f.RunUntil(20*time.Second, f.Converged)
+	qt.Assert(c, f.Converged(), qt.IsTrue, qt.Commentf("%d entries, seed %d: no agreement after %v", entries, seed, took))
 	c.Logf("%d entries, seed %d: all know each other after %v", entries, seed, took)
 	return f
 }
@@ -26,7 +26,7 @@
 // noneUsed reports whether no entry sends callers to any of the lost ones.
 func noneUsed(f *fleet.Fleet, lost []*fleet.Node) func() bool {
 	return func() bool {
-		return f.All(func(_ *fleet.Node, v member.View) bool {
+		return f.AllViews(func(_ *fleet.Node, v member.View) bool {
 			for _, n := range lost {
 				if e, ok := v.Find(n.Entry.ID.Name); ok && e.State == member.Alive {
 					return false
@@ -67,7 +67,7 @@
 				took := f.RunUntil(5*time.Second, noneUsed(f, lost))
 				c.Logf("%d of %d lost: noticed everywhere after %v", len(lost), entries, took)
 				c.Assert(took <= bound, qt.IsTrue, qt.Commentf("%v", took))
-				c.Assert(f.RunUntil(2*time.Second, f.Agreed) < 2*time.Second, qt.IsTrue)
+				c.Assert(f.RunUntil(2*time.Second, f.Converged) < 2*time.Second, qt.IsTrue)
 			})
 		}
 	}
@@ -83,7 +83,7 @@
 	}
 	f.Run(time.Second)
 	f.BootAll()
-	took := f.RunUntil(10*time.Second, f.Agreed)
+	took := f.RunUntil(10*time.Second, f.Converged)
 	c.Logf("agreed after %v", took)
 	c.Assert(took <= 6*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 }
@@ -108,8 +108,8 @@
 func measureIdle(f *fleet.Fleet, span time.Duration) (bytes, busy float64) {
 	count := func() (b, t float64) {
 		for _, n := range f.Nodes {
-			b += float64(n.Traffic.In + n.Traffic.Out)
-			t += float64(n.Traffic.Busy.Microseconds())
+			b += float64(n.Traffic.BytesIn + n.Traffic.BytesOut)
+			t += float64(n.Traffic.HandlingTime.Microseconds())
 		}
 		return b, t
 	}
--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -16,27 +16,27 @@
 // Config configures a measurement. Zero fields take the default that ends their
 // comment.
 type Config struct {
-	Entries  []int         // numbers of entries in virtual time; 14, 50, 100, 200, 300
-	Loopback []int         // numbers of entries with real connections; 14, 50, 100, 200
-	Seeds    int           // runs of each size in virtual time; 5
-	Quiet    time.Duration // virtual or real time to measure without events; 20 s
-	Settle   time.Duration // wait before a measurement with real connections; 10 s
-	Rounds   int           // gossip exchanges of each message size; 3000
-	Apart    time.Duration // length of the partition between a region and the others; 10 min
-	Only     string        // name of the only part to run; empty runs all
+	Entries       []int         // numbers of entries in virtual time; 14, 50, 100, 200, 300
+	Loopback      []int         // numbers of entries with real connections; 14, 50, 100, 200
+	Seeds         int           // runs of each size in virtual time; 5
+	QuietTime     time.Duration // virtual or real time to measure without events; 20 s
+	SettleTime    time.Duration // wait before a measurement with real connections; 10 s
+	Exchanges     int           // gossip exchanges of each message size; 3000
+	PartitionTime time.Duration // length of the partition between a region and the others; 10 min
+	Part          string        // name of the only part to run; empty runs all
 }
 
 // part is a named group of series.
 type part struct {
-	name string
-	run  func(cfg Config, m *model, w io.Writer) error
-	uses bool // needs the message sizes that wire and settings measure
+	name       string
+	run        func(cfg Config, m *messageSizes, w io.Writer) error
+	needsSizes bool // needs the message sizes that wire and settings measure
 }
 
 // messageSizes holds sizes that the source parts measure for the later parts.
-type model struct {
-	overhead int // bytes of HTTP beside the body of each message
-	fetch    int // bytes of a settings response with one edit
+type messageSizes struct {
+	httpOverhead  int // bytes of HTTP beside the body of each message
+	settingsBytes int // bytes of a settings response with one edit
 }
 
 func parts() []part {
@@ -46,7 +46,7 @@
 		{"quiet", runQuiet, true},
 		{"notice", runNotice, true},
 		{"events", runEvents, true},
-		{"apart", runApart, true},
+		{"apart", runPartition, true},
 		{"memory", runMemory, false},
 		{"store", runStore, false},
 		{"loopback", runLoopback, false},
@@ -57,14 +57,14 @@
 func Run(cfg Config, w io.Writer) (err error) {
 	defer func() { err = errors.WithMessage(err, "capacity") }()
 	cfg = cfg.withDefaults()
-	selected, err := choose(cfg.Only)
+	selected, err := selectParts(cfg.Part)
 	if err != nil {
 		return err
 	}
-	sizes := &model{}
+	sizes := &messageSizes{}
 	for _, p := range selected {
 		out := w
-		if cfg.Only != "" && cfg.Only != p.name {
+		if cfg.Part != "" && cfg.Part != p.name {
 			out = io.Discard // run only for the sizes that it measures
 		}
 		fmt.Fprintf(out, "\n## %s\n\n", p.name)
@@ -77,7 +77,7 @@
 
 // selectParts returns the part with the given name, after the source parts if
 // it needs their sizes. An empty name selects all parts.
-func choose(name string) (selected []part, err error) {
+func selectParts(name string) (selected []part, err error) {
 	all := parts()
 	if name == "" {
 		return all, nil
@@ -88,8 +88,8 @@
 		if p.name != name {
 			continue
 		}
-		if p.uses {
-			selected = append(selected, all[:sources]...)
+		if p.needsSizes {
+			selected = append(selected, all[:sourceParts]...)
 		}
 		return append(selected, p), nil
 	}
@@ -98,7 +98,7 @@
 
 // sourceParts is the number of parts, from the first, that measure sizes for
 // the later parts.
-const sources = 2
+const sourceParts = 2
 
 func (c Config) withDefaults() Config {
 	if len(c.Entries) == 0 {
@@ -110,17 +110,17 @@
 	if c.Seeds <= 0 {
 		c.Seeds = 5
 	}
-	if c.Quiet <= 0 {
-		c.Quiet = 20 * time.Second
+	if c.QuietTime <= 0 {
+		c.QuietTime = 20 * time.Second
 	}
-	if c.Settle <= 0 {
-		c.Settle = 10 * time.Second
+	if c.SettleTime <= 0 {
+		c.SettleTime = 10 * time.Second
 	}
-	if c.Rounds <= 0 {
-		c.Rounds = 3000
+	if c.Exchanges <= 0 {
+		c.Exchanges = 3000
 	}
-	if c.Apart <= 0 {
-		c.Apart = 10 * time.Minute
+	if c.PartitionTime <= 0 {
+		c.PartitionTime = 10 * time.Minute
 	}
 	return c
 }
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -11,8 +11,8 @@
 // Each part runs with small sizes and prints one table group with its series.
 func TestParts(t *testing.T) {
 	small := Config{
-		Entries: []int{8, 10}, Loopback: []int{3, 5}, Seeds: 1, Rounds: 20,
-		Quiet: time.Second, Settle: 10 * time.Millisecond, Apart: 20 * time.Second,
+		Entries: []int{8, 10}, Loopback: []int{3, 5}, Seeds: 1, Exchanges: 20,
+		QuietTime: time.Second, SettleTime: 10 * time.Millisecond, PartitionTime: 20 * time.Second,
 	}
 	tests := []struct {
 		part string
@@ -31,7 +31,7 @@
 		t.Run(tt.part, func(t *testing.T) {
 			c := qt.New(t)
 			cfg := small
-			cfg.Only = tt.part
+			cfg.Part = tt.part
 			var out bytes.Buffer
 			c.Assert(Run(cfg, &out), qt.IsNil)
 			c.Assert(out.String(), qt.Contains, tt.want)
@@ -42,7 +42,7 @@
 
 func TestUnknownPart(t *testing.T) {
 	c := qt.New(t)
-	err := Run(Config{Only: "wires"}, &bytes.Buffer{})
+	err := Run(Config{Part: "wires"}, &bytes.Buffer{})
 	c.Assert(err, qt.ErrorMatches, `capacity: part: found "wires", expected one of wire, .*`)
 }
 
--- a/internal/lab/capacity/gossip.go
+++ b/internal/lab/capacity/gossip.go
@@ -10,12 +10,12 @@
 )
 
 // timeLimit bounds the virtual time to wait for a condition.
-const limit = 3 * time.Minute
+const timeLimit = 3 * time.Minute
 
 // topology returns the numbers of failure domains and regions for a number of
 // entries: those of the present deployment up to 14 entries, and those of the
 // deployment to design for above.
-func site(entries int) (places, regions int) {
+func topology(entries int) (places, regions int) {
 	if entries <= 14 {
 		return 3, 1
 	}
@@ -24,72 +24,72 @@
 
 // settledFleet starts a fleet, waits until all entries have the same view and
 // runs it for another 30 s.
-func settled(m *model, entries int, seed uint64) *fleet.Fleet {
-	places, regions := site(entries)
+func settledFleet(m *messageSizes, entries int, seed uint64) *fleet.Fleet {
+	places, regions := topology(entries)
 	f := fleet.New(fleet.Config{
 		Entries: entries, Places: places, Regions: regions,
-		Seed: seed, Overhead: m.overhead, Fetch: m.fetch,
+		Seed: seed, HTTPOverhead: m.httpOverhead, SettingsBytes: m.settingsBytes,
 	})
 	f.BootAll()
-	f.RunUntil(limit, f.Agreed)
+	f.RunUntil(timeLimit, f.Converged)
 	f.Run(30 * time.Second)
 	return f
 }
 
 // traffic is the cost per entry since resetTraffic.
 type traffic struct {
-	mean  float64       // mean of bytes in and out
-	worst float64       // highest bytes in and out of any entry
-	busy  time.Duration // mean time in decisions and codecs
-	count float64       // mean of messages sent
+	meanBytes    float64       // mean of bytes in and out
+	maxBytes     float64       // highest bytes in and out of any entry
+	handlingTime time.Duration // mean time in decisions and codecs
+	messages     float64       // mean of messages sent
 }
 
-func mark(f *fleet.Fleet) {
+func resetTraffic(f *fleet.Fleet) {
 	for _, n := range f.Nodes {
 		n.Traffic = fleet.Traffic{}
 	}
 }
 
 // trafficPerEntry sums up the traffic since resetTraffic.
-func since(f *fleet.Fleet) (t traffic) {
+func trafficPerEntry(f *fleet.Fleet) (t traffic) {
 	k := float64(len(f.Nodes))
 	for _, n := range f.Nodes {
-		b := float64(n.Traffic.In + n.Traffic.Out)
-		t.mean += b / k
-		t.worst = max(t.worst, b)
-		t.count += float64(n.Traffic.Messages) / k
-		t.busy += n.Traffic.Busy
+		b := float64(n.Traffic.BytesIn + n.Traffic.BytesOut)
+		t.meanBytes += b / k
+		t.maxBytes = max(t.maxBytes, b)
+		t.messages += float64(n.Traffic.Messages) / k
+		t.handlingTime += n.Traffic.HandlingTime
 	}
-	t.busy /= time.Duration(len(f.Nodes))
+	t.handlingTime /= time.Duration(len(f.Nodes))
 	return t
 }
 
 // runQuiet measures the cost of membership without events.
-func runQuiet(cfg Config, m *model, w io.Writer) error {
+func runQuiet(cfg Config, m *messageSizes, w io.Writer) error {
 	count := &series{name: "messages sent, 1/s", digits: 2}
 	mean := &series{name: "bytes in and out, B/s"}
 	worst := &series{name: "the same, worst entry, B/s"}
 	busy := &series{name: "decisions and codec, us/s", digits: 1}
 	for _, n := range cfg.Entries {
-		f := settled(m, n, 1)
-		mark(f)
-		f.Run(cfg.Quiet)
-		t, secs := since(f), cfg.Quiet.Seconds()
-		count.add(n, t.count/secs)
-		mean.add(n, t.mean/secs)
-		worst.add(n, t.worst/secs)
-		busy.add(n, float64(t.busy.Microseconds())/secs)
+		f := settledFleet(m, n, 1)
+		resetTraffic(f)
+		f.Run(cfg.QuietTime)
+		t, secs := trafficPerEntry(f), cfg.QuietTime.Seconds()
+		count.add(n, t.messages/secs)
+		mean.add(n, t.meanBytes/secs)
+		worst.add(n, t.maxBytes/secs)
+		busy.add(n, float64(t.handlingTime.Microseconds())/secs)
 	}
-	fmt.Fprintf(w, "virtual time, %v of quiet, real codec, %d B of HTTP for each message; per entry\n\n", cfg.Quiet, m.overhead)
-	write(w, "entries", count, mean, worst, busy)
+	fmt.Fprintf(w, "virtual time, %v of quiet, real codec, %d B of HTTP for each message; per entry\n\n", cfg.QuietTime, m.httpOverhead)
+	writeTable(w, "entries", count, mean, worst, busy)
 	return nil
 }
 
 // allSee returns a condition that holds when every entry sees each of the nodes
 // in the state.
-func known(f *fleet.Fleet, state member.State, of ...*fleet.Node) func() bool {
+func allSee(f *fleet.Fleet, state member.State, of ...*fleet.Node) func() bool {
 	return func() bool {
-		return f.All(func(_ *fleet.Node, v member.View) bool {
+		return f.AllViews(func(_ *fleet.Node, v member.View) bool {
 			for _, n := range of {
 				e, ok := v.Find(n.Entry.ID.Name)
 				if !ok || e.State != state {
@@ -102,7 +102,7 @@
 }
 
 // runNotice measures the time until every entry has received a change.
-func runNotice(cfg Config, m *model, w io.Writer) error {
+func runNotice(cfg Config, m *messageSizes, w io.Writer) error {
 	one := &series{name: "an entry lost, s", digits: 2}
 	place := &series{name: "a place lost, s", digits: 2}
 	leave := &series{name: "an entry leaving, s", digits: 2}
@@ -111,7 +111,7 @@
 	for _, n := range cfg.Entries {
 		var times [5][]float64
 		for seed := range uint64(cfg.Seeds) {
-			for i, s := range notices(settled(m, n, seed)) {
+			for i, s := range propagationTimes(settledFleet(m, n, seed)) {
 				times[i] = append(times[i], s)
 			}
 		}
@@ -120,31 +120,31 @@
 		}
 	}
 	fmt.Fprintf(w, "virtual time, %d seeds; until the last entry knows; a lost entry gives no refusals\n\n", cfg.Seeds)
-	write(w, "entries", edit, leave, restart, one, place)
+	writeTable(w, "entries", edit, leave, restart, one, place)
 	return nil
 }
 
 // propagationTimes returns the seconds until every entry has received an edit, a
 // leaving entry, a restart, a lost entry and a lost failure domain, in this order.
-func notices(f *fleet.Fleet) (times [5]float64) {
+func propagationTimes(f *fleet.Fleet) (times [5]float64) {
 	nodes := f.Nodes
 	f.Handle(nodes[1], member.SetRevisions{Revisions: member.Revisions{Settings: 7}})
-	times[0] = f.RunUntil(limit, func() bool {
-		return f.All(func(n *fleet.Node, _ member.View) bool { return n.Marks.Settings == 7 })
+	times[0] = f.RunUntil(timeLimit, func() bool {
+		return f.AllViews(func(n *fleet.Node, _ member.View) bool { return n.Revisions.Settings == 7 })
 	}).Seconds()
 	f.Handle(nodes[2], member.Leave{})
-	times[1] = f.RunUntil(limit, known(f, member.Leaving, nodes[2])).Seconds()
+	times[1] = f.RunUntil(timeLimit, allSee(f, member.Leaving, nodes[2])).Seconds()
 	f.Lose(nodes[3])
 	f.Boot(nodes[3])
-	times[2] = f.RunUntil(limit, func() bool {
-		return f.All(func(_ *fleet.Node, v member.View) bool {
+	times[2] = f.RunUntil(timeLimit, func() bool {
+		return f.AllViews(func(_ *fleet.Node, v member.View) bool {
 			e, _ := v.Find(nodes[3].Entry.ID.Name)
 			return e.ID == nodes[3].Entry.ID && e.State == member.Alive
 		})
 	}).Seconds()
 	f.Run(20 * time.Second)
 	f.Lose(nodes[4])
-	times[3] = f.RunUntil(limit, known(f, member.Dead, nodes[4])).Seconds()
+	times[3] = f.RunUntil(timeLimit, allSee(f, member.Dead, nodes[4])).Seconds()
 	f.Run(20 * time.Second)
 	var lost []*fleet.Node
 	for _, n := range nodes {
@@ -153,13 +153,13 @@
 			lost = append(lost, n)
 		}
 	}
-	times[4] = f.RunUntil(limit, known(f, member.Dead, lost...)).Seconds()
+	times[4] = f.RunUntil(timeLimit, allSee(f, member.Dead, lost...)).Seconds()
 	return times
 }
 
 // runEvents measures the cost of one event per entry, above the cost without
 // events.
-func runEvents(cfg Config, m *model, w io.Writer) error {
+func runEvents(cfg Config, m *messageSizes, w io.Writer) error {
 	edit := &series{name: "an edit, B"}
 	restart := &series{name: "a restart, B"}
 	loss := &series{name: "an entry lost, B"}
@@ -167,29 +167,29 @@
 	mass := &series{name: "all restarted: mean of 30 s, B/s"}
 	worst := &series{name: "all restarted: worst entry, B/s"}
 	for _, n := range cfg.Entries {
-		f := settled(m, n, 3)
-		quiet := extra(f, 0, func() {})
-		edit.add(n, extra(f, quiet, func() { f.Handle(f.Nodes[1], member.SetRevisions{Revisions: member.Revisions{Settings: 9}}) }))
-		restart.add(n, extra(f, quiet, func() { f.Lose(f.Nodes[3]); f.Boot(f.Nodes[3]) }))
-		loss.add(n, extra(f, quiet, func() { f.Lose(f.Nodes[4]) }))
-		synced.add(n, extra(f, quiet, func() { markReady(f) }))
-		mark(f)
+		f := settledFleet(m, n, 3)
+		quiet := extraBytes(f, 0, func() {})
+		edit.add(n, extraBytes(f, quiet, func() { f.Handle(f.Nodes[1], member.SetRevisions{Revisions: member.Revisions{Settings: 9}}) }))
+		restart.add(n, extraBytes(f, quiet, func() { f.Lose(f.Nodes[3]); f.Boot(f.Nodes[3]) }))
+		loss.add(n, extraBytes(f, quiet, func() { f.Lose(f.Nodes[4]) }))
+		synced.add(n, extraBytes(f, quiet, func() { announceReady(f) }))
+		resetTraffic(f)
 		for _, n := range f.Nodes {
 			f.Lose(n)
 			f.Boot(n)
 		}
-		f.Run(window)
-		mass.add(n, since(f).mean/window.Seconds())
-		worst.add(n, since(f).worst/window.Seconds())
+		f.Run(eventWindow)
+		mass.add(n, trafficPerEntry(f).meanBytes/eventWindow.Seconds())
+		worst.add(n, trafficPerEntry(f).maxBytes/eventWindow.Seconds())
 	}
-	fmt.Fprintf(w, "virtual time; B in and out per entry beyond quiet over %v; an edit's answer holds %d B\n\n", window, m.fetch)
-	write(w, "entries", edit, restart, loss, synced, mass, worst)
+	fmt.Fprintf(w, "virtual time; B in and out per entry beyond quiet over %v; an edit's answer holds %d B\n\n", eventWindow, m.settingsBytes)
+	writeTable(w, "entries", edit, restart, loss, synced, mass, worst)
 	return nil
 }
 
 // announceReady makes every entry announce, spread over a second, that callers
 // may be sent to it.
-func markReady(f *fleet.Fleet) {
+func announceReady(f *fleet.Fleet) {
 	for _, n := range f.Nodes {
 		f.Handle(n, member.Ready{})
 		f.Run(time.Second / time.Duration(len(f.Nodes)))
@@ -197,49 +197,49 @@
 }
 
 // eventWindow is the time after an event in which its cost is counted.
-const window = 30 * time.Second
+const eventWindow = 30 * time.Second
 
 // extraBytes returns the mean bytes per entry in the window after an event, less
 // quiet, those in a window without events.
-func extra(f *fleet.Fleet, quiet float64, event func()) float64 {
-	mark(f)
+func extraBytes(f *fleet.Fleet, quiet float64, event func()) float64 {
+	resetTraffic(f)
 	event()
-	f.Run(window)
-	return since(f).mean - quiet
+	f.Run(eventWindow)
+	return trafficPerEntry(f).meanBytes - quiet
 }
 
-// runApart partitions one region from the others and measures the time and the
+// runPartition partitions one region from the others and measures the time and the
 // traffic until all entries agree after the partition ends.
-func runApart(cfg Config, m *model, w io.Writer) error {
+func runPartition(cfg Config, m *messageSizes, w io.Writer) error {
 	merged := &series{name: "agreement after the return, s", digits: 1}
 	edit := &series{name: "newest settings after the return, s", digits: 1}
 	mean := &series{name: "30 s after the return, B/s"}
 	worst := &series{name: "the same, worst entry, B/s"}
 	for _, n := range cfg.Entries {
-		if _, regions := site(n); regions < 2 {
+		if _, regions := topology(n); regions < 2 {
 			continue
 		}
-		f := settled(m, n, 5)
+		f := settledFleet(m, n, 5)
 		partitioned := func(n *fleet.Node) bool { return n.Entry.Region == "region-0" }
-		f.Cut(func(a, b *fleet.Node) bool { return partitioned(a) != partitioned(b) })
-		f.Run(cfg.Apart)
+		f.Partition(func(a, b *fleet.Node) bool { return partitioned(a) != partitioned(b) })
+		f.Run(cfg.PartitionTime)
 		f.Handle(f.Nodes[1], member.SetRevisions{Revisions: member.Revisions{Settings: 11}})
-		f.Run(window)
-		mark(f)
-		f.Cut(nil)
+		f.Run(eventWindow)
+		resetTraffic(f)
+		f.Partition(nil)
 		start := f.Now()
-		took := f.RunUntil(limit, func() bool {
-			return f.All(func(n *fleet.Node, _ member.View) bool { return n.Marks.Settings == 11 })
+		took := f.RunUntil(timeLimit, func() bool {
+			return f.AllViews(func(n *fleet.Node, _ member.View) bool { return n.Revisions.Settings == 11 })
 		})
 		edit.add(n, took.Seconds())
-		f.RunUntil(limit, f.Agreed)
+		f.RunUntil(timeLimit, f.Converged)
 		merged.add(n, f.Now().Sub(start).Seconds())
-		f.Run(max(window-f.Now().Sub(start), 0))
+		f.Run(max(eventWindow-f.Now().Sub(start), 0))
 		secs := f.Now().Sub(start).Seconds()
-		mean.add(n, since(f).mean/secs)
-		worst.add(n, since(f).worst/secs)
+		mean.add(n, trafficPerEntry(f).meanBytes/secs)
+		worst.add(n, trafficPerEntry(f).maxBytes/secs)
 	}
-	fmt.Fprintf(w, "virtual time; one of four regions apart for %v\n\n", cfg.Apart)
-	write(w, "entries", edit, merged, mean, worst)
+	fmt.Fprintf(w, "virtual time; one of four regions apart for %v\n\n", cfg.PartitionTime)
+	writeTable(w, "entries", edit, merged, mean, worst)
 	return nil
 }
--- a/internal/lab/capacity/loopback.go
+++ b/internal/lab/capacity/loopback.go
@@ -29,25 +29,25 @@
 
 // runLoopback runs the control planes of many entries in this process in real
 // time over loopback TCP.
-func runLoopback(cfg Config, _ *model, w io.Writer) error {
+func runLoopback(cfg Config, _ *messageSizes, w io.Writer) error {
 	bytes := &series{name: "bytes in and out, B/s"}
 	cpu := &series{name: "processor time, us/s"}
 	mem := &series{name: "heap and stacks, KB"}
 	joined := &series{name: "all started until all agree, s", digits: 2}
 	notice := &series{name: "one stopped until all know, s", digits: 2}
 	for _, n := range cfg.Loopback {
-		if err := loopback(cfg, n, bytes, cpu, mem, joined, notice); err != nil {
+		if err := measureLoopback(cfg, n, bytes, cpu, mem, joined, notice); err != nil {
 			return errors.WithMessagef(err, "%d entries", n)
 		}
 	}
-	fmt.Fprintf(w, "loopback TCP, %v of quiet; per entry; TCP and IP headers are not counted; a stopped entry refuses connections\n\n", cfg.Quiet)
-	write(w, "entries", bytes, cpu, mem, joined, notice)
+	fmt.Fprintf(w, "loopback TCP, %v of quiet; per entry; TCP and IP headers are not counted; a stopped entry refuses connections\n\n", cfg.QuietTime)
+	writeTable(w, "entries", bytes, cpu, mem, joined, notice)
 	return nil
 }
 
 // measureLoopback adds the values of n entries to the series.
-func loopback(cfg Config, n int, bytes, cpu, mem, joined, notice *series) error {
-	before := footprint()
+func measureLoopback(cfg Config, n int, bytes, cpu, mem, joined, notice *series) error {
+	before := heapAndStacks()
 	entries, err := startAll(n)
 	defer func() {
 		for _, e := range entries {
@@ -57,36 +57,36 @@
 	if err != nil {
 		return err
 	}
-	took, err := await(time.Minute, func() bool { return serving(entries) == n })
+	took, err := waitUntil(time.Minute, func() bool { return agreedServing(entries) == n })
 	if err != nil {
 		return errors.WithMessage(err, "agreement")
 	}
 	joined.add(n, took.Seconds())
-	time.Sleep(cfg.Settle)
+	time.Sleep(cfg.SettleTime)
 
-	startBytes, startCPU := traffics(entries), processor()
-	time.Sleep(cfg.Quiet)
-	secs, k := cfg.Quiet.Seconds(), float64(n)
-	cpu.add(n, float64((processor()-startCPU).Microseconds())/secs/k)
-	bytes.add(n, float64(traffics(entries)-startBytes)/secs/k)
-	mem.add(n, (footprint()-before)/k/1024)
+	startBytes, startCPU := totalBytes(entries), cpuTime()
+	time.Sleep(cfg.QuietTime)
+	secs, k := cfg.QuietTime.Seconds(), float64(n)
+	cpu.add(n, float64((cpuTime()-startCPU).Microseconds())/secs/k)
+	bytes.add(n, float64(totalBytes(entries)-startBytes)/secs/k)
+	mem.add(n, (heapAndStacks()-before)/k/1024)
 
 	entries[n/2].stop()
 	rest := append(append([]*entry{}, entries[:n/2]...), entries[n/2+1:]...)
-	took, err = await(time.Minute, func() bool { return serving(rest) == n-1 })
+	took, err = waitUntil(time.Minute, func() bool { return agreedServing(rest) == n-1 })
 	notice.add(n, took.Seconds())
 	return errors.WithMessage(err, "notice")
 }
 
 func startAll(n int) (entries []*entry, err error) {
-	places, regions := site(n)
+	places, regions := topology(n)
 	var seeds []string
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return entries, err
 		}
-		self := sample(i)
+		self := sampleEntry(i)
 		self.PeerAddress = l.Addr().String()
 		self.Place, self.Region = fmt.Sprintf("place-%02d", i%places), fmt.Sprintf("region-%d", i%places%regions)
 		if i < 3 {
@@ -120,7 +120,7 @@
 
 // agreedServing returns the number of serving entries of the first view, or 0
 // unless every view has the same number of entries alive.
-func serving(entries []*entry) int {
+func agreedServing(entries []*entry) int {
 	n := len(entries[0].members.Serving())
 	for _, e := range entries {
 		alive := 0
@@ -136,7 +136,7 @@
 	return n
 }
 
-func traffics(entries []*entry) (total int64) {
+func totalBytes(entries []*entry) (total int64) {
 	for _, e := range entries {
 		total += e.counters.ConnIn.Load() + e.counters.ConnOut.Load()
 	}
@@ -144,7 +144,7 @@
 }
 
 // heapAndStacks returns the bytes of the heap and the stacks of this process.
-func footprint() float64 {
+func heapAndStacks() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -152,7 +152,7 @@
 }
 
 // waitUntil polls a condition until it holds and returns the time that passed.
-func await(timeout time.Duration, ok func() bool) (took time.Duration, err error) {
+func waitUntil(timeout time.Duration, ok func() bool) (took time.Duration, err error) {
 	const pollInterval = 20 * time.Millisecond
 	start := time.Now()
 	for !ok() {
--- a/internal/lab/capacity/memory.go
+++ b/internal/lab/capacity/memory.go
@@ -15,19 +15,19 @@
 	"plumpitch.example/plumpitch/pkg/tree"
 )
 
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var baseTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // retainedHeap returns the bytes of heap that the result of build retains.
-func heapOf(build func() any) float64 {
-	before := heap()
+func retainedHeap(build func() any) float64 {
+	before := liveHeap()
 	result := build()
-	used := heap() - before
+	used := liveHeap() - before
 	runtime.KeepAlive(result)
 	return used
 }
 
 // liveHeap returns the bytes of heap in use after two garbage collections.
-func heap() float64 {
+func liveHeap() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -37,91 +37,91 @@
 
 // newDocument returns settings with a number of services, each of which overrides
 // three values, and with the edits that created them.
-func document(services int) (d tree.Document, err error) {
+func newDocument(services int) (d tree.Document, err error) {
 	d = tree.New()
-	d, _, err = d.Apply(edit(d, tree.Change{Op: tree.Create, Path: "/site", Kind: tree.GroupKind}), epoch)
+	d, _, err = d.Apply(nextEdit(d, tree.Change{Op: tree.Create, Path: "/site", Kind: tree.GroupKind}), baseTime)
 	for i := range services {
 		if err != nil {
 			return d, err
 		}
 		path := fmt.Sprintf("/site/service-%03d", i)
-		d, _, err = d.Apply(edit(d,
+		d, _, err = d.Apply(nextEdit(d,
 			tree.Change{Op: tree.Create, Path: path, Kind: tree.ServiceKind},
 			tree.Change{Op: tree.Set, Path: path, Field: "timeout", Value: "900ms"},
 			tree.Change{Op: tree.Set, Path: path, Field: "attempts", Value: "4"},
 			tree.Change{Op: tree.Set, Path: path, Field: "hedge", Value: "true"},
-		), epoch)
+		), baseTime)
 	}
 	return d, err
 }
 
 // nextEdit returns an edit that is based on the document's revision.
-func edit(d tree.Document, changes ...tree.Change) tree.Edit {
+func nextEdit(d tree.Document, changes ...tree.Change) tree.Edit {
 	id := fmt.Sprintf("018bcfe5-6800-7000-8000-%012x", d.Revision)
 	return tree.Edit{ID: id, Author: "operator@site", Base: d.Revision, Changes: changes}
 }
 
 // runSettings measures the encoded size of the settings: a whole document, and a
 // response with one edit.
-func runSettings(_ Config, m *model, w io.Writer) error {
+func runSettings(_ Config, m *messageSizes, w io.Writer) error {
 	whole := &series{name: "whole document, B"}
 	one := &series{name: "answer with one edit, B"}
 	for _, n := range []int{7, 30, 60, 110, 220} {
-		d, err := document(n)
+		d, err := newDocument(n)
 		if err != nil {
 			return err
 		}
-		d, e, err := d.Apply(edit(d, tree.Change{Op: tree.Set, Path: "/site/service-003", Field: "timeout", Value: "800ms"}), epoch)
+		d, e, err := d.Apply(nextEdit(d, tree.Change{Op: tree.Set, Path: "/site/service-003", Field: "timeout", Value: "800ms"}), baseTime)
 		if err != nil {
 			return err
 		}
 		whole.add(n, float64(len(tree.Encode(d))))
 		response := &wire.SettingsReply{Revision: d.Revision, Edits: [][]byte{tree.EncodeEdit(e)}}
-		m.fetch = proto.Size(response)
-		one.add(n, float64(m.fetch))
+		m.settingsBytes = proto.Size(response)
+		one.add(n, float64(m.settingsBytes))
 	}
-	write(w, "services", whole, one)
+	writeTable(w, "services", whole, one)
 	return nil
 }
 
 // runMemory measures the heap of an entry's main data structures.
-func runMemory(_ Config, _ *model, w io.Writer) error {
+func runMemory(_ Config, _ *messageSizes, w io.Writer) error {
 	members := &series{name: "pkg/member Table and view, B"}
 	for _, n := range []int{14, 50, 100, 200, 300} {
-		members.add(n, heapOf(func() any { return table(n) }))
+		members.add(n, retainedHeap(func() any { return memberTable(n) }))
 	}
-	write(w, "entries", members)
+	writeTable(w, "entries", members)
 	fmt.Fprintln(w)
 
 	pools := &series{name: "pkg/pool, 18 workers a service, B"}
 	for _, n := range []int{180, 500, 1000, 2000, 4000} {
-		pools.add(n, heapOf(func() any { return poolsOf(n) }))
+		pools.add(n, retainedHeap(func() any { return newPools(n) }))
 	}
-	write(w, "workers", pools)
+	writeTable(w, "workers", pools)
 	fmt.Fprintln(w)
 
 	trees := &series{name: "pkg/tree Document, B"}
 	for _, n := range []int{7, 30, 60, 110, 220} {
-		trees.add(n, heapOf(func() any { d, _ := document(n); return d }))
+		trees.add(n, retainedHeap(func() any { d, _ := newDocument(n); return d }))
 	}
-	write(w, "services", trees)
+	writeTable(w, "services", trees)
 	return nil
 }
 
 // memberTable returns a membership table with its view.
-func table(entries int) any {
-	t := member.New(member.Config{Self: sample(0), Rand: rand.New(rand.NewPCG(1, 1))})
+func memberTable(entries int) any {
+	t := member.New(member.Config{Self: sampleEntry(0), Rand: rand.New(rand.NewPCG(1, 1))})
 	var all []member.Entry
 	for i := 1; i < entries; i++ {
-		all = append(all, sample(i))
+		all = append(all, sampleEntry(i))
 	}
-	t.Handle(epoch, member.Request{Message: member.Message{From: sample(1).ID, Entries: all}})
+	t.Handle(baseTime, member.Request{Message: member.Message{From: sampleEntry(1).ID, Entries: all}})
 	v := t.View()
 	return []any{t, &v}
 }
 
 // newPools returns a pool for every 18 workers.
-func poolsOf(workers int) any {
+func newPools(workers int) any {
 	const perService = 18
 	var pools []any
 	for done := 0; done < workers; done += perService {
@@ -136,7 +136,7 @@
 				Addr: fmt.Sprintf("10.2.%d.%d:9000", (done+i)/250, (done+i)%250),
 			})
 		}
-		c.SetTargets(epoch, targets, nil)
+		c.SetTargets(baseTime, targets, nil)
 		pools = append(pools, c)
 	}
 	return pools
--- a/internal/lab/capacity/processes_test.go
+++ b/internal/lab/capacity/processes_test.go
@@ -28,15 +28,15 @@
 
 // process is an entry that runs as a separate process.
 type process struct {
-	cmd                         *exec.Cmd
-	callers, operators, peering string // addresses
+	cmd                       *exec.Cmd
+	callers, operators, peers string // addresses
 }
 
 // usage is the total usage of a process since its start.
 type usage struct {
-	peers    float64 // bytes in and out, HTTP included
-	cpu      float64
-	resident float64
+	peerBytes  float64 // bytes in and out, HTTP included
+	cpuSeconds float64
+	residentMB float64
 }
 
 // BenchmarkProcesses measures idle entries that run as separate processes on
@@ -59,14 +59,14 @@
 func measureProcesses(b *testing.B, program string, n int) {
 	const settle, quiet = 20 * time.Second, 20 * time.Second
 	c := qt.New(b)
-	platformURL := standins(c)
+	platformURL := startPlatform(c)
 	var entries []process
 	var seeds []string
 	for i := range n {
 		p := startProcess(c, program, platformURL, i, seeds)
 		entries = append(entries, p)
 		if i < 3 {
-			seeds = append(seeds, p.peering)
+			seeds = append(seeds, p.peers)
 		}
 	}
 	time.Sleep(settle)
@@ -79,31 +79,31 @@
 	var peers, cpu, resident []float64
 	for i, p := range entries {
 		u, secs := p.usage(c), time.Since(start).Seconds()
-		peers = append(peers, (u.peers-before[i].peers)/secs)
-		cpu = append(cpu, (u.cpu-before[i].cpu)/secs*100)
-		resident = append(resident, u.resident)
+		peers = append(peers, (u.peerBytes-before[i].peerBytes)/secs)
+		cpu = append(cpu, (u.cpuSeconds-before[i].cpuSeconds)/secs*100)
+		resident = append(resident, u.residentMB)
 	}
-	report(b, "peerB/s", peers)
-	report(b, "cpu%", cpu)
-	report(b, "residentMB", resident)
+	reportMetric(b, "peerB/s", peers)
+	reportMetric(b, "cpu%", cpu)
+	reportMetric(b, "residentMB", resident)
 	for _, p := range entries {
 		p.cmd.Process.Kill()
 		p.cmd.Wait()
 	}
 }
 
-func report(b *testing.B, unit string, v []float64) {
+func reportMetric(b *testing.B, unit string, v []float64) {
 	b.ReportMetric(median(v), unit)
 	b.ReportMetric(slices.Max(v), unit+"-max")
 }
 
 // startPlatform starts a fake platform and its fake workers, and returns the
 // platform's URL.
-func standins(c *qt.C) string {
+func startPlatform(c *qt.C) string {
 	p := platform.New(platform.Config{})
 	srv := httptest.NewServer(p)
 	c.Cleanup(srv.Close)
-	d, err := document(7)
+	d, err := newDocument(7)
 	c.Assert(err, qt.IsNil)
 	s := store.New(store.Config{Addr: srv.URL})
 	_, err = s.Put(context.Background(), "settings", "tree", 0, tree.Encode(d))
@@ -139,7 +139,7 @@
 		c.Assert(lines.Scan(), qt.IsTrue, qt.Commentf("entry %d printed no address", i))
 		return lines.Text()
 	}
-	return process{cmd: cmd, callers: nextLine(), operators: nextLine(), peering: nextLine()}
+	return process{cmd: cmd, callers: nextLine(), operators: nextLine(), peers: nextLine()}
 }
 
 var wireBytes = regexp.MustCompile(`(?m)^plumpitch_peer_wire_bytes\S* (\S+)$`)
@@ -152,31 +152,31 @@
 	c.Assert(err, qt.IsNil)
 	m := wireBytes.FindSubmatch(text)
 	c.Assert(m, qt.IsNotNil)
-	return usage{peers: number(c, string(m[1])), cpu: p.cpu(c), resident: p.resident(c)}
+	return usage{peerBytes: parseNumber(c, string(m[1])), cpuSeconds: p.cpu(c), residentMB: p.resident(c)}
 }
 
 // cpu returns the CPU time in seconds: utime and stime of /proc/PID/stat, whose
 // fields are counted after the command in parentheses.
 func (p process) cpu(c *qt.C) float64 {
 	const ticksPerSecond = 100 // clock ticks per second, the same on every Linux
-	stat := p.proc(c, "stat")
+	stat := p.readProc(c, "stat")
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
-	return (number(c, fields[11]) + number(c, fields[12])) / ticksPerSecond
+	return (parseNumber(c, fields[11]) + parseNumber(c, fields[12])) / ticksPerSecond
 }
 
 // resident returns the resident memory in MB.
 func (p process) resident(c *qt.C) float64 {
-	_, rest, _ := strings.Cut(p.proc(c, "status"), "VmRSS:")
-	return number(c, strings.Fields(rest)[0]) / 1024
+	_, rest, _ := strings.Cut(p.readProc(c, "status"), "VmRSS:")
+	return parseNumber(c, strings.Fields(rest)[0]) / 1024
 }
 
-func (p process) proc(c *qt.C, name string) string {
+func (p process) readProc(c *qt.C, name string) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", p.cmd.Process.Pid, name))
 	c.Assert(err, qt.IsNil)
 	return string(text)
 }
 
-func number(c *qt.C, s string) float64 {
+func parseNumber(c *qt.C, s string) float64 {
 	f, err := strconv.ParseFloat(s, 64)
 	c.Assert(err, qt.IsNil)
 	return f
--- a/internal/lab/capacity/series.go
+++ b/internal/lab/capacity/series.go
@@ -16,12 +16,12 @@
 type series struct {
 	name   string // with its unit
 	digits int    // decimals to print
-	x      []float64
+	sizes  []float64
 	runs   [][]float64
 }
 
 func (s *series) add(x int, runs ...float64) {
-	s.x = append(s.x, float64(x))
+	s.sizes = append(s.sizes, float64(x))
 	s.runs = append(s.runs, runs)
 }
 
@@ -38,8 +38,8 @@
 	for _, r := range s.runs {
 		y = append(y, median(r))
 	}
-	at0, slope = stat.LinearRegression(s.x, y, nil, false)
-	for i, x := range s.x {
+	at0, slope = stat.LinearRegression(s.sizes, y, nil, false)
+	for i, x := range s.sizes {
 		maxDeviation = max(maxDeviation, math.Abs(y[i]-at0-slope*x))
 	}
 	return at0, slope, maxDeviation
@@ -58,16 +58,16 @@
 
 // writeTable prints series with the same sizes as one table: the median and the
 // range of the runs, and the regression line through the medians.
-func write(w io.Writer, size string, all ...*series) {
+func writeTable(w io.Writer, size string, all ...*series) {
 	t := newTable(w)
 	header := []string{size}
-	for _, x := range all[0].x {
+	for _, x := range all[0].sizes {
 		header = append(header, fmt.Sprint(x))
 	}
 	t.SetHeader(append(header, "at 0", "slope", "off by"))
 	for _, s := range all {
 		line := []string{s.name}
-		for i := range s.x {
+		for i := range s.sizes {
 			line = append(line, s.cell(i))
 		}
 		at0, slope, maxDeviation := s.fit()
--- a/internal/lab/capacity/store.go
+++ b/internal/lab/capacity/store.go
@@ -17,9 +17,9 @@
 )
 
 // countingTransport counts the bytes of responses, including their headers.
-type counted struct{ bytes int }
+type countingTransport struct{ bytes int }
 
-func (c *counted) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	res, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		return nil, err
@@ -27,28 +27,28 @@
 	var header bytes.Buffer
 	_ = res.Header.Write(&header)
 	c.bytes += header.Len()
-	res.Body = &countedBody{res.Body, c}
+	res.Body = &countingBody{res.Body, c}
 	return res, nil
 }
 
-type countedBody struct {
+type countingBody struct {
 	io.ReadCloser
-	counted *counted
+	transport *countingTransport
 }
 
-func (b *countedBody) Read(p []byte) (int, error) {
+func (b *countingBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.counted.bytes += n
+	b.transport.bytes += n
 	return n, err
 }
 
 // readRepeats is the number of times that each read is made.
-const times = 20
+const readRepeats = 20
 
 // runStore measures the reads that an entry makes periodically, of the VM list
 // and of the settings: a full read, and a read that finds no change since the
 // previous one. The CPU time is the sum of the client and the fake platform.
-func runStore(_ Config, _ *model, w io.Writer) error {
+func runStore(_ Config, _ *messageSizes, w io.Writer) error {
 	vms := func(ctx context.Context, s *store.Client) error {
 		_, err := s.VMs(ctx)
 		return err
@@ -57,19 +57,19 @@
 		_, err := s.Get(ctx, "settings", "tree")
 		return err
 	}
-	err := storeTable(w, "VM list", "workers", []int{30, 500, 1000, 2000}, func(n int) (reads, error) {
+	err := writeReadCosts(w, "VM list", "workers", []int{30, 500, 1000, 2000}, func(n int) (readCosts, error) {
 		return measureReads(n, 0, vms)
 	})
 	if err != nil {
 		return err
 	}
 	fmt.Fprintln(w)
-	return storeTable(w, "settings/tree", "services", []int{7, 30, 60, 110}, func(n int) (reads, error) {
+	return writeReadCosts(w, "settings/tree", "services", []int{7, 30, 60, 110}, func(n int) (readCosts, error) {
 		return measureReads(0, n, get)
 	})
 }
 
-func storeTable(w io.Writer, what, unit string, sizes []int, measure func(n int) (reads, error)) error {
+func writeReadCosts(w io.Writer, what, unit string, sizes []int, measure func(n int) (readCosts, error)) error {
 	whole := &series{name: what + ", B a whole read"}
 	wholeTime := &series{name: what + ", us a whole read, both ends"}
 	same := &series{name: what + ", B an unchanged read"}
@@ -79,18 +79,18 @@
 		if err != nil {
 			return err
 		}
-		whole.add(n, r.whole.bytes)
-		wholeTime.add(n, r.whole.micros)
+		whole.add(n, r.full.bytes)
+		wholeTime.add(n, r.full.micros)
 		same.add(n, r.unchanged.bytes)
 		sameTime.add(n, r.unchanged.micros)
 	}
-	write(w, unit, whole, wholeTime, same, sameTime)
+	writeTable(w, unit, whole, wholeTime, same, sameTime)
 	return nil
 }
 
 // readCosts holds the cost of a full read and of a read that finds no change.
-type reads struct {
-	whole     readCost
+type readCosts struct {
+	full      readCost
 	unchanged readCost
 }
 
@@ -102,52 +102,52 @@
 // measureReads measures a read at a platform with a number of workers and of
 // services in the settings. The client of the unchanged reads has nothing cached
 // at its first read, so the cost of a full read is subtracted.
-func measureReads(workers, services int, read func(context.Context, *store.Client) error) (r reads, err error) {
+func measureReads(workers, services int, read func(context.Context, *store.Client) error) (r readCosts, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	srv := httptest.NewServer(filled(workers))
+	srv := httptest.NewServer(platformWithVMs(workers))
 	defer srv.Close()
 	if services > 0 {
-		if err := putTree(ctx, srv.URL, services); err != nil {
+		if err := storeSettings(ctx, srv.URL, services); err != nil {
 			return r, err
 		}
 	}
-	r.whole, err = costOf(srv.URL, func(c func() *store.Client) error { return read(ctx, c()) })
+	r.full, err = meanCost(srv.URL, func(c func() *store.Client) error { return read(ctx, c()) })
 	if err != nil {
 		return r, err
 	}
 	var shared *store.Client
-	r.unchanged, err = costOf(srv.URL, func(c func() *store.Client) error {
+	r.unchanged, err = meanCost(srv.URL, func(c func() *store.Client) error {
 		if shared == nil {
 			shared = c()
 			return read(ctx, shared)
 		}
 		return read(ctx, shared)
 	})
-	r.unchanged.bytes = (r.unchanged.bytes*times - r.whole.bytes) / (times - 1)
-	r.unchanged.micros = (r.unchanged.micros*times - r.whole.micros) / (times - 1)
+	r.unchanged.bytes = (r.unchanged.bytes*readRepeats - r.full.bytes) / (readRepeats - 1)
+	r.unchanged.micros = (r.unchanged.micros*readRepeats - r.full.micros) / (readRepeats - 1)
 	return r, err
 }
 
 // meanCost returns the mean cost of a step, which gets a function that creates
 // clients.
-func costOf(url string, step func(client func() *store.Client) error) (cost readCost, err error) {
-	c := &counted{}
+func meanCost(url string, step func(client func() *store.Client) error) (cost readCost, err error) {
+	c := &countingTransport{}
 	client := func() *store.Client {
 		return store.New(store.Config{Addr: url, HTTP: &http.Client{Transport: c}, Reads: rate.NewLimiter(rate.Inf, 1)})
 	}
-	start := processor()
-	for range times {
+	start := cpuTime()
+	for range readRepeats {
 		if err := step(client); err != nil {
 			return cost, err
 		}
 	}
-	spent := processor() - start
-	return readCost{float64(c.bytes) / times, float64(spent.Microseconds()) / times}, nil
+	spent := cpuTime() - start
+	return readCost{float64(c.bytes) / readRepeats, float64(spent.Microseconds()) / readRepeats}, nil
 }
 
 // platformWithVMs returns a fake platform that lists a number of workers.
-func filled(workers int) *platform.Platform {
+func platformWithVMs(workers int) *platform.Platform {
 	p := platform.New(platform.Config{})
 	for i := range workers {
 		p.PutVM(platform.VM{
@@ -159,8 +159,8 @@
 }
 
 // storeSettings writes settings with a number of services to the store.
-func putTree(ctx context.Context, url string, services int) error {
-	d, err := document(services)
+func storeSettings(ctx context.Context, url string, services int) error {
+	d, err := newDocument(services)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -14,25 +14,25 @@
 
 // Config configures a Fleet.
 type Config struct {
-	Entries  int
-	Places   int           // failure domains, assigned to the regions in turn
-	Regions  int           // at least 1
-	Seed     uint64        // seed of all random numbers
-	Near     time.Duration // one-way delay within a region; 0 means 0.5 ms
-	Far      time.Duration // one-way delay between regions; 0 means 40 ms
-	Overhead int           // bytes of HTTP added to each message in either direction
-	Fetch    int           // bytes of the response to a pull of the settings
-	Member   member.Config // periods and timeouts; Boot sets Self and Rand and adds to Seeds
+	Entries       int
+	Places        int           // failure domains, assigned to the regions in turn
+	Regions       int           // at least 1
+	Seed          uint64        // seed of all random numbers
+	NearDelay     time.Duration // one-way delay within a region; 0 means 0.5 ms
+	FarDelay      time.Duration // one-way delay between regions; 0 means 40 ms
+	HTTPOverhead  int           // bytes of HTTP added to each message in either direction
+	SettingsBytes int           // bytes of the response to a pull of the settings
+	Member        member.Config // periods and timeouts; Boot sets Self and Rand and adds to Seeds
 }
 
 // Fleet is a set of entries and the network between them.
 type Fleet struct {
-	cfg   Config
-	now   time.Time
-	queue queue
-	seq   uint64
-	cut   func(a, b *Node) bool
-	Nodes []*Node
+	cfg       Config
+	now       time.Time
+	queue     queue
+	nextSeq   uint64
+	separated func(a, b *Node) bool
+	Nodes     []*Node
 
 	byPeer map[string]*Node
 }
@@ -42,27 +42,27 @@
 	Entry      member.Entry
 	Table      *member.Table
 	View       member.View // at its last change
-	Marks      member.Revisions
+	Revisions  member.Revisions
 	Traffic    Traffic
-	Learned    member.Rumours
+	Rumours    member.Rumours
 	Superseded int // number of member.Superseded actions
 
-	index   int
-	up      bool
-	paused  bool
-	backlog []member.Event // events received while paused
-	fetches bool           // a pull of settings is in progress
-	wake    uint64         // number of the latest scheduled tick; earlier ones are ignored
+	index    int
+	up       bool
+	paused   bool
+	backlog  []member.Event // events received while paused
+	pulling  bool           // a pull of settings is in progress
+	lastTick uint64         // number of the latest scheduled tick; earlier ones are ignored
 }
 
 // Traffic counts what a node sent and received, including HTTP, and the time
 // that its decisions and codecs took.
 type Traffic struct {
-	Messages int // sent
-	In       int64
-	Out      int64
-	Busy     time.Duration
-	Largest  int // bytes of the largest message sent, without HTTP
+	Messages     int // sent
+	BytesIn      int64
+	BytesOut     int64
+	HandlingTime time.Duration
+	LargestBody  int // bytes of the largest message sent, without HTTP
 }
 
 // Start is the virtual time at which every fleet starts.
@@ -70,13 +70,13 @@
 
 // New returns a fleet whose entries are all down.
 func New(cfg Config) *Fleet {
-	if cfg.Near == 0 {
-		cfg.Near = 500 * time.Microsecond
+	if cfg.NearDelay == 0 {
+		cfg.NearDelay = 500 * time.Microsecond
 	}
-	if cfg.Far == 0 {
-		cfg.Far = 40 * time.Millisecond
+	if cfg.FarDelay == 0 {
+		cfg.FarDelay = 40 * time.Millisecond
 	}
-	f := &Fleet{cfg: cfg, now: Start, cut: func(_, _ *Node) bool { return false }, byPeer: make(map[string]*Node)}
+	f := &Fleet{cfg: cfg, now: Start, separated: func(_, _ *Node) bool { return false }, byPeer: make(map[string]*Node)}
 	for i := range cfg.Entries {
 		place := i % cfg.Places
 		f.Nodes = append(f.Nodes, &Node{index: i, Entry: member.Entry{
@@ -109,10 +109,10 @@
 	}
 	n.Table = member.New(cfg)
 	n.View = n.Table.View()
-	n.up, n.paused, n.backlog, n.fetches = true, false, nil, false
-	n.Marks, n.Learned = member.Revisions{}, member.Rumours{}
+	n.up, n.paused, n.backlog, n.pulling = true, false, nil, false
+	n.Revisions, n.Rumours = member.Revisions{}, member.Rumours{}
 	jitter := time.Duration(cfg.Rand.Float64() * float64(time.Second))
-	f.tickAt(n, f.now.Add(jitter))
+	f.scheduleTick(n, f.now.Add(jitter))
 }
 
 // BootAll starts every entry.
@@ -135,26 +135,26 @@
 	queued := n.backlog
 	n.backlog = nil
 	for _, ev := range queued {
-		f.handle(n, ev)
+		f.deliver(n, ev)
 	}
-	f.tickAt(n, f.now)
+	f.scheduleTick(n, f.now)
 }
 
 // Partition drops all messages between the pairs of entries for which separated
 // returns true. Nil ends the partition.
-func (f *Fleet) Cut(separated func(a, b *Node) bool) {
+func (f *Fleet) Partition(separated func(a, b *Node) bool) {
 	if separated == nil {
 		separated = func(_, _ *Node) bool { return false }
 	}
-	f.cut = separated
+	f.separated = separated
 }
 
 // Handle delivers an event to an entry at the current virtual time.
 func (f *Fleet) Handle(n *Node, ev member.Event) {
 	if r, ok := ev.(member.SetRevisions); ok {
-		n.Marks = r.Revisions
+		n.Revisions = r.Revisions
 	}
-	f.handle(n, ev)
+	f.deliver(n, ev)
 }
 
 // Run advances the virtual time by d.
@@ -179,16 +179,16 @@
 // advance runs the scheduled calls up to a virtual time.
 func (f *Fleet) advance(to time.Time) {
 	for len(f.queue) > 0 && !f.queue[0].at.After(to) {
-		call := heap.Pop(&f.queue).(*timed)
+		call := heap.Pop(&f.queue).(*scheduledCall)
 		f.now = call.at
-		call.do()
+		call.run()
 	}
 	f.now = to
 }
 
 // AllViews reports whether ok holds for the view of every entry that is up and
 // not paused.
-func (f *Fleet) All(ok func(*Node, member.View) bool) bool {
+func (f *Fleet) AllViews(ok func(*Node, member.View) bool) bool {
 	for _, n := range f.Nodes {
 		if n.up && !n.paused && !ok(n, n.View) {
 			return false
@@ -200,14 +200,14 @@
 // Converged reports whether the views of all running entries, those that are up
 // and not paused, have the same digest and show as many entries, neither suspect
 // nor gone, as are running.
-func (f *Fleet) Agreed() bool {
+func (f *Fleet) Converged() bool {
 	up, digest := 0, f.digest()
 	for _, n := range f.Nodes {
 		if n.up && !n.paused {
 			up++
 		}
 	}
-	return f.All(func(_ *Node, v member.View) bool {
+	return f.AllViews(func(_ *Node, v member.View) bool {
 		alive := 0
 		for _, e := range v.Entries {
 			if !e.State.Gone() && e.State != member.Suspect {
@@ -229,17 +229,17 @@
 }
 
 // scheduledCall is a call at a virtual time.
-type timed struct {
+type scheduledCall struct {
 	at  time.Time
 	seq uint64
-	do  func()
+	run func()
 }
 
-type queue []*timed
+type queue []*scheduledCall
 
 func (q queue) Len() int      { return len(q) }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(*timed)) }
+func (q *queue) Push(x any)   { *q = append(*q, x.(*scheduledCall)) }
 
 func (q queue) Less(i, j int) bool {
 	if q[i].at.Equal(q[j].at) {
@@ -257,7 +257,7 @@
 
 // schedule adds a call at a virtual time. Calls at the same time run in the order
 // in which they were added.
-func (f *Fleet) at(t time.Time, run func()) {
-	f.seq++
-	heap.Push(&f.queue, &timed{at: t, seq: f.seq, do: run})
+func (f *Fleet) schedule(t time.Time, run func()) {
+	f.nextSeq++
+	heap.Push(&f.queue, &scheduledCall{at: t, seq: f.nextSeq, run: run})
 }
--- a/internal/lab/pace/busy_test.go
+++ b/internal/lab/pace/busy_test.go
@@ -20,8 +20,8 @@
 		score := 0.0
 		const seeds = 4
 		for seed := range uint64(seeds) {
-			st := run(s, way{meets: atTwo, build: asking(s.Slots, 0)}, tt.load, 4*time.Second, seed+1)
-			score += st.worth(s) / seeds
+			st := run(s, policy{chooseEntry: firstTwoEntries, newChooser: balancerWith(s.Slots, 0)}, tt.load, 4*time.Second, seed+1)
+			score += st.score(s) / seeds
 		}
 		qt.Check(t, score > tt.minScore, qt.IsTrue, qt.Commentf("%.3f at %.0f %% of the capacity", score, 100*tt.load))
 	}
@@ -29,14 +29,14 @@
 
 // At full capacity with many targets, four probes per request give a higher score than
 // two, because of two targets often none is idle. The score includes the probes' cost.
-func TestQuestionsPayInABurst(t *testing.T) {
+func TestMoreProbesHelpAtFullCapacity(t *testing.T) {
 	s := Booking()
 	s.Targets = 60
 	score := func(probes int) (sum float64) {
 		const seeds = 5
 		for seed := range uint64(seeds) {
-			st := run(s, way{meets: atTwo, build: asking(s.Slots, probes)}, 1, 5*time.Second, seed+1)
-			sum += st.worth(s) / seeds
+			st := run(s, policy{chooseEntry: firstTwoEntries, newChooser: balancerWith(s.Slots, probes)}, 1, 5*time.Second, seed+1)
+			sum += st.score(s) / seeds
 		}
 		return sum
 	}
--- a/internal/lab/pace/pace_test.go
+++ b/internal/lab/pace/pace_test.go
@@ -12,10 +12,10 @@
 // do: probing is better than using the last report, polling costs more than it
 // gains, and above the capacity a limit on the requests at each target is the best
 // policy, but not a limit of 1.
-func TestOrderOfWays(t *testing.T) {
+func TestPolicyRanking(t *testing.T) {
 	rows := map[string][]float64{}
-	for _, r := range measure(Standard(), Config{Seeds: 2, Seed: 1, Length: 16 * time.Second}) {
-		rows[r.Way] = r.Worth
+	for _, r := range runAll(Standard(), Config{Seeds: 2, Seed: 1, Length: 16 * time.Second}) {
+		rows[r.Policy] = r.Scores
 	}
 	const quiet, overload = 0, 2
 	tests := []struct {
@@ -37,7 +37,7 @@
 }
 
 // Two runs with the same seed print the same bytes.
-func TestRepeats(t *testing.T) {
+func TestSameSeedPrintsSameBytes(t *testing.T) {
 	var one, two bytes.Buffer
 	cfg := Config{Seeds: 1, Length: 2 * time.Second, JSON: true}
 	qt.Assert(t, Run(cfg, &one), qt.IsNil)
--- a/internal/lab/pace/run.go
+++ b/internal/lab/pace/run.go
@@ -39,30 +39,30 @@
 var loads = []float64{0.25, 0.6, 1.3}
 
 // pollInterval is the period of the policy that probes all targets periodically.
-const polling = 40 * time.Millisecond
+const pollInterval = 40 * time.Millisecond
 
 // policies returns the policies to compare.
-func ways(s Shape) []way {
-	return []way{
-		{name: "random, at all entries", meets: atAny, build: random},
-		{name: "least in flight x pace, at all entries", meets: atAny, build: least},
-		{name: "the same, one entry a place", meets: atPlace, build: least},
-		{name: "the same, all targets asked each 40 ms", meets: atPlace, build: least, poll: polling},
-		{name: "asks none, two entries, at most its slots", meets: atTwo, build: asking(s.Slots, -1)},
-		{name: "asks 2, two entries, at most its slots", meets: atTwo, build: asking(s.Slots, 2)},
-		{name: "asks 4, all entries, at most its slots", meets: atAny, build: asking(s.Slots, 4)},
-		{name: "asks 4, one entry a place, at most its slots", meets: atPlace, build: asking(s.Slots, 4)},
-		{name: "asks 4, two entries, at most its slots", meets: atTwo, build: asking(s.Slots, 4)},
-		{name: "asks 4, one entry, at most its slots", meets: atOne, build: asking(s.Slots, 4)},
-		{name: "asks 4, one entry, at most 1 at a target", meets: atOne, build: asking(1, 4)},
+func policies(s Shape) []policy {
+	return []policy{
+		{name: "random, at all entries", chooseEntry: anyEntry, newChooser: newRandom},
+		{name: "least in flight x pace, at all entries", chooseEntry: anyEntry, newChooser: newLeastLoaded},
+		{name: "the same, one entry a place", chooseEntry: oneEntryPerPlace, newChooser: newLeastLoaded},
+		{name: "the same, all targets asked each 40 ms", chooseEntry: oneEntryPerPlace, newChooser: newLeastLoaded, pollInterval: pollInterval},
+		{name: "asks none, two entries, at most its slots", chooseEntry: firstTwoEntries, newChooser: balancerWith(s.Slots, -1)},
+		{name: "asks 2, two entries, at most its slots", chooseEntry: firstTwoEntries, newChooser: balancerWith(s.Slots, 2)},
+		{name: "asks 4, all entries, at most its slots", chooseEntry: anyEntry, newChooser: balancerWith(s.Slots, 4)},
+		{name: "asks 4, one entry a place, at most its slots", chooseEntry: oneEntryPerPlace, newChooser: balancerWith(s.Slots, 4)},
+		{name: "asks 4, two entries, at most its slots", chooseEntry: firstTwoEntries, newChooser: balancerWith(s.Slots, 4)},
+		{name: "asks 4, one entry, at most its slots", chooseEntry: firstEntry, newChooser: balancerWith(s.Slots, 4)},
+		{name: "asks 4, one entry, at most 1 at a target", chooseEntry: firstEntry, newChooser: balancerWith(1, 4)},
 	}
 }
 
 // row is the result of a policy: one value for each load.
 type row struct {
-	Way       string    `json:"way"`
-	Worth     []float64 `json:"worth"`
-	Questions []float64 `json:"questions"` // per request
+	Policy string    `json:"way"`
+	Scores []float64 `json:"worth"`
+	Probes []float64 `json:"questions"` // per request
 }
 
 // Run measures all policies and prints the results.
@@ -81,9 +81,9 @@
 	if !ok {
 		return errors.Errorf("shape: found %q, expected one of %v", cfg.Shape, slices.Sorted(maps.Keys(shapes)))
 	}
-	rows := measure(shape(), cfg)
+	rows := runAll(shape(), cfg)
 	if cfg.Plot != "" {
-		if err := draw(rows, cfg.Plot); err != nil {
+		if err := writePlot(rows, cfg.Plot); err != nil {
 			return err
 		}
 	}
@@ -101,17 +101,17 @@
 }
 
 // runAll runs each policy at each load and returns the means over the seeds.
-func measure(s Shape, cfg Config) (rows []row) {
-	for _, p := range ways(s) {
-		r := row{Way: p.name}
+func runAll(s Shape, cfg Config) (rows []row) {
+	for _, p := range policies(s) {
+		r := row{Policy: p.name}
 		for _, load := range loads {
 			score, probes := 0.0, 0.0
 			for i := range cfg.Seeds {
 				st := run(s, p, load, cfg.Length, cfg.Seed+uint64(i))
-				score += st.worth(s) / float64(cfg.Seeds)
-				probes += float64(st.questions) / float64(max(st.attempts, 1)) / float64(cfg.Seeds)
+				score += st.score(s) / float64(cfg.Seeds)
+				probes += float64(st.probes) / float64(max(st.attempts, 1)) / float64(cfg.Seeds)
 			}
-			r.Worth, r.Questions = append(r.Worth, score), append(r.Questions, probes)
+			r.Scores, r.Probes = append(r.Scores, score), append(r.Probes, probes)
 		}
 		rows = append(rows, r)
 	}
@@ -130,11 +130,11 @@
 	t.SetBorders(tablewriter.Border{Left: true, Right: true})
 	t.SetCenterSeparator("|")
 	for _, r := range rows {
-		line := []string{r.Way}
-		for _, v := range r.Worth {
+		line := []string{r.Policy}
+		for _, v := range r.Scores {
 			line = append(line, fmt.Sprintf("%.3f", v))
 		}
-		t.Append(append(line, fmt.Sprintf("%.1f", r.Questions[0])))
+		t.Append(append(line, fmt.Sprintf("%.1f", r.Probes[0])))
 	}
 	t.Render()
 }
@@ -145,7 +145,7 @@
 )
 
 // writePlot plots the score of each policy against the load.
-func draw(rows []row, path string) (err error) {
+func writePlot(rows []row, path string) (err error) {
 	defer func() { err = errors.WithMessage(err, "plot") }()
 	p := plot.New()
 	p.Title.Text = "plumpitch experiment pace"
@@ -155,7 +155,7 @@
 	p.Legend.Left = true
 	for i, r := range rows {
 		var xy plotter.XYs
-		for n, v := range r.Worth {
+		for n, v := range r.Scores {
 			xy = append(xy, plotter.XY{X: loads[n], Y: v})
 		}
 		line, dots, err := plotter.NewLinePoints(xy)
@@ -165,7 +165,7 @@
 		line.Color, dots.Color = plotutil.Color(i), plotutil.Color(i)
 		line.Dashes, dots.Shape = plotutil.Dashes(i), plotutil.Shape(i)
 		p.Add(line, dots)
-		p.Legend.Add(r.Way, line, dots)
+		p.Legend.Add(r.Policy, line, dots)
 	}
 	return p.Save(plotWidth, plotHeight, path)
 }
--- a/internal/lab/pace/site.go
+++ b/internal/lab/pace/site.go
@@ -8,62 +8,62 @@
 
 // request is one attempt of a caller.
 type request struct {
-	at    time.Duration // arrival of this attempt at the entry
-	first time.Duration // arrival of the caller's first attempt at the entry
-	work  float64       // seconds on an idle target at pace 1
-	entry int
-	retry int // attempts before this one
-	over  bool
+	arrival      time.Duration // arrival of this attempt at the entry
+	firstArrival time.Duration // arrival of the caller's first attempt at the entry
+	serviceTime  float64       // seconds on an idle target at pace 1
+	entry        int
+	retries      int // attempts before this one
+	ended        bool
 }
 
 // simulator holds the state of one run.
-type site struct {
+type simulator struct {
 	clock
-	shape    Shape
-	way      way
-	rnd      *rand.Rand
-	requests []request
-	targets  []target
-	entries  []chooser
-	open     int // requests that have not ended
-	length   time.Duration
-	stat     stat
+	shape        Shape
+	policy       policy
+	rnd          *rand.Rand
+	requests     []request
+	targets      []target
+	entries      []chooser
+	openRequests int // requests that have not ended
+	length       time.Duration
+	stats        stats
 }
 
 // run simulates arrivals at load, a share of the capacity, for a length of virtual
 // time. It returns when all requests have ended.
-func run(s Shape, p way, load float64, length time.Duration, seed uint64) stat {
-	m := &site{shape: s, way: p, rnd: rand.New(rand.NewPCG(seed, 1)), length: length, stat: newStat(length)}
-	m.build(seed)
-	m.draw(load, length, rand.New(rand.NewPCG(seed, 2)))
-	for m.open > 0 && m.events.Len() > 0 {
+func run(s Shape, p policy, load float64, length time.Duration, seed uint64) stats {
+	m := &simulator{shape: s, policy: p, rnd: rand.New(rand.NewPCG(seed, 1)), length: length, stats: newStats(length)}
+	m.setUp(seed)
+	m.generateRequests(load, length, rand.New(rand.NewPCG(seed, 2)))
+	for m.openRequests > 0 && m.events.Len() > 0 {
 		e := m.events.Pop()
 		m.now = e.at
-		m.step(e)
+		m.handleEvent(e)
 	}
-	return m.stat
+	return m.stats
 }
 
 // setUp creates the targets and the entries.
-func (m *site) build(seed uint64) {
+func (m *simulator) setUp(seed uint64) {
 	m.targets = make([]target, m.shape.Targets)
 	for i := range m.targets {
 		t := &m.targets[i]
 		t.place = i % m.shape.Places
-		t.change(m.rnd, m.shape)
-		m.in(time.Duration(m.rnd.Int64N(int64(m.shape.Change))), event{kind: changes, where: i})
+		t.drawPace(m.rnd, m.shape)
+		m.schedule(time.Duration(m.rnd.Int64N(int64(m.shape.PaceTime))), event{kind: paceChange, node: i})
 	}
 	for i := range m.shape.Entries {
-		m.entries = append(m.entries, m.way.build(m, i, rand.New(rand.NewPCG(seed, uint64(10+i)))))
-		if m.way.poll > 0 {
-			m.in(m.way.poll*time.Duration(i)/time.Duration(m.shape.Entries), event{kind: polled, where: i})
+		m.entries = append(m.entries, m.policy.newChooser(m, i, rand.New(rand.NewPCG(seed, uint64(10+i)))))
+		if m.policy.pollInterval > 0 {
+			m.schedule(m.policy.pollInterval*time.Duration(i)/time.Duration(m.shape.Entries), event{kind: pollDue, node: i})
 		}
 	}
 }
 
 // generateRequests schedules the first attempts of all callers. They depend only
 // on the seed, so all policies get the same ones.
-func (m *site) draw(load float64, length time.Duration, rnd *rand.Rand) {
+func (m *simulator) generateRequests(load float64, length time.Duration, rnd *rand.Rand) {
 	const sigma = 0.3 // of the logarithm of the service time
 	rate := load * m.shape.capacity()
 	for seconds := 0.0; ; {
@@ -71,161 +71,161 @@
 		if seconds >= length.Seconds() {
 			return
 		}
-		serviceTime := m.shape.Work.Seconds() * math.Exp(sigma*rnd.NormFloat64()-sigma*sigma/2)
+		serviceTime := m.shape.ServiceTime.Seconds() * math.Exp(sigma*rnd.NormFloat64()-sigma*sigma/2)
 		arrival := time.Duration(seconds * float64(time.Second))
-		m.add(request{at: arrival, first: arrival, work: serviceTime, entry: m.way.meets(m.shape, rnd)})
+		m.addRequest(request{arrival: arrival, firstArrival: arrival, serviceTime: serviceTime, entry: m.policy.chooseEntry(m.shape, rnd)})
 	}
 }
 
-func (m *site) add(r request) {
+func (m *simulator) addRequest(r request) {
 	m.requests = append(m.requests, r)
-	m.open++
-	m.in(r.at-m.now, event{kind: arrives, what: len(m.requests) - 1})
+	m.openRequests++
+	m.schedule(r.arrival-m.now, event{kind: requestArrival, subject: len(m.requests) - 1})
 }
 
-func (m *site) step(e event) {
+func (m *simulator) handleEvent(e event) {
 	switch e.kind {
-	case arrives:
-		m.stat.attempts++
-		m.entries[m.requests[e.what].entry].arrive(e.what)
-	case asked:
-		t := &m.targets[e.what]
-		m.in(m.hop(e.where, e.what), event{kind: replied, what: e.what, where: e.where, load: t.load()})
-	case replied:
-		m.entries[e.where].replied(e.what, e.load)
-	case reaches:
-		m.reach(e)
-	case finished:
-		m.finish(e)
-	case returns:
-		m.entries[m.requests[e.what].entry].done(e.what, e.where, e.load, e.shed)
+	case requestArrival:
+		m.stats.attempts++
+		m.entries[m.requests[e.subject].entry].handleArrival(e.subject)
+	case probeArrival:
+		t := &m.targets[e.subject]
+		m.schedule(m.networkDelay(e.node, e.subject), event{kind: probeResponse, subject: e.subject, node: e.node, load: t.report()})
+	case probeResponse:
+		m.entries[e.node].handleProbeResponse(e.subject, e.load)
+	case targetArrival:
+		m.arriveAtTarget(e)
+	case workFinished:
+		m.finishWork(e)
+	case responseArrival:
+		m.entries[m.requests[e.subject].entry].handleResponse(e.subject, e.node, e.load, e.shed)
 		if !e.shed {
-			m.answer(e.what)
+			m.recordServed(e.subject)
 		}
-	case changes:
-		t := &m.targets[e.where]
+	case paceChange:
+		t := &m.targets[e.node]
 		t.advance(m.now, m.shape)
-		t.change(m.rnd, m.shape)
-		m.plan(e.where)
-		m.in(m.shape.Change, event{kind: changes, where: e.where})
-	case ticked:
-		m.entries[e.where].tick()
-	case polled:
+		t.drawPace(m.rnd, m.shape)
+		m.scheduleFinish(e.node)
+		m.schedule(m.shape.PaceTime, event{kind: paceChange, node: e.node})
+	case tickDue:
+		m.entries[e.node].handleTick()
+	case pollDue:
 		for i := range m.targets {
-			m.ask(e.where, i)
+			m.sendProbe(e.node, i)
 		}
-		m.in(m.way.poll, e)
+		m.schedule(m.policy.pollInterval, e)
 	}
 }
 
 // networkDelay returns the one-way delay between an entry and a target.
-func (m *site) hop(entry, t int) time.Duration {
+func (m *simulator) networkDelay(entry, t int) time.Duration {
 	if entry%m.shape.Places == m.targets[t].place {
-		return m.shape.Near
+		return m.shape.NearDelay
 	}
-	return m.shape.Far
+	return m.shape.FarDelay
 }
 
-func (m *site) ask(entry, t int) {
-	m.stat.questions++
-	m.in(m.hop(entry, t), event{kind: asked, what: t, where: entry})
+func (m *simulator) sendProbe(entry, t int) {
+	m.stats.probes++
+	m.schedule(m.networkDelay(entry, t), event{kind: probeArrival, subject: t, node: entry})
 }
 
-func (m *site) send(r, t int) {
-	m.in(m.hop(m.requests[r].entry, t), event{kind: reaches, what: r, where: t})
+func (m *simulator) sendRequest(r, t int) {
+	m.schedule(m.networkDelay(m.requests[r].entry, t), event{kind: targetArrival, subject: r, node: t})
 }
 
 // arriveAtTarget starts or queues a request, or refuses it if the queue is full.
-func (m *site) reach(e event) {
-	t := &m.targets[e.where]
-	r := &m.requests[e.what]
+func (m *simulator) arriveAtTarget(e event) {
+	t := &m.targets[e.node]
+	r := &m.requests[e.subject]
 	t.advance(m.now, m.shape)
-	j := work{request: e.what, entry: r.entry, left: r.work}
+	j := job{request: e.subject, entry: r.entry, remaining: r.serviceTime}
 	switch {
 	case len(t.running) < m.shape.Slots:
 		t.running = append(t.running, j)
-	case len(t.waiting) < m.shape.Queue:
+	case len(t.waiting) < m.shape.QueueLimit:
 		t.waiting = append(t.waiting, j)
 	default:
-		m.back(j, e.where, true)
+		m.sendResponse(j, e.node, true)
 	}
-	m.plan(e.where)
+	m.scheduleFinish(e.node)
 }
 
 // sendResponse sends a response with the target's load to the entry.
-func (m *site) back(j work, t int, shed bool) {
-	m.in(m.hop(j.entry, t), event{kind: returns, what: j.request, where: t, load: m.targets[t].load(), shed: shed})
+func (m *simulator) sendResponse(j job, t int, shed bool) {
+	m.schedule(m.networkDelay(j.entry, t), event{kind: responseArrival, subject: j.request, node: t, load: m.targets[t].report(), shed: shed})
 }
 
 // scheduleFinish schedules the next end of a request at a target and invalidates
 // the one scheduled before.
-func (m *site) plan(i int) {
+func (m *simulator) scheduleFinish(i int) {
 	t := &m.targets[i]
-	t.gen++
-	if delay, ok := t.next(m.shape); ok {
-		m.in(delay, event{kind: finished, where: i, gen: t.gen})
+	t.generation++
+	if delay, ok := t.nextFinish(m.shape); ok {
+		m.schedule(delay, event{kind: workFinished, node: i, generation: t.generation})
 	}
 }
 
 // finishWork responds to the requests that are finished and starts queued ones.
-func (m *site) finish(e event) {
-	t := &m.targets[e.where]
-	if e.gen != t.gen {
+func (m *simulator) finishWork(e event) {
+	t := &m.targets[e.node]
+	if e.generation != t.generation {
 		return
 	}
 	t.advance(m.now, m.shape)
 	const tolerance = 1e-9 // seconds
-	var unfinished []work
+	var unfinished []job
 	for _, j := range t.running {
-		if j.left > tolerance {
+		if j.remaining > tolerance {
 			unfinished = append(unfinished, j)
 			continue
 		}
-		defer m.back(j, e.where, false)
+		defer m.sendResponse(j, e.node, false)
 	}
 	t.running = unfinished
 	for len(t.running) < m.shape.Slots && len(t.waiting) > 0 {
 		t.running = append(t.running, t.waiting[0])
 		t.waiting = t.waiting[1:]
 	}
-	m.plan(e.where)
+	m.scheduleFinish(e.node)
 }
 
 // recordServed ends a request that a target served. The caller gets no credit if
 // the response came after the deadline.
-func (m *site) answer(id int) {
+func (m *simulator) recordServed(id int) {
 	r := &m.requests[id]
-	if r.over {
+	if r.ended {
 		return
 	}
-	r.over = true
-	m.open--
-	latency := m.now + 2*m.shape.Caller - r.first
+	r.ended = true
+	m.openRequests--
+	latency := m.now + 2*m.shape.CallerDelay - r.firstArrival
 	switch {
-	case m.now-r.at > m.shape.Deadline:
-		m.stat.add(r.first, 0)
+	case m.now-r.arrival > m.shape.Deadline:
+		m.stats.add(r.firstArrival, 0)
 	case latency <= m.shape.Objective:
-		m.stat.add(r.first, 1)
+		m.stats.add(r.firstArrival, 1)
 	default:
-		m.stat.add(r.first, m.shape.Late)
+		m.stats.add(r.firstArrival, m.shape.LateCredit)
 	}
 }
 
 // retryOrFail ends an attempt that was refused. Its caller makes another attempt
 // after the given time, if it has retries left.
-func (m *site) refuse(id int, retryAfter time.Duration) {
+func (m *simulator) retryOrFail(id int, retryAfter time.Duration) {
 	r := &m.requests[id]
-	if r.over {
+	if r.ended {
 		return
 	}
-	r.over = true
-	m.open--
-	if r.retry >= m.shape.Retries {
-		m.stat.add(r.first, 0)
+	r.ended = true
+	m.openRequests--
+	if r.retries >= m.shape.Retries {
+		m.stats.add(r.firstArrival, 0)
 		return
 	}
 	next := *r
-	next.over, next.retry = false, r.retry+1
-	next.at = m.now + 2*m.shape.Caller + retryAfter
-	m.add(next)
+	next.ended, next.retries = false, r.retries+1
+	next.arrival = m.now + 2*m.shape.CallerDelay + retryAfter
+	m.addRequest(next)
 }
--- a/pkg/member/faults_test.go
+++ b/pkg/member/faults_test.go
@@ -29,8 +29,8 @@
 	cfg.Seed = seed
 	f := fleet.New(cfg)
 	f.BootAll()
-	took := f.RunUntil(time.Minute, f.Agreed)
-	c.Assert(f.Agreed(), qt.IsTrue, qt.Commentf("seed %d: no agreement after %v", seed, took))
+	took := f.RunUntil(time.Minute, f.Converged)
+	c.Assert(f.Converged(), qt.IsTrue, qt.Commentf("seed %d: no agreement after %v", seed, took))
 	f.Run(5 * time.Second)
 	return f
 }
@@ -39,7 +39,7 @@
 // the states.
 func seenAs(f *fleet.Fleet, n *fleet.Node, states ...member.State) func() bool {
 	return func() bool {
-		return f.All(func(_ *fleet.Node, v member.View) bool {
+		return f.AllViews(func(_ *fleet.Node, v member.View) bool {
 			e, ok := v.Find(n.Entry.ID.Name)
 			for _, s := range states {
 				if ok && e.ID == n.Entry.ID && e.State == s {
@@ -63,7 +63,7 @@
 	const step = 100 * time.Millisecond
 	for end := f.Now().Add(d); f.Now().Before(end); f.Run(step) {
 		for _, n := range healthy {
-			ok := f.All(func(_ *fleet.Node, v member.View) bool {
+			ok := f.AllViews(func(_ *fleet.Node, v member.View) bool {
 				e, _ := v.Find(n.Entry.ID.Name)
 				return !e.State.Gone()
 			})
@@ -115,7 +115,7 @@
 			within(c, f, s.detectionLimit, "death", seenAs(f, f.Nodes[4], member.Dead))
 			f.Run(time.Minute)
 			f.Resume(f.Nodes[4])
-			within(c, f, 20*time.Second, "return", f.Agreed)
+			within(c, f, 20*time.Second, "return", f.Converged)
 			assertNeverGone(c, f, 20*time.Second, f.Nodes...)
 		}},
 		{"a resumed entry suspects nobody", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
@@ -141,26 +141,26 @@
 				f.Resume(f.Nodes[4])
 				assertNeverGone(c, f, 3*time.Second, others...)
 			}
-			within(c, f, 20*time.Second, "return", f.Agreed)
+			within(c, f, 20*time.Second, "return", f.Converged)
 		}},
 		{"two entries can't see each other", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			one, two := f.Nodes[4], f.Nodes[7]
-			f.Cut(func(a, b *fleet.Node) bool { return a == one && b == two || a == two && b == one })
+			f.Partition(func(a, b *fleet.Node) bool { return a == one && b == two || a == two && b == one })
 			assertNeverGone(c, f, 30*time.Second, f.Nodes...)
 		}},
 		{"a group cut off for a minute", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			side := func(n *fleet.Node) bool { return n.Entry.Place == "place-00" }
-			f.Cut(func(a, b *fleet.Node) bool { return side(a) != side(b) })
+			f.Partition(func(a, b *fleet.Node) bool { return side(a) != side(b) })
 			f.Run(time.Minute)
-			f.Cut(nil)
-			within(c, f, 25*time.Second, "merge", f.Agreed)
+			f.Partition(nil)
+			within(c, f, 25*time.Second, "merge", f.Converged)
 			assertNeverGone(c, f, 20*time.Second, f.Nodes...)
 		}},
 		{"restarted at once", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			f.Lose(f.Nodes[4])
 			f.Boot(f.Nodes[4])
 			within(c, f, 8*time.Second, "new incarnation", seenAs(f, f.Nodes[4], member.Alive))
-			within(c, f, 20*time.Second, "agreement", f.Agreed)
+			within(c, f, 20*time.Second, "agreement", f.Converged)
 		}},
 		{"restarted after its death was noticed", []fleetSize{today}, func(c *qt.C, f *fleet.Fleet, s fleetSize) {
 			f.Lose(f.Nodes[4])
@@ -173,7 +173,7 @@
 				f.Lose(n)
 				f.Boot(n)
 			}
-			within(c, f, 25*time.Second, "agreement", f.Agreed)
+			within(c, f, 25*time.Second, "agreement", f.Converged)
 		}},
 		{"a planned stop", []fleetSize{today, grown}, func(c *qt.C, f *fleet.Fleet, _ fleetSize) {
 			f.Handle(f.Nodes[4], member.Leave{})
@@ -214,11 +214,11 @@
 	c := qt.New(t)
 	f := settledFleet(c, grown, 7)
 	side := func(n *fleet.Node) bool { return n.Entry.Region == "region-0" }
-	f.Cut(func(a, b *fleet.Node) bool { return side(a) != side(b) })
+	f.Partition(func(a, b *fleet.Node) bool { return side(a) != side(b) })
 	f.Run(3 * time.Minute)
-	f.Cut(nil)
+	f.Partition(nil)
 	for start := f.Now(); f.Now().Sub(start) < 40*time.Second; f.Run(100 * time.Millisecond) {
-		ok := f.All(func(n *fleet.Node, v member.View) bool {
+		ok := f.AllViews(func(n *fleet.Node, v member.View) bool {
 			for _, o := range f.Nodes {
 				e, _ := v.Find(o.Entry.ID.Name)
 				if side(o) == side(n) && e.State.Gone() {
@@ -229,7 +229,7 @@
 		})
 		c.Assert(ok, qt.IsTrue, qt.Commentf("own side seen as gone %v after the merge", f.Now().Sub(start)))
 	}
-	c.Assert(f.Agreed(), qt.IsTrue)
+	c.Assert(f.Converged(), qt.IsTrue)
 }
 
 // An operator's edit reaches one entry, in some rows while others are unreachable.
@@ -249,11 +249,11 @@
 			}
 		}, func(*fleet.Fleet) {}},
 		{"with a place cut off", func(f *fleet.Fleet) {
-			f.Cut(func(a, b *fleet.Node) bool {
+			f.Partition(func(a, b *fleet.Node) bool {
 				return a.Entry.Place != b.Entry.Place && (a.Entry.Place == "place-01" || b.Entry.Place == "place-01")
 			})
 			f.Run(20 * time.Second)
-		}, func(f *fleet.Fleet) { f.Cut(nil) }},
+		}, func(f *fleet.Fleet) { f.Partition(nil) }},
 		{"with an entry paused", func(f *fleet.Fleet) { f.Pause(f.Nodes[5]); f.Run(10 * time.Second) }, func(f *fleet.Fleet) { f.Resume(f.Nodes[5]) }},
 	}
 	for _, tt := range tests {
@@ -267,7 +267,7 @@
 				f.Run(time.Second)
 				tt.heal(f)
 				within(c, f, 13*time.Second, "settings", func() bool {
-					return f.All(func(n *fleet.Node, _ member.View) bool { return n.Marks == member.Revisions{Settings: 8} })
+					return f.AllViews(func(n *fleet.Node, _ member.View) bool { return n.Revisions == member.Revisions{Settings: 8} })
 				})
 			})
 		}
@@ -288,13 +288,13 @@
 					CrashReports: []member.CrashReport{{Fingerprint: 99, Crashes: 1, Time: f.Now()}},
 				}})
 				within(c, f, 5*time.Second, "rumours", func() bool {
-					return f.All(func(n *fleet.Node, _ member.View) bool {
-						return n == f.Nodes[2] || len(n.Learned.StopNotices) == 1 && len(n.Learned.CrashReports) == 1
+					return f.AllViews(func(n *fleet.Node, _ member.View) bool {
+						return n == f.Nodes[2] || len(n.Rumours.StopNotices) == 1 && len(n.Rumours.CrashReports) == 1
 					})
 				})
 				f.Run(20 * time.Second)
-				f.All(func(n *fleet.Node, _ member.View) bool {
-					c.Assert(len(n.Learned.StopNotices) <= 1 && len(n.Learned.CrashReports) <= 1, qt.IsTrue, qt.Commentf("learned again: %+v", n.Learned))
+				f.AllViews(func(n *fleet.Node, _ member.View) bool {
+					c.Assert(len(n.Rumours.StopNotices) <= 1 && len(n.Rumours.CrashReports) <= 1, qt.IsTrue, qt.Commentf("learned again: %+v", n.Rumours))
 					return true
 				})
 			}
--- a/pkg/member/table_test.go
+++ b/pkg/member/table_test.go
@@ -185,22 +185,22 @@
 				f.Boot(n)
 			case 4:
 				k := pick.Draw(rt, "side")
-				f.Cut(func(a, b *fleet.Node) bool {
+				f.Partition(func(a, b *fleet.Node) bool {
 					return a.Entry.PeerAddress <= f.Nodes[k].Entry.PeerAddress != (b.Entry.PeerAddress <= f.Nodes[k].Entry.PeerAddress)
 				})
 			case 5:
-				f.Handle(n, member.SetRevisions{Revisions: member.Revisions{Settings: n.Marks.Settings + 1}})
+				f.Handle(n, member.SetRevisions{Revisions: member.Revisions{Settings: n.Revisions.Settings + 1}})
 			}
 			before := views(f)
 			f.Run(time.Duration(rapid.IntRange(0, 12_000).Draw(rt, "ms")) * time.Millisecond)
 			assertNoRegression(rt, f, before)
 		}
-		f.Cut(nil)
+		f.Partition(nil)
 		for _, n := range f.Nodes {
 			f.Resume(n)
 		}
-		took := f.RunUntil(time.Minute, f.Agreed)
-		if !f.Agreed() {
+		took := f.RunUntil(time.Minute, f.Converged)
+		if !f.Converged() {
 			rt.Fatalf("no agreement after %v", took)
 		}
 	})
