--- a/internal/gateway/begin.go
+++ b/internal/gateway/begin.go
@@ -24,8 +24,8 @@
 	minStartStep = 20 * time.Millisecond
 	// minStartDelay is the least delay of an entry that doesn't read at once: on a busy
 	// machine the first readers' announcement comes later than this entry's own
-	// enrolment suggests. In 27 of 72 starts of eight entries beside other work, there
-	// were more calls than two by each entry plus eight.
+	// enrolment suggests. Without it, 27 of 72 starts of eight entries beside other work
+	// took more than two calls per entry plus eight.
 	minStartDelay = 200 * time.Millisecond
 	// startDelayFactor is that delay as a multiple of the enrolment's duration. The reads
 	// of the first entries, their announcement and a pull take a similar number of calls.
@@ -50,9 +50,9 @@
 // firstReadDue reports whether an entry without data reads now. The first entries to enrol
 // read at once and announce the data; the others wait in the order of their enrolment. In a
 // fixed order of names the first entry might start last, and each entry that enrolled
-// before it would read. The delay per entry is the duration of this entry's own enrolment, which is
-// two calls. With a shorter one, entries on a busy machine read before the first ones could
-// announce the data (in 53 of 72 starts).
+// before it would read. The delay per entry is the duration of this entry's own enrolment,
+// which is two calls. With a shorter one, entries on a busy machine read before the first ones
+// could announce the data (in 53 of 72 starts).
 //
 // If the settings name seeds, the seeds read at once and the others get the data from them.
 func (c *control) firstReadDue(now time.Time, rank int) bool {
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -61,7 +61,7 @@
 	suspectSequence     uint64         // number of the last announcement of a suspect
 	liveInstances       map[string]liveInstance
 	liveVersion         int // grows each time that the live entries are recomputed
-	suspectsSentVersion int // liveVersion at which new runs were last sent the suspects
+	suspectsSentVersion int // liveVersion at which newly started entries were last sent the suspects
 
 	// State derived from membership; liveEntries is nil when the membership has changed.
 	liveEntries []owner.Candidate
@@ -77,7 +77,7 @@
 	ownersAssignment   *owner.Assignment // the assignment that owners was computed from
 	assignedCounts     map[string]int
 	// sendersChanged is set until services know which entries send to them.
-	// sendersIsolated is whether services were last told that this entry is cut off.
+	// sendersIsolated is whether services were last told that this entry is isolated.
 	sendersChanged, sendersIsolated bool
 	retryShare                      retryShare // last given to the services
 	retryAgedAt                     time.Time  // when the saved retries of the services last aged
@@ -90,7 +90,7 @@
 	hosts              hosts
 	firstViewPublished bool      // requests are no longer held for the first view
 	servicesStale      bool      // services lack the latest configuration or targets
-	storeUnavailable   bool      // the last call to the store failed
+	storeUnavailable   bool      // the last read from the store failed
 	storeFailingSince  time.Time // first failed call since the store last confirmed the targets; zero if none
 	overload           overloadDetector
 	logged             loggedState
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -51,8 +51,9 @@
 	w.waitFor("no record left", func() bool { return len(w.store.Names("entries")) == 0 })
 }
 
-// One request crashes each target that runs it, and its caller retries it all the time. After
-// three crashes no entry sends it to a target.
+// One request crashes each target that runs it, and its caller retries it again and again at two
+// entries. Both together may run it at most as often as the limits of the two allow, and must then
+// refuse it, while other requests are served.
 func TestRequestThatCrashesTargets(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 6})
 	entries := []*entry{w.startEntry("a").waitReady(), w.startEntry("b").waitReady()}
@@ -94,8 +95,8 @@
 	w.c.Assert(e.call("GET", "/a/x", "").status, qt.Equals, http.StatusOK)
 }
 
-// During an outage of the store each entry serves requests from its cached data, and the number
-// of calls to the store stays low for any number of entries.
+// During an outage of the store each entry serves requests from its cached data, and the entries
+// together make few calls to the store.
 func TestStoreOutage(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1})
 	var entries []*entry
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -84,8 +84,8 @@
 	return true
 }
 
-// firstSeen returns when each evacuation was first seen: at the time in before, or now if it
-// isn't there.
+// firstSeen returns when each evacuation was first seen: its time in before, or now if it is
+// new.
 func firstSeen(now time.Time, before map[string]time.Time, evacuations map[string]roster.Item[slot.Evacuation]) map[string]time.Time {
 	seen := make(map[string]time.Time, len(evacuations))
 	for place := range evacuations {
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -48,10 +48,10 @@
 	}
 }
 
-// A failure domain is evacuated, the evacuation is withdrawn, and both happen again within a
-// second. All calls must succeed. After the bound the evacuated domain gets no requests, and
-// after the withdrawal it gets requests again. An evacuation of an unknown domain, with a
-// record that can't be decoded, changes nothing.
+// A failure domain is evacuated and the evacuation ends; then it is evacuated, the evacuation
+// ends and it is evacuated again, all at once. All calls must succeed. After the bound an
+// evacuated domain gets no requests, and after the end of its evacuation it gets requests again.
+// An evacuation of an unknown domain, with a record that can't be decoded, changes nothing.
 func TestEvacuation(t *testing.T) {
 	t.Parallel()
 	w := newWorldIn(t, "hall", "annex")
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -102,7 +102,7 @@
 	return w.startEntryAt(name, uint64(time.Now().UnixNano()), seeds...)
 }
 
-// startEntryAt starts an entry with this number of its start.
+// startEntryAt starts an entry with this boot number.
 func (w *world) startEntryAt(name string, boot uint64, seeds ...*entry) *entry {
 	g := w.newGateway(name, boot, seeds...)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -266,7 +266,7 @@
 	return n
 }
 
-// countUnavailable returns the number of responses 503, whose requests have not run.
+// countUnavailable returns the number of 503 responses, whose requests have not run.
 func countUnavailable(replies []callResult) (n int) {
 	for _, a := range replies {
 		if a.status == http.StatusServiceUnavailable {
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -29,7 +29,7 @@
 
 // applyConfig puts a configuration in force if it is newer than the current one.
 func (c *control) applyConfig(now time.Time, raw []byte, source string) {
-	cfg, faults, err := platform.ParseConfig(raw)
+	cfg, fieldErrs, err := platform.ParseConfig(raw)
 	if err != nil {
 		c.gateway.log.WithError(err).WithField("source", source).Error("invalid configuration ignored")
 		return
@@ -40,7 +40,7 @@
 	c.gateway.log.WithFields(log.Fields{
 		"version": uint64(cfg.Version), "before": uint64(c.config.Version), "source": source, "routes": len(cfg.Routes),
 	}).Info("configuration in force")
-	c.logFaults(cfg.Version, faults)
+	c.logFaults(cfg.Version, fieldErrs)
 	c.config, c.configData = cfg, raw
 	c.table = route.New(cfg, c.table)
 	c.servicesStale, c.sendersChanged = true, true
@@ -48,15 +48,15 @@
 	c.announceRevisions(now)
 }
 
-// maxLoggedFaults bounds the log lines about the faults of one configuration.
+// maxLoggedFieldErrors bounds the log lines about the invalid parts of one configuration.
 const maxLoggedFaults = 20
 
-func (c *control) logFaults(v route.Version, faults platform.FieldErrors) {
-	for _, err := range faults[:min(len(faults), maxLoggedFaults)] {
-		c.gateway.log.WithError(err).WithField("version", uint64(v)).Warn("invalid part of the configuration ignored")
+func (c *control) logFaults(v route.Version, fieldErrs platform.FieldErrors) {
+	for _, err := range fieldErrs[:min(len(fieldErrs), maxLoggedFaults)] {
+		c.gateway.log.WithError(err).WithField("version", uint64(v)).Warn("invalid part of the configuration")
 	}
-	if more := len(faults) - maxLoggedFaults; more > 0 {
-		c.gateway.log.WithFields(log.Fields{"version": uint64(v), "more": more}).Warn("more invalid parts of the configuration ignored")
+	if more := len(fieldErrs) - maxLoggedFaults; more > 0 {
+		c.gateway.log.WithFields(log.Fields{"version": uint64(v), "more": more}).Warn("more invalid parts of the configuration")
 	}
 }
 
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -21,11 +21,11 @@
 	exchangeTimeout = 200 * time.Millisecond
 	// indirectPingTimeout is how long a ping through another entry may take.
 	indirectPingTimeout = 250 * time.Millisecond
-	// suspicionTimeout is the time that a suspect has to refute the suspicion, among
-	// 16 entries. Callers are sent elsewhere meanwhile.
+	// suspicionTimeout is how long a suspect has to refute the suspicion, with up to 16
+	// entries. Callers are sent elsewhere meanwhile.
 	suspicionTimeout = 600 * time.Millisecond
-	// deadRetention is how long a dead entry is contacted again, so that a VM that was
-	// cut off or frozen for a while gets what it missed as soon as it is back.
+	// deadRetention is how long the others keep trying to contact a dead entry, so that a
+	// VM that was cut off or frozen for a while gets what it missed as soon as it is back.
 	deadRetention = 2 * time.Minute
 	// leftRetention is how long a stopped entry is remembered, so that a late message
 	// about it doesn't revive it.
@@ -89,7 +89,7 @@
 	}
 }
 
-// handleRequest passes another entry's message to the membership table and answers it.
+// answerGossip passes another entry's message to the membership table and answers it.
 func (c *control) handleRequest(now time.Time, p relay.Packet, from string) {
 	for _, a := range c.members.Handle(now, member.Request{Message: p.Message}) {
 		if r, ok := a.(member.Reply); ok {
@@ -117,7 +117,7 @@
 	case member.RumoursReceived:
 		c.receiveRumours(now, a.Rumours)
 	case member.Reply, member.RevisionsChanged, member.PeerAhead, member.Superseded:
-		// None needs an action: a reply occurs only in handleRequest, revisions are
+		// None needs an action: a reply occurs only in answerGossip, revisions are
 		// compared when a packet is received, and names are exclusive, so that no
 		// other incarnation supersedes this one.
 	}
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -99,8 +99,8 @@
 	return true
 }
 
-// noteStoreReturn records the end of an outage, where the store answered again at that time.
-// The first answers may hold no change: records expire some tenths of a second later.
+// noteStoreReturn records the end of an outage if there was one; at is when the store answered
+// again. The first answers may hold no change: records expire some tenths of a second later.
 func (c *control) noteStoreReturn(now, at time.Time) {
 	if c.storeFailingSince.IsZero() || now.Sub(c.storeFailingSince) < minOutage || c.confirmed[resourceTargets].IsZero() {
 		return
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// newsRequest is another entry's pull.
+// pullRequest is another entry's pull.
 type newsRequest struct {
 	have  relay.PullQuery
 	reply chan relay.PullResult
@@ -94,7 +94,8 @@
 }
 
 // unconfirmedAge is the least age at which another entry's copy counts as never confirmed:
-// longer than any outage, and shorter than the time since any clock's zero.
+// longer than any outage, and shorter than the age computed from a zero time, which stands for
+// data that was never confirmed.
 const unconfirmedAge = 24 * time.Hour
 
 // confirmFromPeer records another entry's confirmation, sent at that time or later, of a
@@ -113,7 +114,7 @@
 // entries start at once.
 const pullExclusiveTime = 200 * time.Millisecond
 
-// pull requests from another entry what this one lacks.
+// pull asks another entry for what this one lacks.
 func (c *control) pull(now time.Time, from string) {
 	if c.pullSource == from || c.pullSource != "" && now.Sub(c.pullStarted) < pullExclusiveTime {
 		return
@@ -129,7 +130,7 @@
 	}()
 }
 
-// pullResult is the result of a pull.
+// pullFinished is the result of a pull, or its error.
 type pullResult struct {
 	askedAt time.Time
 	from    string // address
@@ -189,8 +190,8 @@
 // their tables differ all the time, and each fetch brings the entries added since.
 const minFetchInterval = 2 * roundPeriod
 
-// fetch requests from another entry the members that this one lacks. The maximum revisions
-// exclude all other data, which a pull may already be transferring.
+// fetch asks another entry for the members that this one lacks. The maximum revisions exclude
+// all other data, which a pull may already be transferring.
 func (c *control) fetch(now time.Time, from string) {
 	if c.fetchPending || now.Sub(c.lastFetch) < minFetchInterval {
 		return
--- a/internal/gateway/pull_test.go
+++ b/internal/gateway/pull_test.go
@@ -48,7 +48,7 @@
 	return n, ctx.Err()
 }
 
-// fixedSource answers each pull with the same news.
+// fixedSource answers each pull with the same result.
 type fixedSource relay.PullResult
 
 func (n fixedSource) AnswerPull(context.Context, relay.PullQuery) (relay.PullResult, error) {
@@ -73,11 +73,11 @@
 		w.c.Cleanup(r.Close)
 		return r
 	}
-	news := roster.NewRevision(1, 1<<40) // newer than all revisions in the store
+	newer := roster.NewRevision(1, 1<<40) // newer than all revisions in the store
 	answer := relay.PullResult{
-		Targets: relay.TargetsChanged, Changes: []roster.Change[slot.Target]{removed(w.workers[0].ID, news)}, Revision: news, LastChange: news,
+		Targets: relay.TargetsChanged, Changes: []roster.Change[slot.Target]{removed(w.workers[0].ID, newer)}, Revision: newer, LastChange: newer,
 	}
-	advertised := relay.Packet{Kind: relay.Announcement, Knowledge: relay.Knowledge{Config: 1, Targets: news}}
+	advertised := relay.Packet{Kind: relay.Announcement, Knowledge: relay.Knowledge{Config: 1, Targets: newer}}
 	dead, other := peer("dead", silentSource{}), peer("other", fixedSource(answer))
 	w.c.Assert(dead.Send(e.self.PeerAddress, advertised), qt.IsNil)
 	time.Sleep(20 * time.Millisecond)
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -12,7 +12,7 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// dataKind is a kind of store data, which one entry reads from the store for all.
+// resource is a kind of objects in the store, which one entry reads for all.
 type resource uint8
 
 const (
@@ -102,7 +102,7 @@
 	due      bool
 	rank     int             // of this entry in the order of readers
 	age      time.Duration   // since the store last confirmed the data
-	revision roster.Revision // last known one of the history
+	revision roster.Revision // last known one in the resource's history
 	// initial is set before the data was first read.
 	initial bool
 	// distant is set when many others read before this entry and it has no callers.
@@ -131,16 +131,16 @@
 func (m turnRequest) apply(now time.Time, c *control) {
 	t := c.turnFor(now, m.resource)
 	if m.resource == resourceEvacuations && c.storeUnavailable && c.turnFor(now, resourceTargets).due {
-		// The store doesn't serve this entry, whose reads of the targets detect the
-		// store's return. If all entries read evacuations too, a busy store would get
-		// a third more calls, and each call costs money.
+		// The store doesn't serve this entry, and its reads of the targets are enough
+		// to detect when it does again. If all entries read evacuations too, a busy
+		// store would get a third more calls, and each call costs money.
 		t.due = false
 	}
 	if !c.gateway.needs(m.resource) {
 		t.due, t.initial, t.distant = false, false, true
 	}
-	// A watch without changes confirms the known revision only when it ends. If that
-	// is old already, requests would wait for the end of the watch.
+	// A watch without changes confirms the known revision only when it ends. If the last
+	// confirmation is old already, requests would have to wait for that.
 	t.poll = c.gateway.freshness.hasCallers(now) && t.age >= readSchedule[m.resource].wait+tickInterval
 	m.reply <- t
 }
@@ -275,8 +275,8 @@
 	return min(storeRetryDelay*time.Duration(1+rank), storeRetryDelayMax)
 }
 
-// read watches from the known revision. It lists the objects if no revision is known or
-// a watch has failed, which may have missed a change.
+// read watches from the known revision. It lists the objects if no revision is known, or
+// after a failed watch, which may have missed a change.
 func (r *reader[T]) read(ctx context.Context, t readTurn) (err error) {
 	if t.revision > 0 && !r.mustList {
 		err = r.watch(ctx, t)
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// waitSynced waits until all entries have the latest configuration and exactly these targets. It
-// fails later than syncBound after since.
+// waitSynced waits until all entries have the latest configuration and exactly these targets. The
+// test fails if that takes longer than syncBound after since.
 func (w *world) waitSynced(entries []*entry, since time.Time, targets ...string) {
 	w.c.Helper()
 	for _, e := range entries {
--- a/internal/gateway/several_test.go
+++ b/internal/gateway/several_test.go
@@ -33,14 +33,14 @@
 }
 
 // byReaderRank returns the entries in the order of readers.
-func byReaderRank(entries []*entry, d resource) (readers []*entry) {
+func byReaderRank(entries []*entry, r resource) (readers []*entry) {
 	var live []owner.Candidate
 	for _, e := range entries {
 		live = append(live, owner.Candidate{Entry: e.self})
 	}
 	readers = make([]*entry, len(entries))
 	for _, e := range entries {
-		readers[owner.Rank(live, resourceLabels[d], e.self.Name)] = e
+		readers[owner.Rank(live, resourceLabels[r], e.self.Name)] = e
 	}
 	return readers
 }
--- a/internal/gateway/spread.go
+++ b/internal/gateway/spread.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// announceRevisions advertises newer versions in force to the waiting and to other entries.
+// announceRevisions sends the newer versions in force to the waiting entries, and advertises them to
+// others.
 func (c *control) announceRevisions(now time.Time) {
 	for address := range c.waitingPeers {
 		c.send(address, relay.Packet{Kind: relay.Announcement, Knowledge: c.knowledge(now)})
@@ -58,7 +59,7 @@
 }
 
 // announceConfirmation sends what the store has just confirmed to the next entries in the
-// order of readers. These read themselves if they get no confirmation for longer, and with
+// order of readers. They read the store themselves if no confirmation comes in time, and with
 // the membership rounds it would reach them only after half a second or more.
 func (c *control) announceConfirmation(now time.Time, r resource) {
 	for _, e := range c.readerOrder[r] {
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -17,7 +17,7 @@
 	rates       map[string]*rate         // by host
 }
 
-// callerAddresses returns the entries' addresses for callers of a host from a region.
+// callerAddresses returns the addresses of the entries that callers in a region use for a host.
 func (v *view) callerAddresses(host, region string, self owner.Entry) []string {
 	if v.table == nil {
 		return nil
