--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/answer_test.go
@@ -146,8 +146,9 @@
 	w.c.Assert(e.call("GET", "/b/x", "").status, qt.Equals, http.StatusNotFound)
 }
 
-// A caller closes its connection before its request is dispatched. callerClosed must
-// detect that, also if unread bytes precede the close, so that no target gets the request.
+// A caller closes its connection before its request is dispatched, so the request must not
+// be sent to a target. callerClosed must detect the close, and must not take an open
+// connection with unread bytes for a closed one.
 func TestCallerGoneBeforeDispatch(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -36,7 +36,7 @@
 		{"two owners, hardly a request", 2, 700, 20, 56},
 		{"two owners, busy long ago only", 2, 0, 20, 56},
 		{"few, busy long ago only", 14, 0, 14, 56},
-		{"one that hears of no other", 1, 3000, 10, 56},
+		{"one that receives no reports", 1, 3000, 10, 56},
 	}
 	// earlier is how many requests fill the budgets before the first counted window.
 	const earlier = 20000
--- a/internal/gateway/budget_views_test.go
+++ b/internal/gateway/budget_views_test.go
@@ -112,7 +112,7 @@
 }
 
 // maxUsage returns the largest ratio of retries to allowed retries in any window.
-func (s *budgetSimulation) maxUsage() (part float64) {
+func (s *budgetSimulation) maxUsage() (usage float64) {
 	window := int(s.bounds.RetryWindow / tickInterval)
 	sum := func(counts []int, from int) (n int) {
 		for i := max(from, 0); i < min(from+window, len(counts)); i++ {
@@ -123,9 +123,9 @@
 	for from := range len(s.sent) {
 		requests := max(sum(s.sent, from), sum(s.sent, from-window), sum(s.sent, from-window/2))
 		allowed := s.bounds.RetryShare*float64(requests) + float64(s.bounds.RetrySlack)
-		part = max(part, float64(sum(s.retries, from))/allowed)
+		usage = max(usage, float64(sum(s.retries, from))/allowed)
 	}
-	return part
+	return usage
 }
 
 // Entries start, are cut off, gain and lose callers, and receive the total rate late, while
@@ -141,9 +141,9 @@
 			}
 			s.tick(tick)
 		}
-		part := s.maxUsage()
-		worst = max(worst, part)
-		qt.Assert(t, part <= 1, qt.IsTrue, qt.Commentf("seed %d: %.2f of the allowed retries", seed, part))
+		usage := s.maxUsage()
+		worst = max(worst, usage)
+		qt.Assert(t, usage <= 1, qt.IsTrue, qt.Commentf("seed %d: %.2f of the allowed retries", seed, usage))
 	}
 	t.Logf("at most %.2f of the allowed retries", worst)
 }
--- a/internal/gateway/dropped.go
+++ b/internal/gateway/dropped.go
@@ -26,12 +26,12 @@
 		}
 	}
 	idle := 0
-	for name, d := range c.removedServices {
+	for name, removed := range c.removedServices {
 		switch {
-		case next[name] == d.service:
+		case next[name] == removed.service:
 			delete(c.removedServices, name)
-		case d.active():
-		case now.Sub(d.since) > removedServiceTTL || idle >= maxRemovedServices:
+		case removed.active():
+		case now.Sub(removed.since) > removedServiceTTL || idle >= maxRemovedServices:
 			delete(c.removedServices, name)
 		default:
 			idle++
--- a/internal/gateway/fresh.go
+++ b/internal/gateway/fresh.go
@@ -62,8 +62,8 @@
 
 func newFreshness() *freshness {
 	f := &freshness{changed: make(chan struct{})}
-	for d := range f.wakeups {
-		f.wakeups[d] = make(chan struct{}, 1)
+	for r := range f.wakeups {
+		f.wakeups[r] = make(chan struct{}, 1)
 	}
 	return f
 }
@@ -86,16 +86,16 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastRequest = now
-	for d, confirmed := range f.confirmed {
-		if f.storeUnavailable || confirmed.IsZero() || now.Sub(confirmed) < maxAges[d] {
-			f.waitStart[d] = time.Time{}
+	for r, confirmed := range f.confirmed {
+		if f.storeUnavailable || confirmed.IsZero() || now.Sub(confirmed) < maxAges[r] {
+			f.waitStart[r] = time.Time{}
 			continue
 		}
-		if f.waitStart[d].IsZero() {
-			f.waitStart[d] = now
+		if f.waitStart[r].IsZero() {
+			f.waitStart[r] = now
 		}
-		if now.Sub(f.waitStart[d]) < maxRefreshWait {
-			wait = append(wait, resource(d))
+		if now.Sub(f.waitStart[r]) < maxRefreshWait {
+			wait = append(wait, resource(r))
 		}
 	}
 	return wait, f.changed
@@ -110,9 +110,9 @@
 
 // wakeReaders makes the readers of these resources read now.
 func (f *freshness) wakeReaders(resources []resource) {
-	for _, d := range resources {
+	for _, r := range resources {
 		select {
-		case f.wakeups[d] <- struct{}{}:
+		case f.wakeups[r] <- struct{}{}:
 		default:
 		}
 	}
@@ -150,8 +150,8 @@
 // resourceNames joins the names of resources for a log line.
 func resourceNames(resources []resource) string {
 	var names []string
-	for _, d := range resources {
-		names = append(names, resourceLabels[d])
+	for _, r := range resources {
+		names = append(names, resourceLabels[r])
 	}
 	return strings.Join(names, " ")
 }
--- a/internal/gateway/fresh_test.go
+++ b/internal/gateway/fresh_test.go
@@ -18,10 +18,10 @@
 	const stale = 1500 * time.Millisecond
 	at := time.Unix(100, 0)
 	tests := []struct {
-		name      string
-		confirmed time.Time
-		away      bool
-		want      []resource
+		name             string
+		confirmed        time.Time
+		storeUnavailable bool
+		want             []resource
 	}{
 		{"young", at.Add(-stale + time.Millisecond), false, nil},
 		{"old", at.Add(-stale), false, []resource{resourceTargets}},
@@ -35,7 +35,7 @@
 	qt.Check(t, wait, qt.HasLen, 0, qt.Commentf("another request has waited without success"))
 	for _, tt := range tests {
 		f := newFreshness()
-		f.update([resourceCount]time.Time{resourceConfig: at, resourceTargets: tt.confirmed}, tt.away)
+		f.update([resourceCount]time.Time{resourceConfig: at, resourceTargets: tt.confirmed}, tt.storeUnavailable)
 		wait, _ := f.recordRequest(at, resourceAges{stale, stale})
 		qt.Check(t, wait, qt.DeepEquals, tt.want, qt.Commentf("%s", tt.name))
 	}
@@ -46,11 +46,11 @@
 // leaving target within the bound. Without callers it must leave the reads to the others.
 func TestEntryWithCallersReadsInTime(t *testing.T) {
 	tests := []struct {
-		name  string
-		used  time.Duration // time since the last request; 0 for none
-		drain time.Duration
-		age   time.Duration
-		due   bool
+		name         string
+		sinceRequest time.Duration // 0 for no request
+		drain        time.Duration
+		age          time.Duration
+		due          bool
 	}{
 		{"no callers", 0, 2 * time.Second, 1900 * time.Millisecond, false},
 		{"callers, young", 100 * time.Millisecond, 2 * time.Second, 1400 * time.Millisecond, false},
@@ -73,8 +73,8 @@
 			targetsListed{revision: 1, askedAt: c.started}.apply(c.started, c)
 			now := c.started.Add(tt.age)
 			c.members.Handle(now, messageFrom("e0"))
-			if tt.used > 0 {
-				c.gateway.freshness.recordRequest(now.Add(-tt.used), c.gateway.maxAges())
+			if tt.sinceRequest > 0 {
+				c.gateway.freshness.recordRequest(now.Add(-tt.sinceRequest), c.gateway.maxAges())
 			}
 			q := turnRequest{resource: resourceTargets, reply: make(chan readTurn, 1)}
 			q.apply(now, c)
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -13,7 +13,7 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// directoryTTL is how long callers may use a directory response. Callers whose owner died
+// directoryTTL is the time to live of a directory response. Callers whose owner died
 // resolve the host again within it.
 const directoryTTL = time.Second
 
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -99,7 +99,7 @@
 // which it is the first owner; for others it uses the count that the first owner announced.
 func (c *control) ownerCounts(now time.Time, assignment *owner.Assignment) map[string]int {
 	counts := make(map[string]int, len(c.hosts.ownerSizers))
-	for host, size := range c.hosts.ownerSizers {
+	for host, sizer := range c.hosts.ownerSizers {
 		counts[host] = owner.MinOwners
 		firstOwners := assignment.FirstOwners(host)
 		if len(firstOwners) == 0 {
@@ -108,11 +108,11 @@
 		id := owner.HostID(host)
 		if firstOwners[0].Name != c.gateway.self.Name {
 			n, _ := c.gossipedCounts.Get(id)
-			counts[host] = size.Adopt(n.Owners)
+			counts[host] = sizer.Adopt(n.Owners)
 			continue
 		}
 		rate := c.totalRate(host)
-		counts[host] = size.Decide(now, rate, assignment.CapacityShares(host))
+		counts[host] = sizer.Decide(now, rate, assignment.CapacityShares(host))
 		if c.gossipedCounts.Update(id, counts[host], rate) {
 			c.handleEvent(now, member.PushNow{})
 		}
--- a/internal/gateway/idle.go
+++ b/internal/gateway/idle.go
@@ -8,8 +8,8 @@
 )
 
 // idleCloser closes callers' connections that are idle for longer than the configuration
-// allows. It replaces http.Server's idle timeout, which cannot change while the server
-// runs. Without a limit, abandoned connections would use up the file descriptors of a
+// allows. That limit may change while the server runs, but http.Server's idle timeout
+// cannot. Without a limit, abandoned connections would use up the file descriptors of a
 // small VM.
 type idleCloser struct {
 	mu     sync.Mutex
--- a/internal/gateway/instruments.go
+++ b/internal/gateway/instruments.go
@@ -35,10 +35,10 @@
 		configVersion:  m.Scope.Gauge("config_version"), liveEntries: m.Scope.Gauge("live_entries"), targets: m.Scope.Gauge("targets"),
 		evacuatedDomains: m.Scope.Gauge("evacuated_places"),
 	}
-	for d, name := range resourceLabels {
+	for r, name := range resourceLabels {
 		s := m.Scope.Tagged(map[string]string{"kind": name})
-		i.storeReads[d], i.failedStoreReads[d] = s.Counter("store_reads"), s.Counter("store_reads_failed")
-		i.dataAge[d] = s.Gauge("knowledge_age_seconds")
+		i.storeReads[r], i.failedStoreReads[r] = s.Counter("store_reads"), s.Counter("store_reads_failed")
+		i.dataAge[r] = s.Gauge("knowledge_age_seconds")
 	}
 	return i
 }
@@ -93,7 +93,7 @@
 		s.instruments.savedDispatches.Update(s.budget.Available())
 		s.instruments.burst.Update(float64(c.retryShare.burst))
 	}
-	for d := range resourceCount {
-		i.dataAge[d].Update(c.age(now, d).Seconds())
+	for r := range resourceCount {
+		i.dataAge[r].Update(c.age(now, r).Seconds())
 	}
 }
--- a/internal/gateway/leaving_response_test.go
+++ b/internal/gateway/leaving_response_test.go
@@ -33,7 +33,8 @@
 }
 
 // A target announces in a response that it is leaving. Then its record or its service is
-// removed and comes back. The entry must remember the announcement and send no requests.
+// removed and comes back. The entry must remember the announcement and send the target no
+// requests.
 func TestLeavingIsRememberedWithoutRecord(t *testing.T) {
 	checkLeaving(t, []leaveCase{
 		{"record removed and back", func(w *world, e *entry) {
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -47,7 +47,8 @@
 }
 
 // A request waits for a target of a service that a new configuration removes, and then the
-// target's record is removed. The request must not be sent to the target.
+// target's record is removed. The balancer of the removed service must drop the target, or
+// it would still send the request there.
 func TestLeavingTargetOfADroppedService(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1})
 	e := w.startEntry("a").waitReady()
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -17,7 +17,8 @@
 	limitWindow = 4 * time.Second
 )
 
-// maxLimited returns how many requests may reach a target within limitWindow.
+// maxLimited returns how many requests a target with this limit may get within
+// limitWindow.
 func maxLimited(rate float64) int { return int(1.5*rate*limitWindow.Seconds() + 5) }
 
 // A target reports a limit. All entries together must keep to it, still use the target, and
@@ -49,16 +50,16 @@
 			entries := startEntries(w, tt.entries)
 			stop := w.callContinuously(t.Context(), entries, 2)
 			time.Sleep(time.Second)
-			named := time.Now()
+			limitedAt := time.Now()
 			for _, k := range w.workers[:tt.limited] {
 				k.SetLimit(tt.limit)
 			}
 			time.Sleep(load)
 			replies := stop()
 			for i, k := range w.workers[:tt.limited] {
-				n := maxRunsWithin(k.Runs(), named.Add(limitDelay), limitWindow)
+				n := maxRunsWithin(k.Runs(), limitedAt.Add(limitDelay), limitWindow)
 				w.c.Check(n <= maxLimited(tt.rate), qt.IsTrue, qt.Commentf("target %d got %d in %v, allowed %d", i, n, limitWindow, maxLimited(tt.rate)))
-				used := runsSince(k.Runs(), named)
+				used := runsSince(k.Runs(), limitedAt)
 				w.c.Check(float64(used) >= tt.rate*load.Seconds()/4, qt.IsTrue, qt.Commentf("target %d got %d in %v", i, used, load))
 			}
 			for _, a := range replies {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -272,8 +272,8 @@
 	}
 }
 
-// endKind maps the stage at which a dispatch failed to the outcome that the slot
-// scheduler records for the target.
+// failureOutcome maps the stage at which a dispatch failed to the outcome that the balancer
+// records for the target.
 func endKind(stage call.Stage) slot.Outcome {
 	switch stage {
 	case call.StageCancelled, call.StageCaller:
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -15,16 +15,16 @@
 // requests for that time, and pass a Retry-After on to callers if no other target is left.
 func TestRetryAfterOfATarget(t *testing.T) {
 	const (
-		// heedAfter is how long after the refusal the limit starts to apply.
-		heedAfter = 500 * time.Millisecond
-		most      = 2 // requests from then until the pause ends
-		objective = time.Second
+		// heedAfter is how long after the refusal the entry must observe the pause.
+		heedAfter   = 500 * time.Millisecond
+		maxRequests = 2 // after heedAfter, until the pause ends
+		objective   = time.Second
 	)
 	tests := []struct {
 		name   string
 		after  string
 		hold   time.Duration
-		others int // targets that are well
+		others int // healthy targets
 	}{
 		{"no other target", "3", 3 * time.Second, 0},
 		{"no other target, a fraction", "2.25", 2250 * time.Millisecond, 0},
@@ -67,7 +67,7 @@
 					n++
 				}
 			}
-			w.c.Assert(n <= most, qt.IsTrue, qt.Commentf("%d requests", n))
+			w.c.Assert(n <= maxRequests, qt.IsTrue, qt.Commentf("%d requests", n))
 			k.SetFaults(nil)
 			w.waitFor("it is used again", func() bool {
 				e.call("GET", "/a/x", "")
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -46,14 +46,14 @@
 	w.waitFor("both live", func() bool {
 		return len(entries[0].view.Load().live) == 2 && len(entries[1].view.Load().live) == 2
 	})
-	named := entries[0].view.Load().callerAddresses("veil.example", "metro", entries[0].self)
+	addresses := entries[0].view.Load().callerAddresses("veil.example", "metro", entries[0].self)
 	dead, other := entries[0], entries[1]
-	if named[0] == other.self.CallerAddress {
+	if addresses[0] == other.self.CallerAddress {
 		dead, other = other, dead
 	}
 	dead.relay.Close()
 	began := time.Now()
-	w.waitFor("another entry is named", func() bool {
+	w.waitFor("callers are sent to the other entry", func() bool {
 		return other.view.Load().callerAddresses("veil.example", "metro", other.self)[0] == other.self.CallerAddress
 	})
 	w.c.Assert(time.Since(began) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
@@ -77,7 +77,7 @@
 			w.workers[0].SetFaults(func(*http.Request) worker.Fault { return worker.Fault{NoResponse: true} })
 			answers := make(chan callResult, 1)
 			go func() { answers <- e.callWith(context.Background(), "q-held", "POST", "/a/x", "b") }()
-			w.waitFor("it is at its target", func() bool { return w.runs("q-held") == 1 })
+			w.waitFor("the request is at its target", func() bool { return w.runs("q-held") == 1 })
 			e.stop()
 			w.c.Assert(<-e.done, qt.IsNil)
 			select {
