--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -33,7 +33,7 @@
 func TestCrashesAmongRefusals(t *testing.T) {
 	tests := []struct {
 		name  string
-		every int // which arrivals get the fault in place of the crash
+		every int // one in so many arrivals crashes its target; the others get the fault
 		fault worker.Fault
 	}{
 		{"every second one is refused", 2, worker.Fault{Shed: true}},
--- a/internal/gateway/fresh.go
+++ b/internal/gateway/fresh.go
@@ -29,8 +29,9 @@
 	recentRequestWindow = time.Second
 	// maxRefreshWait bounds the wait of all requests for one read, from the first one that
 	// waits. The store responds within 4 ms, and the shortest objective is 150 ms. When
-	// each request had its own limit, a store that stopped responding delayed 93 of 255
-	// requests in two seconds; with a common limit it delays 12.
+	// each request had its own limit, a store that stopped responding delayed requests
+	// until a call to it had failed: 93 of 255 in two seconds were late. With a common
+	// limit it is 12.
 	maxRefreshWait = 50 * time.Millisecond
 	// refreshPollInterval is how often a waiting request checks the age again.
 	refreshPollInterval = 5 * time.Millisecond
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// limitDelay is how long after a target has reported a limit all entries must obey it.
+	// limitDelay is the time within which all entries must obey a limit that a target has
+	// reported.
 	limitDelay  = 500 * time.Millisecond
 	limitWindow = 4 * time.Second
 )
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -125,7 +125,7 @@
 // announceSuspects announces the target crashes that this entry has seen since the last
 // announcement. A crash goes to the owners only, since a caller sends its retry to an
 // owner; a quarantine goes to all entries. When each crash went to all 472 entries, a
-// fault of 105 targets caused half of all bytes sent between entries.
+// fault of 105 targets caused half of the bytes of all packets.
 func (c *control) announceSuspects(now time.Time) {
 	var rumours member.Rumours
 	var changed []call.Suspect
