--- a/internal/gateway/fresh.go
+++ b/internal/gateway/fresh.go
@@ -29,8 +29,9 @@
 	recentRequestWindow = time.Second
 	// maxRefreshWait bounds the wait of all requests for one read, from the first one that
 	// waits. The store responds within 4 ms, and the shortest objective is 150 ms. When
-	// each request had its own limit, a store that stopped responding delayed 93 of 255
-	// requests in two seconds; with a common limit it delays 12.
+	// each request had its own limit, a store that stopped responding delayed requests
+	// until a call to it had failed: 93 of 255 in two seconds were late. With a common
+	// limit it is 12.
 	maxRefreshWait = 50 * time.Millisecond
 	// refreshPollInterval is how often a waiting request checks the age again.
 	refreshPollInterval = 5 * time.Millisecond
@@ -62,8 +63,8 @@
 
 func newFreshness() *freshness {
 	f := &freshness{changed: make(chan struct{})}
-	for d := range f.wakeups {
-		f.wakeups[d] = make(chan struct{}, 1)
+	for r := range f.wakeups {
+		f.wakeups[r] = make(chan struct{}, 1)
 	}
 	return f
 }
@@ -86,16 +87,16 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastRequest = now
-	for d, confirmed := range f.confirmed {
-		if f.storeUnavailable || confirmed.IsZero() || now.Sub(confirmed) < maxAges[d] {
-			f.waitStart[d] = time.Time{}
+	for r, confirmed := range f.confirmed {
+		if f.storeUnavailable || confirmed.IsZero() || now.Sub(confirmed) < maxAges[r] {
+			f.waitStart[r] = time.Time{}
 			continue
 		}
-		if f.waitStart[d].IsZero() {
-			f.waitStart[d] = now
+		if f.waitStart[r].IsZero() {
+			f.waitStart[r] = now
 		}
-		if now.Sub(f.waitStart[d]) < maxRefreshWait {
-			wait = append(wait, resource(d))
+		if now.Sub(f.waitStart[r]) < maxRefreshWait {
+			wait = append(wait, resource(r))
 		}
 	}
 	return wait, f.changed
@@ -110,9 +111,9 @@
 
 // wakeReaders makes the readers of these resources read now.
 func (f *freshness) wakeReaders(resources []resource) {
-	for _, d := range resources {
+	for _, r := range resources {
 		select {
-		case f.wakeups[d] <- struct{}{}:
+		case f.wakeups[r] <- struct{}{}:
 		default:
 		}
 	}
@@ -150,8 +151,8 @@
 // resourceNames joins the names of resources for a log line.
 func resourceNames(resources []resource) string {
 	var names []string
-	for _, d := range resources {
-		names = append(names, resourceLabels[d])
+	for _, r := range resources {
+		names = append(names, resourceLabels[r])
 	}
 	return strings.Join(names, " ")
 }
