--- a/pkg/slot/book.go
+++ b/pkg/slot/book.go
@@ -22,7 +22,7 @@
 	serviceTimes   serviceTimes
 	meanPace       float64   // over the last load reports of all targets
 	meanSamples    int       // load reports that count in meanPace
-	crowdedFactor  float64   // measured increase of the service time at a crowded target
+	crowdedFactor  float64   // measured factor of the service time at a crowded target
 	stats          loadStats // of the targets, from the last scan
 	warmup         Warmup
 	senders        quota.Senders
@@ -103,25 +103,25 @@
 
 // Submit accepts a request and dispatches, queues or refuses it, or probes targets for it.
 func (b *Balancer) Submit(now time.Time, r Request, out []Action) []Action {
-	s := &pendingRequest{Request: r, serviceTime: b.serviceTimes.forClass(r.Class)}
-	b.pending[r.ID] = s
+	p := &pendingRequest{Request: r, serviceTime: b.serviceTimes.forClass(r.Class)}
+	b.pending[r.ID] = p
 	if !b.anyAvailable() || !b.anyInRegions(r.Regions) {
-		return b.refuse(s, NoTarget, b.config.MinEjection, out)
+		return b.refuse(p, NoTarget, b.config.MinEjection, out)
 	}
 	out = b.probeLimits(now, out)
-	if reason, retryAfter, ok := b.throttledPastObjective(now, s); ok {
-		return b.refuse(s, reason, retryAfter, out)
+	if reason, retryAfter, ok := b.throttledPastObjective(now, p); ok {
+		return b.refuse(p, reason, retryAfter, out)
 	}
 	if r.Hedge {
-		return b.probe(now, s, out)
+		return b.probe(now, p, out)
 	}
-	if len(b.queue) > 0 && b.queueTooLong(now, s) {
-		return b.refuse(s, Full, b.retryDelay(s.serviceTime), out)
+	if len(b.queue) > 0 && b.queueTooLong(now, p) {
+		return b.refuse(p, Full, b.retryDelay(p.serviceTime), out)
 	}
-	if len(b.queue) > 0 || !b.anyUsable(now, s) {
-		return b.enqueue(now, s, out)
+	if len(b.queue) > 0 || !b.anyUsable(now, p) {
+		return b.enqueue(now, p, out)
 	}
-	return b.probe(now, s, out)
+	return b.probe(now, p, out)
 }
 
 // ProbeDone handles the end of a probe.
@@ -135,13 +135,13 @@
 	out = b.applyReport(now, m.probedAt, m, r.Report, true, out)
 	waiters := m.probeWaiters
 	m.probeWaiters = nil
-	for _, s := range waiters {
-		if b.pending[s.ID] != s || s.outstanding == 0 {
+	for _, p := range waiters {
+		if b.pending[p.ID] != p || p.outstanding == 0 {
 			continue
 		}
-		s.outstanding--
-		if s.outstanding == 0 || r.Report.HasLoad && b.ideal(now, m, s) {
-			out = b.decide(now, s, out)
+		p.outstanding--
+		if p.outstanding == 0 || r.Report.HasLoad && b.ideal(now, m, p) {
+			out = b.decide(now, p, out)
 		}
 	}
 	return out
@@ -288,11 +288,11 @@
 
 // Cancel withdraws a request, whether it is pending or at a target.
 func (b *Balancer) Cancel(now time.Time, id uint64, out []Action) []Action {
-	s := b.pending[id]
-	if s == nil {
+	p := b.pending[id]
+	if p == nil {
 		return b.Done(now, Completion{ID: id, Outcome: Cancelled}, out)
 	}
-	b.remove(s)
+	b.remove(p)
 	return out
 }
 
@@ -311,30 +311,30 @@
 	return len(b.pending), len(b.dispatches)
 }
 
-func (b *Balancer) remove(s *pendingRequest) {
-	delete(b.pending, s.ID)
-	if s.queued {
-		s.queued = false
-		b.queue = slices.DeleteFunc(b.queue, func(q *pendingRequest) bool { return q == s })
+func (b *Balancer) remove(p *pendingRequest) {
+	delete(b.pending, p.ID)
+	if p.queued {
+		p.queued = false
+		b.queue = slices.DeleteFunc(b.queue, func(q *pendingRequest) bool { return q == p })
 	}
 }
 
-func (b *Balancer) refuse(s *pendingRequest, reason Reason, retryAfter time.Duration, out []Action) []Action {
-	b.remove(s)
-	return append(out, Action{Kind: Refuse, ID: s.ID, Reason: reason, RetryAfter: retryAfter})
+func (b *Balancer) refuse(p *pendingRequest, reason Reason, retryAfter time.Duration, out []Action) []Action {
+	b.remove(p)
+	return append(out, Action{Kind: Refuse, ID: p.ID, Reason: reason, RetryAfter: retryAfter})
 }
 
-func (b *Balancer) dispatch(now time.Time, s *pendingRequest, m *member, out []Action) []Action {
-	b.remove(s)
+func (b *Balancer) dispatch(now time.Time, p *pendingRequest, m *member, out []Action) []Action {
+	b.remove(p)
 	pace := m.estimatedPace(now, b.meanPace, &b.config)
 	concurrent := m.totalInFlight(now, &b.config)
 	decision := Decision{
-		InFlight: concurrent, LoadKnown: m.loadKnown, Pace: m.pace, LoadAge: now.Sub(m.loadAt), Probed: s.probed, Waited: now.Sub(s.Arrived),
-		Expected: m.expectedLatency(now, s.serviceTime, pace, b.crowdedFactor, &b.config),
+		InFlight: concurrent, LoadKnown: m.loadKnown, Pace: m.pace, LoadAge: now.Sub(m.loadAt), Probed: p.probed, Waited: now.Sub(p.Arrived),
+		Expected: m.expectedLatency(now, p.serviceTime, pace, b.crowdedFactor, &b.config),
 	}
 	m.inFlight++
 	m.coldLimiter.RecordSent(now)
 	m.limit.limiter.RecordSent(now)
-	b.dispatches[s.ID] = &dispatch{member: m, sent: now, concurrent: concurrent, pace: pace, class: s.Class, serviceTime: s.serviceTime}
-	return append(out, Action{Kind: Send, ID: s.ID, Target: m.Target, Decision: decision})
+	b.dispatches[p.ID] = &dispatch{member: m, sent: now, concurrent: concurrent, pace: pace, class: p.Class, serviceTime: p.serviceTime}
+	return append(out, Action{Kind: Send, ID: p.ID, Target: m.Target, Decision: decision})
 }
--- a/pkg/slot/choose.go
+++ b/pkg/slot/choose.go
@@ -21,14 +21,14 @@
 	return len(regions) == 0 || slices.ContainsFunc(b.sorted, func(m *member) bool { return !m.excluded() && m.inRegions(regions) })
 }
 
-// usable reports whether s may be dispatched to m, by the current estimate of its load.
-func (b *Balancer) usable(now time.Time, m *member, s *pendingRequest) bool {
-	return m.acceptsRequests(now) && m.totalInFlight(now, &b.config) < m.Slots && b.admits(now, m) && m.inRegions(s.Regions) && !slices.Contains(s.Tried, m.ID)
+// usable reports whether p may be dispatched to m, by the current estimate of m's load.
+func (b *Balancer) usable(now time.Time, m *member, p *pendingRequest) bool {
+	return m.acceptsRequests(now) && m.totalInFlight(now, &b.config) < m.Slots && b.admits(now, m) && m.inRegions(p.Regions) && !slices.Contains(p.Tried, m.ID)
 }
 
-// anyUsable reports whether any target may get s.
-func (b *Balancer) anyUsable(now time.Time, s *pendingRequest) bool {
-	return slices.ContainsFunc(b.sorted, func(m *member) bool { return b.usable(now, m, s) })
+// anyUsable reports whether any target may get p.
+func (b *Balancer) anyUsable(now time.Time, p *pendingRequest) bool {
+	return slices.ContainsFunc(b.sorted, func(m *member) bool { return b.usable(now, m, p) })
 }
 
 // candidate is a target with the expected latency of a response from it.
@@ -39,9 +39,9 @@
 	cost     float64 // expected latency with all penalties
 }
 
-// candidates returns at most n targets that may get s, in order of cost. It scans all
+// candidates returns at most n targets that may get p, in order of cost. It scans all
 // targets once from a random offset, so that targets of equal cost take turns.
-func (b *Balancer) candidates(now time.Time, s *pendingRequest, n int) []candidate {
+func (b *Balancer) candidates(now time.Time, p *pendingRequest, n int) []candidate {
 	list := b.scratch[:0]
 	total := len(b.sorted)
 	if total == 0 || n <= 0 {
@@ -52,19 +52,19 @@
 	for i := range total {
 		m := b.sorted[(offset+i)%total]
 		stats.add(now, m, &b.config)
-		if !b.usable(now, m, s) {
+		if !b.usable(now, m, p) {
 			continue
 		}
-		list = insert(list, b.candidate(now, m, s), n)
+		list = insert(list, b.candidate(now, m, p), n)
 	}
 	b.scratch = list
 	b.stats = stats
 	return list
 }
 
-func (b *Balancer) candidate(now time.Time, m *member, s *pendingRequest) candidate {
+func (b *Balancer) candidate(now time.Time, m *member, p *pendingRequest) candidate {
 	pace := m.estimatedPace(now, b.meanPace, &b.config)
-	c := candidate{member: m, pace: pace, expected: m.expectedLatency(now, s.serviceTime, pace, b.crowdedFactor, &b.config)}
+	c := candidate{member: m, pace: pace, expected: m.expectedLatency(now, p.serviceTime, pace, b.crowdedFactor, &b.config)}
 	c.cost = b.costOf(now, c)
 	return c
 }
@@ -108,16 +108,16 @@
 }
 
 // probe probes the most promising targets for their load.
-func (b *Balancer) probe(now time.Time, s *pendingRequest, out []Action) []Action {
-	list := b.candidates(now, s, maxCandidates)
+func (b *Balancer) probe(now time.Time, p *pendingRequest, out []Action) []Action {
+	list := b.candidates(now, p, maxCandidates)
 	if len(list) == 0 {
-		return b.decide(now, s, out)
+		return b.decide(now, p, out)
 	}
-	s.shortlist = [maxCandidates]*member{}
+	p.shortlist = [maxCandidates]*member{}
 	for i, c := range list {
-		s.shortlist[i] = c.member
+		p.shortlist[i] = c.member
 	}
-	s.probeDeadline = now.Add(b.config.ProbeTimeout)
+	p.probeDeadline = now.Add(b.config.ProbeTimeout)
 	extra := b.extraProbes()
 	for i, c := range list[:min(len(list), max(b.config.Probes, 0)+extra)] {
 		if i >= b.config.Probes && !c.loadUnknown(now, &b.config) {
@@ -126,17 +126,17 @@
 		if c.omitsLoad || c.loadKnown && now.Sub(c.loadAt) < freshLoadAge {
 			continue
 		}
-		s.outstanding++
-		s.probed++
-		c.probeWaiters = append(c.probeWaiters, s)
+		p.outstanding++
+		p.probed++
+		c.probeWaiters = append(c.probeWaiters, p)
 		if c.probing {
 			continue
 		}
 		c.probing, c.probedAt = true, now
 		out = append(out, Action{Kind: SendProbe, Target: c.Target})
 	}
-	if s.outstanding == 0 {
-		return b.decide(now, s, out)
+	if p.outstanding == 0 {
+		return b.decide(now, p, out)
 	}
 	return out
 }
@@ -154,41 +154,41 @@
 
 // ideal reports whether m has just reported that it is idle and that its pace is normal. No
 // other answer can change the choice then.
-func (b *Balancer) ideal(now time.Time, m *member, s *pendingRequest) bool {
-	idle := b.usable(now, m, s) && m.totalInFlight(now, &b.config) == 0
+func (b *Balancer) ideal(now time.Time, m *member, p *pendingRequest) bool {
+	idle := b.usable(now, m, p) && m.totalInFlight(now, &b.config) == 0
 	return idle && m.pace <= maxIdealPace && m.currentLatencyRatio(now) < maxIdealLatencyRatio && !m.isCold(now)
 }
 
-// decide dispatches s to the acceptable target with the lowest cost.
-func (b *Balancer) decide(now time.Time, s *pendingRequest, out []Action) []Action {
-	s.outstanding = 0
-	m := b.firstAcceptable(now, s, b.refreshShortlist(now, s))
+// decide dispatches p to the acceptable target with the lowest cost.
+func (b *Balancer) decide(now time.Time, p *pendingRequest, out []Action) []Action {
+	p.outstanding = 0
+	m := b.firstAcceptable(now, p, b.refreshShortlist(now, p))
 	if m == nil {
-		m = b.firstAcceptable(now, s, b.candidates(now, s, maxCandidates))
+		m = b.firstAcceptable(now, p, b.candidates(now, p, maxCandidates))
 	}
 	if m == nil {
-		return b.waitOrRefuse(now, s, out)
+		return b.waitOrRefuse(now, p, out)
 	}
-	return b.dispatch(now, s, m, out)
+	return b.dispatch(now, p, m, out)
 }
 
-func (b *Balancer) firstAcceptable(now time.Time, s *pendingRequest, list []candidate) *member {
+func (b *Balancer) firstAcceptable(now time.Time, p *pendingRequest, list []candidate) *member {
 	for _, c := range list {
-		if b.acceptable(now, c, s) {
+		if b.acceptable(now, c, p) {
 			return c.member
 		}
 	}
 	return nil
 }
 
-// refreshShortlist returns the shortlist of s with current costs. Little else changes while
+// refreshShortlist returns the shortlist of p with current costs. Little else changes while
 // the probes are answered, so a second scan of all targets is needed only when none of these
 // is acceptable. That scan takes half of the time of a decision with 250 targets.
-func (b *Balancer) refreshShortlist(now time.Time, s *pendingRequest) []candidate {
+func (b *Balancer) refreshShortlist(now time.Time, p *pendingRequest) []candidate {
 	list := b.scratch[:0]
-	for _, m := range s.shortlist {
-		if m != nil && b.members[m.ID] == m && b.usable(now, m, s) {
-			list = insert(list, b.candidate(now, m, s), maxCandidates)
+	for _, m := range p.shortlist {
+		if m != nil && b.members[m.ID] == m && b.usable(now, m, p) {
+			list = insert(list, b.candidate(now, m, p), maxCandidates)
 		}
 	}
 	b.scratch = list
@@ -200,32 +200,32 @@
 // extra probes when the load of many targets is unknown.
 const maxCandidates = 12
 
-// acceptable reports whether the target is expected to answer s within its objective. A
+// acceptable reports whether the target is expected to answer p within its objective. A
 // second request at a slow target would delay both for long.
-func (b *Balancer) acceptable(now time.Time, c candidate, s *pendingRequest) bool {
+func (b *Balancer) acceptable(now time.Time, c candidate, p *pendingRequest) bool {
 	if c.totalInFlight(now, &b.config) > 0 && c.pace > b.config.SlowPace {
 		return false
 	}
-	return !now.Add(c.expected).After(s.Objective)
+	return !now.Add(c.expected).After(p.Objective)
 }
 
 // waitOrRefuse handles a request for which no target is acceptable. It is queued while it
 // can still meet its objective. After that it is dispatched late to an idle target, or
 // refused.
-func (b *Balancer) waitOrRefuse(now time.Time, s *pendingRequest, out []Action) []Action {
-	if s.Hedge {
-		return b.refuse(s, Full, 0, out)
+func (b *Balancer) waitOrRefuse(now time.Time, p *pendingRequest, out []Action) []Action {
+	if p.Hedge {
+		return b.refuse(p, Full, 0, out)
 	}
-	if now.Add(s.serviceTime).Before(s.Objective) {
-		return b.enqueue(now, s, out)
+	if now.Add(p.serviceTime).Before(p.Objective) {
+		return b.enqueue(now, p, out)
 	}
-	for _, c := range b.candidates(now, s, maxCandidates) {
-		if c.totalInFlight(now, &b.config) == 0 && c.pace <= b.config.SlowPace && now.Add(c.expected).Before(s.Deadline) {
-			return b.dispatch(now, s, c.member, out)
+	for _, c := range b.candidates(now, p, maxCandidates) {
+		if c.totalInFlight(now, &b.config) == 0 && c.pace <= b.config.SlowPace && now.Add(c.expected).Before(p.Deadline) {
+			return b.dispatch(now, p, c.member, out)
 		}
 	}
-	if reason, retryAfter, ok := b.throttledPastObjective(now, s); ok {
-		return b.refuse(s, reason, retryAfter, out)
+	if reason, retryAfter, ok := b.throttledPastObjective(now, p); ok {
+		return b.refuse(p, reason, retryAfter, out)
 	}
-	return b.refuse(s, Full, b.retryDelay(s.serviceTime), out)
+	return b.refuse(p, Full, b.retryDelay(p.serviceTime), out)
 }
--- a/pkg/slot/cold_test.go
+++ b/pkg/slot/cold_test.go
@@ -232,9 +232,9 @@
 }
 
 // BenchmarkSubmitEvacuatedAndCold measures a decision among 300 targets: 17 us if all are
-// warm and in use, 14 us if 100 are evacuated and 50 cold, with 3 allocations each. Without
-// the checks of evacuations and shares, it takes 18.6 us and 3 allocations if all are in
-// use.
+// warm and in use, 14 us if 100 are evacuated and 50 cold, with 3 allocations each. An
+// earlier version without evacuations and shares took 18.6 us and 3 allocations if all were
+// in use.
 func BenchmarkSubmitEvacuatedAndCold(b *testing.B) {
 	for _, bb := range []struct {
 		name            string
--- a/pkg/slot/config.go
+++ b/pkg/slot/config.go
@@ -8,15 +8,15 @@
 	Probes               int           // probes per request; 0 takes the default, a negative value disables probes
 	ProbeTimeout         time.Duration // longest wait for the answers to probes
 	InitialServiceTime   time.Duration // baseline service time before any is measured
-	InitialCrowdedFactor float64       // increase of the service time at a crowded target before any is measured
+	InitialCrowdedFactor float64       // factor of the service time at a crowded target before any is measured
 	SlowPace             float64       // targets are slow above this pace
 	LoadHalfLife         time.Duration // age at which a load report has lost half of its weight
-	MinEjection          time.Duration // first ejection of a failing target; doubles with each failed trial request
+	MinEjection          time.Duration // length of the first ejection of a failing target; doubles with each failed trial request
 	MaxEjection          time.Duration
 }
 
-// Defaults. With two slots per target, these values serve most requests within the
-// objective.
+// Defaults. With two slots per target, these values serve the largest share of requests
+// within the objective.
 const (
 	defaultProbes        = 4
 	defaultProbeTimeout  = 20 * time.Millisecond
--- a/pkg/slot/homes_test.go
+++ b/pkg/slot/homes_test.go
@@ -16,10 +16,10 @@
 	h.SetTargets(h.now, []Target{
 		{ID: "t0", Slots: 2, Region: "metro"}, {ID: "t1", Slots: 2, Region: "river"}, {ID: "t2", Slots: 2},
 	}, nil)
-	arrive := func(homes ...string) []Action {
+	arrive := func(regions ...string) []Action {
 		h.lastID++
 		out := h.Submit(h.now, Request{
-			ID: h.lastID, Arrived: h.now, Objective: h.now.Add(200 * time.Millisecond), Deadline: h.now.Add(time.Second), Regions: homes,
+			ID: h.lastID, Arrived: h.now, Objective: h.now.Add(200 * time.Millisecond), Deadline: h.now.Add(time.Second), Regions: regions,
 		}, nil)
 		for _, a := range actionsOf(out, SendProbe) {
 			out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
@@ -44,5 +44,5 @@
 			out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 		}
 	}
-	c.Assert(actionsOf(out, Send), qt.HasLen, 1, qt.Commentf("one without homes goes anywhere"))
+	c.Assert(actionsOf(out, Send), qt.HasLen, 1, qt.Commentf("one without regions goes anywhere"))
 }
--- a/pkg/slot/limit.go
+++ b/pkg/slot/limit.go
@@ -26,8 +26,8 @@
 
 // update applies a report from the response to a request or a probe that was sent at the
 // time sent, and reports whether the limit has changed. A response may be older than the
-// last report of a limit if its request was sent before that report; it neither raises nor
-// ends the limit.
+// last report of a limit if its request was sent before that report; such a response neither
+// raises nor ends the limit.
 func (l *targetLimit) update(now, sent time.Time, r Report, isProbe bool) (changed bool) {
 	stale := sent.Before(l.reportedAt)
 	switch {
@@ -99,7 +99,7 @@
 	}
 }
 
-// probeLimits probes targets whether they still have a limit.
+// probeLimits probes limited targets to learn whether their limit has changed or ended.
 func (b *Balancer) probeLimits(now time.Time, out []Action) []Action {
 	if b.limitedTargets == 0 {
 		return out
--- a/pkg/slot/member.go
+++ b/pkg/slot/member.go
@@ -53,9 +53,9 @@
 }
 
 // estimatedPace returns the expected current pace: the last reported one, which approaches
-// the mean of all targets as it ages. A target that has reported nothing gets the mean. A
-// normal pace as its estimate would make it preferable to targets that were probed and
-// reported about the normal pace.
+// the mean of all targets as it ages. A target that has reported nothing gets the mean. If it
+// got the normal pace, it would be preferred to targets that were probed and reported a
+// normal pace.
 func (m *member) estimatedPace(now time.Time, meanPace float64, c *Config) float64 {
 	if !m.loadKnown {
 		return meanPace
@@ -123,8 +123,8 @@
 	m.loadAt = now
 }
 
-// updateRecord replaces the target's record. That its address is reused, as a response has
-// shown, holds until the record changes. A target that is leaving doesn't return without a
+// updateRecord replaces the target's record. A target whose address was found to be reused
+// stays excluded until its record changes. A target that is leaving doesn't return without a
 // restart: a record that says otherwise is an older one.
 func (m *member) updateRecord(t Target) {
 	t.Leaving = t.Leaving || m.Leaving
@@ -139,7 +139,7 @@
 
 // excluded reports whether the target may get no new requests. What it has reported in a
 // response takes precedence over its record: the store may be unavailable, or the record
-// older.
+// out of date.
 func (m *member) excluded() bool {
 	return m.Leaving || !m.leavingSince.IsZero() || m.Evacuated || m.addressReused
 }
--- a/pkg/slot/queue.go
+++ b/pkg/slot/queue.go
@@ -10,15 +10,15 @@
 // 150 ms, so a target that was probed less than 15 ms ago has little new to report.
 const reprobeInterval = 15 * time.Millisecond
 
-// enqueue adds s to the queue and schedules its next probes.
-func (b *Balancer) enqueue(now time.Time, s *pendingRequest, out []Action) []Action {
-	s.nextProbe = now.Add(reprobeInterval)
-	if s.queued {
+// enqueue adds p to the queue and schedules its next probes.
+func (b *Balancer) enqueue(now time.Time, p *pendingRequest, out []Action) []Action {
+	p.nextProbe = now.Add(reprobeInterval)
+	if p.queued {
 		return out
 	}
-	s.queued = true
-	i, _ := slices.BinarySearchFunc(b.queue, s, compareQueued)
-	b.queue = slices.Insert(b.queue, i, s)
+	p.queued = true
+	i, _ := slices.BinarySearchFunc(b.queue, p, compareQueued)
+	b.queue = slices.Insert(b.queue, i, p)
 	return out
 }
 
@@ -27,15 +27,15 @@
 	return cmp.Or(cmp.Compare(x.Priority, y.Priority), x.Objective.Compare(y.Objective), cmp.Compare(x.ID, y.ID))
 }
 
-// queueTooLong reports whether the requests ahead of s would make it miss its objective.
-func (b *Balancer) queueTooLong(now time.Time, s *pendingRequest) bool {
+// queueTooLong reports whether the requests ahead of p would make it miss its objective.
+func (b *Balancer) queueTooLong(now time.Time, p *pendingRequest) bool {
 	serviceTime := b.serviceTimes.overall.mean
-	slots := b.capacity(now, s.Regions, serviceTime)
+	slots := b.capacity(now, p.Regions, serviceTime)
 	if slots == 0 {
 		slots = 1
 	}
-	wait := time.Duration(float64(serviceTime) * float64(b.queuedAhead(s)+1) / slots)
-	return now.Add(wait + s.serviceTime).After(s.Objective)
+	wait := time.Duration(float64(serviceTime) * float64(b.queuedAhead(p)+1) / slots)
+	return now.Add(wait + p.serviceTime).After(p.Objective)
 }
 
 // serveQueue dispatches queued requests to targets that have become acceptable by recent
@@ -44,16 +44,16 @@
 	if len(b.queue) > 0 && !b.anyAvailable() {
 		return b.refuseQueue(out)
 	}
-	for _, s := range slices.Clone(b.queue) {
-		if s.outstanding > 0 {
+	for _, p := range slices.Clone(b.queue) {
+		if p.outstanding > 0 {
 			continue
 		}
-		if actions, sent := b.tryDispatch(now, s, out); sent {
+		if actions, sent := b.tryDispatch(now, p, out); sent {
 			out = actions
 			continue
 		}
-		if !now.Add(s.serviceTime).Before(s.Objective) {
-			out = b.waitOrRefuse(now, s, out)
+		if !now.Add(p.serviceTime).Before(p.Objective) {
+			out = b.waitOrRefuse(now, p, out)
 		}
 	}
 	return out
@@ -62,17 +62,17 @@
 // refuseQueue refuses all queued requests when no target is available. Otherwise they would
 // wait in vain until their objective has passed.
 func (b *Balancer) refuseQueue(out []Action) []Action {
-	for _, s := range slices.Clone(b.queue) {
-		out = b.refuse(s, NoTarget, b.config.MinEjection, out)
+	for _, p := range slices.Clone(b.queue) {
+		out = b.refuse(p, NoTarget, b.config.MinEjection, out)
 	}
 	return out
 }
 
-// tryDispatch dispatches s to a target that is acceptable by a recent load report.
-func (b *Balancer) tryDispatch(now time.Time, s *pendingRequest, out []Action) (actions []Action, sent bool) {
-	for _, c := range b.candidates(now, s, maxCandidates) {
-		if now.Sub(c.loadAt) < reprobeInterval && b.acceptable(now, c, s) {
-			return b.dispatch(now, s, c.member, out), true
+// tryDispatch dispatches p to a target that is acceptable by a recent load report.
+func (b *Balancer) tryDispatch(now time.Time, p *pendingRequest, out []Action) (actions []Action, sent bool) {
+	for _, c := range b.candidates(now, p, maxCandidates) {
+		if now.Sub(c.loadAt) < reprobeInterval && b.acceptable(now, c, p) {
+			return b.dispatch(now, p, c.member, out), true
 		}
 	}
 	return out, false
@@ -80,9 +80,9 @@
 
 // Tick handles probe timeouts and the queue, and sends the next probes.
 func (b *Balancer) Tick(now time.Time, out []Action) []Action {
-	for _, s := range b.pending {
-		if s.outstanding > 0 && !now.Before(s.probeDeadline) {
-			out = b.decide(now, s, out)
+	for _, p := range b.pending {
+		if p.outstanding > 0 && !now.Before(p.probeDeadline) {
+			out = b.decide(now, p, out)
 		}
 	}
 	return b.probeForQueue(now, b.serveQueue(now, out))
@@ -92,13 +92,13 @@
 // set anew even if no target is usable. Otherwise the timer would be due again at once until
 // a target is usable, and keep the CPU busy during an overload.
 func (b *Balancer) probeForQueue(now time.Time, out []Action) []Action {
-	for _, s := range slices.Clone(b.queue) {
-		if !s.queued || s.outstanding > 0 || now.Before(s.nextProbe) {
+	for _, p := range slices.Clone(b.queue) {
+		if !p.queued || p.outstanding > 0 || now.Before(p.nextProbe) {
 			continue
 		}
-		s.nextProbe = now.Add(reprobeInterval)
-		if b.anyUsable(now, s) {
-			out = b.probe(now, s, out)
+		p.nextProbe = now.Add(reprobeInterval)
+		if b.anyUsable(now, p) {
+			out = b.probe(now, p, out)
 		}
 	}
 	return out
@@ -111,17 +111,17 @@
 			at = t
 		}
 	}
-	for _, s := range b.pending {
-		if s.outstanding > 0 {
-			needBy(s.probeDeadline)
+	for _, p := range b.pending {
+		if p.outstanding > 0 {
+			needBy(p.probeDeadline)
 		}
 	}
-	for _, s := range b.queue {
-		if s.outstanding > 0 {
+	for _, p := range b.queue {
+		if p.outstanding > 0 {
 			continue // its probe answers or their timeout come first
 		}
-		needBy(s.nextProbe)
-		needBy(s.Objective.Add(-s.serviceTime))
+		needBy(p.nextProbe)
+		needBy(p.Objective.Add(-p.serviceTime))
 	}
 	return at
 }
--- a/pkg/slot/survey.go
+++ b/pkg/slot/survey.go
@@ -35,7 +35,8 @@
 // unknownShare returns the share of targets whose load is unknown.
 func (s loadStats) unknownShare() float64 { return float64(s.unknown) / float64(max(s.total, 1)) }
 
-// pressure is near 1 when nearly all targets are busy and their load is unknown.
+// pressure returns a value from 0 to 1: near 1 when nearly all targets are busy and their
+// load is unknown.
 func (s loadStats) pressure() float64 {
 	return float64(s.busy) / float64(max(s.total, 1)) * s.unknownShare()
 }
@@ -45,9 +46,9 @@
 	// maxRemotePenalty applies to targets in another failure domain. Traffic between domains
 	// has a price, but a choice among too few targets causes late responses.
 	maxRemotePenalty = 2
-	// maxExtraCrowdedPenalty applies in addition to a target that one more request would
-	// crowd, when loads are unknown. The target may have a request of another entry too, and
-	// an idle one in another failure domain takes precedence.
+	// maxExtraCrowdedPenalty is added to the factor of a target that one more request would
+	// crowd, in proportion to the share of unknown loads. The target may have a request of
+	// another entry too, so an idle one in another failure domain takes precedence.
 	maxExtraCrowdedPenalty = 2
 )
 
--- a/pkg/slot/throttle.go
+++ b/pkg/slot/throttle.go
@@ -60,24 +60,24 @@
 	return Cold
 }
 
-// throttledPastObjective reports whether s can't meet its objective because all targets are
+// throttledPastObjective reports whether p can't meet its objective because all targets are
 // at their bounds, and returns the time after which to retry.
-func (b *Balancer) throttledPastObjective(now time.Time, s *pendingRequest) (reason Reason, retryAfter time.Duration, ok bool) {
-	t, all := b.throttled(now, s.Regions)
+func (b *Balancer) throttledPastObjective(now time.Time, p *pendingRequest) (reason Reason, retryAfter time.Duration, ok bool) {
+	t, all := b.throttled(now, p.Regions)
 	if !all {
 		return NoReason, 0, false
 	}
 	if t.until.IsZero() {
 		return t.reason, b.config.MinEjection, true
 	}
-	serviceTime := s.serviceTime
+	serviceTime := p.serviceTime
 	if t.reason == Cold {
 		serviceTime *= coldFactor
 	}
-	if !t.until.Add(serviceTime).After(s.Objective) {
+	if !t.until.Add(serviceTime).After(p.Objective) {
 		return NoReason, 0, false
 	}
-	return t.reason, b.throttledRetryDelay(now, t.until, s.serviceTime), true
+	return t.reason, b.throttledRetryDelay(now, t.until, p.serviceTime), true
 }
 
 // throttledRetryDelay returns the time after which to retry a request that was refused
@@ -102,11 +102,11 @@
 	return slots
 }
 
-// queuedAhead returns the number of queued requests that are served before s. Requests with
+// queuedAhead returns the number of queued requests that are served before p. Requests with
 // other regions don't count: they wait for other targets.
-func (b *Balancer) queuedAhead(s *pendingRequest) (n int) {
+func (b *Balancer) queuedAhead(p *pendingRequest) (n int) {
 	for _, q := range b.queue {
-		if compareQueued(q, s) < 0 && slices.Equal(q.Regions, s.Regions) {
+		if compareQueued(q, p) < 0 && slices.Equal(q.Regions, p.Regions) {
 			n++
 		}
 	}
--- a/pkg/slot/usual.go
+++ b/pkg/slot/usual.go
@@ -9,10 +9,10 @@
 }
 
 // add updates the mean. It is a plain average until the number of samples reaches maxSamples.
-func (u *meanTime) add(serviceTime time.Duration) {
+func (m *meanTime) add(serviceTime time.Duration) {
 	const maxSamples = 64
-	u.samples = min(u.samples+1, maxSamples)
-	u.mean += (serviceTime - u.mean) / time.Duration(u.samples)
+	m.samples = min(m.samples+1, maxSamples)
+	m.mean += (serviceTime - m.mean) / time.Duration(m.samples)
 }
 
 // serviceTimes holds the baseline service time of each request class of a service. A single
@@ -36,22 +36,22 @@
 
 // forClass returns the mean of the class, or the overall mean while the class has too few
 // samples.
-func (u *serviceTimes) forClass(class string) time.Duration {
-	if c := u.byClass[class]; c != nil && c.samples >= minClassSamples {
+func (s *serviceTimes) forClass(class string) time.Duration {
+	if c := s.byClass[class]; c != nil && c.samples >= minClassSamples {
 		return c.mean
 	}
-	return u.overall.mean
+	return s.overall.mean
 }
 
-func (u *serviceTimes) add(class string, serviceTime time.Duration) {
-	u.overall.add(serviceTime)
-	c := u.byClass[class]
+func (s *serviceTimes) add(class string, serviceTime time.Duration) {
+	s.overall.add(serviceTime)
+	c := s.byClass[class]
 	if c == nil {
-		if len(u.byClass) >= maxClasses {
-			clear(u.byClass)
+		if len(s.byClass) >= maxClasses {
+			clear(s.byClass)
 		}
 		c = &meanTime{}
-		u.byClass[class] = c
+		s.byClass[class] = c
 	}
 	c.add(serviceTime)
 }
