--- a/pkg/call/action.go
+++ b/pkg/call/action.go
@@ -30,11 +30,11 @@
 var actionNames = [...]string{"none", "acquire", "hedge", "withdraw", "release", "dispatch", "timer", "cancel", "answer", "refuse"}
 
 // String returns the name of the kind.
-func (d ActionKind) String() string {
-	if int(d) >= len(actionNames) {
+func (k ActionKind) String() string {
+	if int(k) >= len(actionNames) {
 		return actionNames[0]
 	}
-	return actionNames[d]
+	return actionNames[k]
 }
 
 // Action is one action for the driver to perform.
--- a/pkg/call/budget.go
+++ b/pkg/call/budget.go
@@ -71,7 +71,7 @@
 }
 
 // SetRetryShare sets how many extra dispatches each later first dispatch allows. With 0, only
-// the available tokens can be used.
+// the tokens that are left can be used.
 func (b *Budget) SetRetryShare(share float64) {
 	mayHaveRun := share * min(b.cfg.MayHaveRunShare, 1)
 	b.notRunRefill.Store(int64((share - mayHaveRun) * tokenParts))
--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -27,7 +27,7 @@
 	pending      acquisition
 	token        Token
 	dispatches   [MaxDispatches]dispatchState
-	n            int
+	n            int // number of dispatches so far
 	reason       Reason
 	final        Final
 	budgetDenied bool // the budget denied an extra dispatch
--- a/pkg/call/step.go
+++ b/pkg/call/step.go
@@ -75,8 +75,8 @@
 	return c.reason
 }
 
-// countMayHaveRun returns the number of dispatches that may have run. The next dispatch
-// may execute the call tree below it as many times again.
+// countMayHaveRun returns the number of dispatches that may have run, and so may already
+// have loaded the call tree below.
 func (c *Call) countMayHaveRun() (n int) {
 	for i := range c.dispatches[:c.n] {
 		if c.dispatches[i].status != statusNotRun {
