--- a/pkg/pool/answer.go
+++ b/pkg/pool/answer.go
@@ -7,13 +7,13 @@
 	maxShedCooldown = 100 * time.Millisecond
 )
 
-// applyOutcome updates the health of m from the end of dispatch r.
-func (p *Pool[P]) applyOutcome(m *Member, r dispatch, outcome Outcome) {
+// applyOutcome updates the health of m from the end of dispatch d.
+func (p *Pool[P]) applyOutcome(m *Member, d dispatch, outcome Outcome) {
 	m.lastResponse = p.now
 	if p.cfg.IgnoreOutcomes {
 		return
 	}
-	took := p.now - r.start
+	took := p.now - d.start
 	good := false
 	m.maybeGone = outcome == ConnectFailed || outcome == ConnectionLost || outcome == TimedOut
 	switch outcome {
--- a/pkg/pool/chooser.go
+++ b/pkg/pool/chooser.go
@@ -50,7 +50,7 @@
 // NewBalancer returns a pool with the named policy; the empty name is the default.
 // The other policies are baselines for comparison: they dispatch immediately, never eject
 // a target and send no probes.
-func NewBalancer(name string, cfg Config, rnd *rand.Rand) (c Balancer, err error) {
+func NewBalancer(name string, cfg Config, rnd *rand.Rand) (b Balancer, err error) {
 	defer func() { err = errors.WithMessage(err, "pool") }()
 	plain := cfg
 	plain.Unlimited, plain.IgnoreOutcomes, plain.ProbeBudget = true, true, nil
--- a/pkg/pool/freeslot.go
+++ b/pkg/pool/freeslot.go
@@ -68,9 +68,9 @@
 			over += suspectPenalty
 		}
 		stay := 0.0
-		for _, r := range m.dispatches {
-			if r.inSlot {
-				stay += hazardOver(c, r, span)
+		for _, d := range m.dispatches {
+			if d.inSlot {
+				stay += hazardOver(c, d, span)
 			}
 		}
 		if best < 0 || over < bestOver || over == bestOver && stay > bestStay {
@@ -80,8 +80,8 @@
 	return best
 }
 
-// hazardOver returns the hazard that r finishes within span.
-func hazardOver(c *PickInput, r dispatch, span time.Duration) float64 {
-	age := c.Now - r.start
+// hazardOver returns the hazard that d finishes within span.
+func hazardOver(c *PickInput, d dispatch, span time.Duration) float64 {
+	age := c.Now - d.start
 	return c.Latencies.Hazard(age+span) - c.Latencies.Hazard(age)
 }
--- a/pkg/pool/member.go
+++ b/pkg/pool/member.go
@@ -36,7 +36,7 @@
 	trialPause       time.Duration
 	trialsInFlight   int
 	nextTrialArrival int           // no trial before this number of arrivals at the pool
-	maybeGone        bool          // connections failed or requests timed out; a probe precedes a trial
+	maybeGone        bool          // it may be gone by its last outcome or probe; a probe precedes a trial
 	probingUntil     time.Duration // a probe is pending until then at the latest
 
 	excluded      bool // leaving or evacuated: no new requests
@@ -63,15 +63,15 @@
 }
 
 // removeDispatch removes a request. The slot it frees goes to the next request there.
-func (m *Member) removeDispatch(id uint64, now time.Duration) (r dispatch) {
+func (m *Member) removeDispatch(id uint64, now time.Duration) (d dispatch) {
 	for i := range m.dispatches {
 		if m.dispatches[i].id == id {
-			r = m.dispatches[i]
+			d = m.dispatches[i]
 			m.dispatches = append(m.dispatches[:i], m.dispatches[i+1:]...)
 			break
 		}
 	}
-	if r.trial {
+	if d.trial {
 		m.trialsInFlight--
 	}
 	for i := range m.dispatches[:min(len(m.dispatches), m.Slots)] {
@@ -79,7 +79,7 @@
 			m.dispatches[i].inSlot, m.dispatches[i].start = true, now
 		}
 	}
-	return r
+	return d
 }
 
 func (m *Member) warmedUp(c *Config) bool { return m.served >= c.Warmup }
--- a/pkg/pool/pool.go
+++ b/pkg/pool/pool.go
@@ -107,9 +107,9 @@
 	}
 	delete(p.inFlight, a.ID)
 	out = p.applyLoad(m, a.Load, len(m.dispatches), out)
-	r := m.removeDispatch(a.ID, p.now)
+	d := m.removeDispatch(a.ID, p.now)
 	p.queueInterval.observe(p.now, p.queue.len() > 0, p.latencies.Mean(p.cfg.InitialServiceTime))
-	p.applyOutcome(m, r, a.Outcome)
+	p.applyOutcome(m, d, a.Outcome)
 	return p.serveQueue(out)
 }
 
--- a/pkg/pool/tick.go
+++ b/pkg/pool/tick.go
@@ -17,7 +17,6 @@
 	return p.requestProbes(now, out)
 }
 
-// expireNotices removes expired leaving notices.
 func (p *Pool[P]) expireNotices() {
 	for id, n := range p.notices {
 		if n.until > p.now {
