--- a/pkg/probe/budget.go
+++ b/pkg/probe/budget.go
@@ -73,8 +73,8 @@
 }
 
 // SetShare sets this entry's share. A smaller share takes effect at once. A larger one takes
-// effect when the other entries have given up theirs, since both would spend the same part
-// of the budget until then.
+// effect only when the other entries have certainly given up theirs: until then, both would
+// spend the same part of the budget.
 func (b *Budget) SetShare(now time.Time, s Share) {
 	b.advance(now)
 	next := 0
