--- a/pkg/member/faults_test.go
+++ b/pkg/member/faults_test.go
@@ -294,7 +294,7 @@
 				})
 				f.Run(20 * time.Second)
 				f.AllViews(func(n *fleet.Node, _ member.View) bool {
-					c.Assert(len(n.Rumours.StopNotices) <= 1 && len(n.Rumours.CrashReports) <= 1, qt.IsTrue, qt.Commentf("learned again: %+v", n.Rumours))
+					c.Assert(len(n.Rumours.StopNotices) <= 1 && len(n.Rumours.CrashReports) <= 1, qt.IsTrue, qt.Commentf("received again: %+v", n.Rumours))
 					return true
 				})
 			}
--- a/pkg/member/home.go
+++ b/pkg/member/home.go
@@ -15,16 +15,16 @@
 func PreferredEntries(entries []Entry, service string, k int) []Entry {
 	ranked := rankByHash(entries, xxhash.Sum64String(service))
 	k = min(k, len(ranked))
-	homes := make([]Entry, 0, k)
+	preferred := make([]Entry, 0, k)
 	rest := make([]Entry, 0, len(ranked))
 	for _, e := range ranked {
-		if len(homes) < k && !containsPlace(homes, e.Place) {
-			homes = append(homes, e)
+		if len(preferred) < k && !containsPlace(preferred, e.Place) {
+			preferred = append(preferred, e)
 			continue
 		}
 		rest = append(rest, e)
 	}
-	return append(homes, rest[:k-len(homes)]...)
+	return append(preferred, rest[:k-len(preferred)]...)
 }
 
 // rankByHash ranks by name without the boot number, so that an entry that restarts
@@ -38,8 +38,8 @@
 	return ranked
 }
 
-func containsPlace(homes []Entry, place string) bool {
-	return slices.ContainsFunc(homes, func(e Entry) bool { return e.Place == place })
+func containsPlace(preferred []Entry, place string) bool {
+	return slices.ContainsFunc(preferred, func(e Entry) bool { return e.Place == place })
 }
 
 func mix(x uint64) uint64 {
--- a/pkg/member/learn.go
+++ b/pkg/member/learn.go
@@ -97,9 +97,9 @@
 }
 
 // takeSuspectDigests returns suspects for a message, by the digest of the update that
-// was in force before the suspicion. While many entries fail at once, summaries
-// take 17 times as many bytes: with them, of 260 failures among 472 entries that were
-// all detected within 1 s, the last took 3 s to reach every entry.
+// was in force before the suspicion. It returns none unless many entries fail at once.
+// Summaries take 17 times as many bytes: of 260 failures among 472 entries, sent as
+// summaries and all detected within 1 s, the last took 3 s to reach every entry.
 func (t *Table) takeSuspectDigests() (digests []uint32) {
 	if !t.massFailure() {
 		return nil
--- a/pkg/member/round.go
+++ b/pkg/member/round.go
@@ -21,9 +21,9 @@
 // watched from other regions.
 const smallRegionEntries = 3
 
-// largePlacePeers is the number of other entries in a place from which they watch only
-// each other, since traffic between places costs money. If such a place fails as a
-// whole, the random exchanges of the others detect it: each of 94 failed among 472
+// largePlacePeers is the number of other entries in its own place from which an entry
+// watches only these, since traffic between places costs money. If such a place fails
+// as a whole, the random exchanges of the others detect it: each of 94 failed among 472
 // entries is contacted twice a round.
 const largePlacePeers = 16
 
@@ -167,8 +167,8 @@
 }
 
 // contactSeeds sends a join to a random seed in every round until one has responded.
-// After that it contacts a seed that is no known entry's address every retryRounds
-// rounds, so that groups of entries that never met find each other.
+// After that, every retryRounds rounds, it contacts a seed that isn't the address of a
+// known entry, so that groups of entries that never met find each other.
 func (t *Table) contactSeeds(now time.Time) {
 	if t.joined && t.roundCount%retryRounds != 0 {
 		return
--- a/pkg/member/table_test.go
+++ b/pkg/member/table_test.go
@@ -62,14 +62,14 @@
 		{"later boot", []member.Entry{entry("b", 1, 9, member.Left), entry("b", 2, 0, member.Alive)}, entry("b", 2, 0, member.Alive)},
 		{"earlier boot", []member.Entry{entry("b", 2, 0, member.Alive), entry("b", 1, 9, member.Dead)}, entry("b", 2, 0, member.Alive)},
 		{"suspicion", []member.Entry{entry("b", 1, 0, member.Alive), entry("b", 1, 0, member.Suspect)}, entry("b", 1, 0, member.Suspect)},
-		{"objection", []member.Entry{entry("b", 1, 0, member.Alive), entry("b", 1, 0, member.Suspect), entry("b", 1, 1, member.Alive)}, entry("b", 1, 1, member.Alive)},
+		{"refuted suspicion", []member.Entry{entry("b", 1, 0, member.Alive), entry("b", 1, 0, member.Suspect), entry("b", 1, 1, member.Alive)}, entry("b", 1, 1, member.Alive)},
 		{"death is a suspicion first", []member.Entry{entry("b", 1, 0, member.Alive), entry("b", 1, 0, member.Dead)}, entry("b", 1, 0, member.Suspect)},
 		{"death of a suspect", []member.Entry{entry("b", 1, 0, member.Alive), entry("b", 1, 0, member.Suspect), entry("b", 1, 0, member.Dead)}, entry("b", 1, 0, member.Dead)},
-		{"old accusation", []member.Entry{entry("b", 1, 0, member.Alive), old(entry("b", 1, 0, member.Dead))}, entry("b", 1, 0, member.Alive)},
+		{"old report of a death", []member.Entry{entry("b", 1, 0, member.Alive), old(entry("b", 1, 0, member.Dead))}, entry("b", 1, 0, member.Alive)},
 		{"return from death", []member.Entry{entry("b", 1, 0, member.Alive), entry("b", 1, 0, member.Suspect), entry("b", 1, 0, member.Dead), entry("b", 1, 1, member.Alive)}, entry("b", 1, 1, member.Alive)},
 		{"leaving", []member.Entry{entry("b", 1, 0, member.Alive), entry("b", 1, 1, member.Leaving), entry("b", 1, 0, member.Suspect)}, entry("b", 1, 1, member.Leaving)},
 		{"unknown and dead", []member.Entry{entry("b", 1, 0, member.Dead)}, member.Entry{}},
-		{"unknown and brief", []member.Entry{{ID: member.ID{Name: "b", Boot: 1}}}, member.Entry{}},
+		{"unknown, without addresses", []member.Entry{{ID: member.ID{Name: "b", Boot: 1}}}, member.Entry{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -88,7 +88,7 @@
 // without waiting for another round.
 func TestReplies(t *testing.T) {
 	b := member.ID{Name: "b", Boot: 1}
-	brief := member.Entry{ID: member.ID{Name: "z", Boot: 1}}
+	summary := member.Entry{ID: member.ID{Name: "z", Boot: 1}}
 	tests := []struct {
 		name    string
 		updates []member.Entry
@@ -98,19 +98,19 @@
 		{"unknown sender", nil, b, func(c *qt.C, _ *member.Table, got member.Message) {
 			c.Assert(got.MissingAddresses, qt.DeepEquals, []string{"b"})
 		}},
-		{"unknown address", []member.Entry{entry("b", 1, 0, member.Alive), brief}, b, func(c *qt.C, _ *member.Table, got member.Message) {
+		{"unknown address", []member.Entry{entry("b", 1, 0, member.Alive), summary}, b, func(c *qt.C, _ *member.Table, got member.Message) {
 			c.Assert(got.MissingAddresses, qt.DeepEquals, []string{"z"})
 		}},
-		{"accused", []member.Entry{entry("b", 1, 0, member.Alive), entry("b", 1, 0, member.Suspect)}, b, func(c *qt.C, _ *member.Table, got member.Message) {
+		{"suspected", []member.Entry{entry("b", 1, 0, member.Alive), entry("b", 1, 0, member.Suspect)}, b, func(c *qt.C, _ *member.Table, got member.Message) {
 			c.Assert(got.Entries[0].ID, qt.Equals, b)
 			c.Assert(got.Entries[0].State, qt.Equals, member.Suspect)
 		}},
-		{"objection", []member.Entry{entry("a", 5, 4, member.Dead)}, b, func(c *qt.C, _ *member.Table, got member.Message) {
+		{"wrongly reported dead", []member.Entry{entry("a", 5, 4, member.Dead)}, b, func(c *qt.C, _ *member.Table, got member.Message) {
 			c.Assert(got.Entries[0].ID.Name, qt.Equals, "a")
 			c.Assert(got.Entries[0].Sequence, qt.Equals, uint64(5))
 			c.Assert(got.Entries[0].State, qt.Equals, member.Alive)
 		}},
-		{"objection not needed", []member.Entry{entry("a", 4, 4, member.Dead)}, b, func(c *qt.C, a *member.Table, _ member.Message) {
+		{"report about an earlier incarnation", []member.Entry{entry("a", 4, 4, member.Dead)}, b, func(c *qt.C, a *member.Table, _ member.Message) {
 			c.Assert(a.View().Self.Sequence, qt.Equals, uint64(0))
 		}},
 	}
@@ -149,7 +149,7 @@
 				rapid.SampledFrom([]string{"b", "c", "d"}).Draw(rt, "name"), rapid.Uint64Range(1, 3).Draw(rt, "boot"),
 				rapid.Uint64Range(0, 3).Draw(rt, "sequence"), rapid.SampledFrom(states).Draw(rt, "state"),
 			)
-		}), 1, 12).Draw(rt, "said")
+		}), 1, 12).Draw(rt, "updates")
 		one, two := table("a"), table("a")
 		for _, e := range updates {
 			reply(one, member.Message{From: e.ID, Entries: []member.Entry{e}})
--- a/pkg/member/watch.go
+++ b/pkg/member/watch.go
@@ -43,8 +43,8 @@
 }
 
 // Mass failures. Watchers fail together with the entries that they watch, and half of
-// the relays don't respond. Failures would then be detected one after the other, 0.45 s
-// each: 260 failures among 472 entries took 3.4 s to reach every entry.
+// the relays don't respond. With indirect checks, failures are then detected one after
+// the other, 0.45 s each: 260 failures among 472 entries took 3.4 s to reach every entry.
 const (
 	// Suspects make up a mass failure if they are one in massFailureDivisor entries, and
 	// at least massFailureMinSuspects. Links that lose a tenth of their packets cause
