--- a/pkg/owner/owner.go
+++ b/pkg/owner/owner.go
@@ -38,10 +38,10 @@
 const MinOwners = 2
 
 // TopRanked returns the first entries, up to most, in the order of Rank.
-func TopRanked(live []Candidate, resource string, most int) (first []Entry) {
+func TopRanked(live []Candidate, task string, most int) (first []Entry) {
 	var scores []uint64
 	for _, c := range live {
-		s := score(c.Name, resource)
+		s := score(c.Name, task)
 		i := len(first)
 		for i > 0 && (s > scores[i-1] || s == scores[i-1] && c.Name < first[i-1].Name) {
 			i--
@@ -64,7 +64,7 @@
 	return 0
 }
 
-// score returns the rendezvous hash of an entry for a host or a resource.
+// score returns the rendezvous hash of an entry for a host or a task.
 func score(name, key string) uint64 {
 	var h xxhash.Digest
 	h.Reset()
@@ -74,17 +74,17 @@
 	return h.Sum64()
 }
 
-// Rank returns an entry's rank, from 0, among the live entries for a resource. Only
-// the few entries with the lowest ranks read it from the store. The rank of an entry
-// that isn't live is len(live).
-func Rank(live []Candidate, resource, name string) int {
-	own, rank, found := score(name, resource), 0, false
+// Rank returns an entry's rank, from 0, among the live entries for a task that only the
+// few entries with the lowest ranks have, such as reading one resource from the store.
+// The rank of an entry that isn't live is len(live).
+func Rank(live []Candidate, task, name string) int {
+	own, rank, found := score(name, task), 0, false
 	for _, c := range live {
 		if c.Name == name {
 			found = true
 			continue
 		}
-		if s := score(c.Name, resource); s > own || s == own && c.Name < name {
+		if s := score(c.Name, task); s > own || s == own && c.Name < name {
 			rank++
 		}
 	}
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -78,7 +78,7 @@
 	qt.Assert(t, owners(live, counts())["a"][0].Name, qt.Not(qt.Equals), first)
 }
 
-// The ranks for a resource are a permutation, and an entry that isn't live comes last.
+// The ranks for a task are a permutation, and an entry that isn't live comes last.
 func TestRank(t *testing.T) {
 	live := entries(9)
 	seen := map[int]bool{}
--- a/pkg/owner/size.go
+++ b/pkg/owner/size.go
@@ -16,8 +16,9 @@
 
 // Conditions for removing an owner.
 const (
-	// shrinkShare is the share of the capacity of one owner fewer that the load must stay
-	// below. Measured rates vary by a tenth from second to second.
+	// shrinkShare limits the load for removing an owner: it must stay below this share of
+	// the capacity that one owner fewer has. Measured rates vary by a tenth from second
+	// to second.
 	shrinkShare = 0.75
 	// shrinkDelay is how long the load must stay below it. Each change sends callers to
 	// entries that have no data on the targets yet. When the owner count followed the
