--- a/pkg/roster/lapse.go
+++ b/pkg/roster/lapse.go
@@ -28,8 +28,8 @@
 	return &Vanished[T]{items: make(map[string]Item[T]), until: make(map[string]time.Time)}
 }
 
-// StoreAnswered records that the store answered when its data had reached an age, and
-// reports whether that counts as the end of an outage.
+// StoreAnswered records that the store answered. age is the age that the store data had
+// by then. It reports whether the answer counts as the end of an outage.
 func (v *Vanished[T]) StoreAnswered(now time.Time, age time.Duration) (outage bool) {
 	if age < OutageAge {
 		return false
@@ -58,7 +58,7 @@
 	v.until[it.Name] = until
 }
 
-// Awaiting reports whether any objects are still retained.
+// AnyRetained reports whether any objects are still retained.
 func (v *Vanished[T]) Awaiting(now time.Time) bool { return len(v.Items(now)) > 0 }
 
 // Items returns the objects that are still retained.
