--- a/internal/members/calls.go
+++ b/internal/members/calls.go
@@ -10,12 +10,12 @@
 
 // Gossip handles a peer's message and returns the response.
 func (m *Members) Gossip(ctx context.Context, msg member.Message) (response member.Message, err error) {
-	p := queuedEvent{event: member.Request{Message: msg}, reply: make(chan member.Message, 1)}
-	if err := m.enqueue(ctx, p); err != nil {
+	q := queuedEvent{event: member.Request{Message: msg}, reply: make(chan member.Message, 1)}
+	if err := m.enqueue(ctx, q); err != nil {
 		return response, err
 	}
 	select {
-	case response = <-p.reply:
+	case response = <-q.reply:
 		return response, nil
 	case <-ctx.Done():
 		return response, errors.WithMessage(ctx.Err(), "membership")
@@ -34,8 +34,8 @@
 }
 
 // SetRevisions announces the revisions that are now in force at this entry.
-func (m *Members) SetRevisions(ctx context.Context, marks member.Revisions) (err error) {
-	return m.submit(ctx, member.SetRevisions{Revisions: marks})
+func (m *Members) SetRevisions(ctx context.Context, revisions member.Revisions) (err error) {
+	return m.submit(ctx, member.SetRevisions{Revisions: revisions})
 }
 
 // SetReady announces that callers may be sent to this entry.
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -19,10 +19,10 @@
 type Config struct {
 	Member       member.Config
 	Client       *peer.Client
-	Now          func() time.Time                              // time.Now when nil
-	OnPeerAhead  func(from member.Ref, marks member.Revisions) // a peer has newer revisions
-	OnRumours    func(r member.Rumours)                        // rumours new to this entry were received
-	OnSuperseded func(by member.ID)                            // a later incarnation of this entry is running
+	Now          func() time.Time                                  // time.Now when nil
+	OnPeerAhead  func(from member.Ref, revisions member.Revisions) // a peer has newer revisions
+	OnRumours    func(r member.Rumours)                            // rumours new to this entry were received
+	OnSuperseded func(by member.ID)                                // a later incarnation of this entry is running
 }
 
 // Members is the membership of one entry.
@@ -84,23 +84,23 @@
 			return ctx.Err()
 		case <-timer.C:
 			m.handle(ctx, queuedEvent{event: member.Tick{}})
-		case p := <-m.queue:
-			m.handle(ctx, p)
+		case q := <-m.queue:
+			m.handle(ctx, q)
 		}
 		timer.Reset(max(m.table.Next().Sub(m.cfg.Now()), time.Millisecond))
 	}
 }
 
-func (m *Members) handle(ctx context.Context, p queuedEvent) {
-	for _, a := range m.table.Handle(m.cfg.Now(), p.event) {
+func (m *Members) handle(ctx context.Context, q queuedEvent) {
+	for _, a := range m.table.Handle(m.cfg.Now(), q.event) {
 		if r, ok := a.(member.Reply); ok {
-			p.reply <- r.Message
+			q.reply <- r.Message
 			continue
 		}
 		m.execute(ctx, a)
 	}
-	if p.done != nil {
-		close(p.done)
+	if q.done != nil {
+		close(q.done)
 	}
 }
 
@@ -158,9 +158,9 @@
 	_ = m.enqueue(ctx, queuedEvent{event: ev})
 }
 
-func (m *Members) enqueue(ctx context.Context, p queuedEvent) (err error) {
+func (m *Members) enqueue(ctx context.Context, q queuedEvent) (err error) {
 	select {
-	case m.queue <- p:
+	case m.queue <- q:
 		return nil
 	case <-ctx.Done():
 		return errors.WithMessage(ctx.Err(), "membership")
@@ -169,12 +169,12 @@
 
 // submit enqueues an event and waits until it is handled.
 func (m *Members) submit(ctx context.Context, ev member.Event) (err error) {
-	p := queuedEvent{event: ev, done: make(chan struct{})}
-	if err := m.enqueue(ctx, p); err != nil {
+	q := queuedEvent{event: ev, done: make(chan struct{})}
+	if err := m.enqueue(ctx, q); err != nil {
 		return err
 	}
 	select {
-	case <-p.done:
+	case <-q.done:
 		return nil
 	case <-ctx.Done():
 		return errors.WithMessage(ctx.Err(), "membership")
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -101,14 +101,14 @@
 }
 
 func (t *countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	k := methodOf(r)
-	t.counters.calls[k].Add(1)
-	t.counters.out[k].Add(r.ContentLength)
+	m := methodOf(r)
+	t.counters.calls[m].Add(1)
+	t.counters.out[m].Add(r.ContentLength)
 	resp, err := t.inner.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	resp.Body = &countedBody{resp.Body, &t.counters.in[k], MaxReply}
+	resp.Body = &countedBody{resp.Body, &t.counters.in[m], MaxReply}
 	return resp, nil
 }
 
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -23,13 +23,13 @@
 
 var methodNames = [methodCount]string{"Gossip", "Ping", "Reach", "Settings", "Other"}
 
-func (k Method) String() string { return methodNames[k] }
+func (m Method) String() string { return methodNames[m] }
 
 func methodOf(r *http.Request) Method {
 	name := path.Base(r.URL.Path)
-	for k, n := range methodNames {
+	for m, n := range methodNames {
 		if n == name {
-			return Method(k)
+			return Method(m)
 		}
 	}
 	return Other
@@ -58,8 +58,8 @@
 // Counts returns the traffic of every method.
 func (c *Counters) Counts() []Count {
 	var all []Count
-	for k := range methodCount {
-		all = append(all, Count{Method: k, Calls: c.calls[k].Load(), In: c.in[k].Load(), Out: c.out[k].Load()})
+	for m := range methodCount {
+		all = append(all, Count{Method: m, Calls: c.calls[m].Load(), In: c.in[m].Load(), Out: c.out[m].Load()})
 	}
 	return all
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -108,9 +108,9 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(id, qt.Equals, member.ID{})
 
-	ch, err := client.Settings(ctx, address, 2)
+	update, err := client.Settings(ctx, address, 2)
 	c.Assert(err, qt.IsNil)
-	c.Assert(ch, qt.DeepEquals, f.change)
+	c.Assert(update, qt.DeepEquals, f.change)
 	c.Assert(f.have, qt.Equals, uint64(2))
 
 	for _, n := range counters.Counts() {
@@ -144,7 +144,7 @@
 		{"nameless entry", "Gossip", &wire.GossipRequest{Version: 1, Gossip: &wire.Gossip{From: ident, Entries: []*wire.Entry{{}}}}, nil, 400, `entries[0].ident.name: found nothing`},
 		{"unknown state", "Gossip", &wire.GossipRequest{Version: 1, Gossip: &wire.Gossip{From: ident, Entries: []*wire.Entry{{Ident: ident, State: 9}}}}, nil, 400, "entries[0].state: found 9, expected 0 to 4"},
 		{"too many entries", "Gossip", &wire.GossipRequest{Version: 1, Gossip: &wire.Gossip{From: ident, Entries: make([]*wire.Entry, member.MaxJoin+1)}}, nil, 400, "entries: found 4097, expected at most 4096"},
-		{"reach nobody", "Reach", &wire.ReachRequest{Version: 1}, nil, 400, "peer: found nothing"},
+		{"indirect ping without a peer", "Reach", &wire.ReachRequest{Version: 1}, nil, 400, "peer: found nothing"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -69,15 +69,15 @@
 
 func countHandler(inner http.Handler, c *Counters) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		k := methodOf(r)
-		c.calls[k].Add(1)
+		m := methodOf(r)
+		c.calls[m].Add(1)
 		w.Header()["Date"] = nil // peers do not read it
 		if r.ContentLength > MaxRequest {
 			rejectOversized(w, r)
 			return
 		}
-		r.Body = &countedBody{r.Body, &c.in[k], MaxRequest}
-		inner.ServeHTTP(countedWriter{w, &c.out[k]}, r)
+		r.Body = &countedBody{r.Body, &c.in[m], MaxRequest}
+		inner.ServeHTTP(countedWriter{w, &c.out[m]}, r)
 	})
 }
 
@@ -146,6 +146,6 @@
 	return &wire.SettingsReply{Revision: update.Revision, Document: update.Document, Edits: update.Edits}, nil
 }
 
-func unimplemented(k Method) error {
-	return twirp.NewError(twirp.Unimplemented, k.String()+" is not served here")
+func unimplemented(m Method) error {
+	return twirp.NewError(twirp.Unimplemented, m.String()+" is not served here")
 }
--- a/internal/relay/codec.go
+++ b/internal/relay/codec.go
@@ -83,12 +83,12 @@
 // minCompressBytes is the size from which a configuration or the lists are compressed.
 const minCompressBytes = 1 << 10
 
-func encodeResult(now time.Time, n PullResult) *wire.PullReply {
+func encodeResult(now time.Time, result PullResult) *wire.PullReply {
 	w := &wire.PullReply{
-		Config: n.Config, Listed: n.Targets != TargetsUnchanged, Changed: n.Targets == TargetsChanged,
-		At: uint64(n.Revision), Moved: uint64(n.LastChange), Age: millis(n.Age),
+		Config: result.Config, Listed: result.Targets != TargetsUnchanged, Changed: result.Targets == TargetsChanged,
+		At: uint64(result.Revision), Moved: uint64(result.LastChange), Age: millis(result.Age),
 	}
-	for _, c := range n.Changes {
+	for _, c := range result.Changes {
 		t := c.Value
 		w.Targets = append(w.Targets, &wire.Target{
 			Id: c.Name, Revision: uint64(c.Revision), Address: t.Address, Service: t.Service, Place: t.Place,
@@ -96,10 +96,10 @@
 			Born: t.StartedMillis,
 		})
 	}
-	for _, e := range n.Entries {
+	for _, e := range result.Entries {
 		w.Entries = append(w.Entries, peer.EncodeEntry(now, e))
 	}
-	if e := n.Evacuations; e != nil {
+	if e := result.Evacuations; e != nil {
 		w.Evacuations = &wire.Evacuations{At: uint64(e.Revision), Moved: uint64(e.LastChange), Age: millis(e.Age)}
 		for _, it := range e.List {
 			w.Evacuations.List = append(w.Evacuations.List, &wire.Evacuation{Place: it.Name, Revision: uint64(it.Revision)})
@@ -108,21 +108,21 @@
 	return w
 }
 
-func decodeResult(now time.Time, w *wire.PullReply) (n PullResult, err error) {
-	n = PullResult{Config: w.Config, Revision: roster.Revision(w.At), LastChange: roster.Revision(w.Moved), Age: fromMillis(w.Age)}
+func decodeResult(now time.Time, w *wire.PullReply) (result PullResult, err error) {
+	result = PullResult{Config: w.Config, Revision: roster.Revision(w.At), LastChange: roster.Revision(w.Moved), Age: fromMillis(w.Age)}
 	switch {
 	case w.Changed:
-		n.Targets = TargetsChanged
+		result.Targets = TargetsChanged
 	case w.Listed:
-		n.Targets = TargetsListed
+		result.Targets = TargetsListed
 	}
 	if len(w.Packed) > 0 {
-		if n.Config, err = decompress(w.Packed); err != nil {
-			return n, errors.WithMessage(err, "packed")
+		if result.Config, err = decompress(w.Packed); err != nil {
+			return result, errors.WithMessage(err, "packed")
 		}
 	}
 	if err := decompressLists(w); err != nil {
-		return n, errors.WithMessage(err, "lists")
+		return result, errors.WithMessage(err, "lists")
 	}
 	for _, t := range w.Targets {
 		v := slot.Target{
@@ -132,24 +132,24 @@
 		if t.Warm > 0 {
 			v.WarmAt = now.Add(fromMillis(t.Warm))
 		}
-		n.Changes = append(n.Changes, roster.Change[slot.Target]{
+		result.Changes = append(result.Changes, roster.Change[slot.Target]{
 			Item: roster.Item[slot.Target]{Name: t.Id, Revision: roster.Revision(t.Revision), Value: v}, Deleted: t.Deleted,
 		})
 	}
 	if e := w.Evacuations; e != nil {
-		n.Evacuations = &Evacuations{Revision: roster.Revision(e.At), LastChange: roster.Revision(e.Moved), Age: fromMillis(e.Age)}
+		result.Evacuations = &Evacuations{Revision: roster.Revision(e.At), LastChange: roster.Revision(e.Moved), Age: fromMillis(e.Age)}
 		for _, it := range e.List {
-			n.Evacuations.List = append(n.Evacuations.List, roster.Item[slot.Evacuation]{Name: it.Place, Revision: roster.Revision(it.Revision)})
+			result.Evacuations.List = append(result.Evacuations.List, roster.Item[slot.Evacuation]{Name: it.Place, Revision: roster.Revision(it.Revision)})
 		}
 	}
 	for i, w := range w.Entries {
 		e, err := peer.DecodeEntry(now, fmt.Sprintf("entries[%d]", i), w)
 		if err != nil {
-			return n, err
+			return result, err
 		}
-		n.Entries = append(n.Entries, e)
+		result.Entries = append(result.Entries, e)
 	}
-	return n, nil
+	return result, nil
 }
 
 // configCompressor caches the compressed form of the last configuration.
@@ -159,16 +159,16 @@
 	compressed []byte
 }
 
-func (p *configCompressor) compress(data []byte) (compressed []byte, err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if bytes.Equal(p.plain, data) {
-		return p.compressed, nil
+func (c *configCompressor) compress(data []byte) (compressed []byte, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if bytes.Equal(c.plain, data) {
+		return c.compressed, nil
 	}
 	if compressed, err = compress(data); err != nil {
 		return nil, err
 	}
-	p.plain, p.compressed = data, compressed
+	c.plain, c.compressed = data, compressed
 	return compressed, nil
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -226,7 +226,7 @@
 }
 
 // Pull requests the data that is newer than have from the entry at an address.
-func (r *Relay) Pull(ctx context.Context, from string, have PullQuery) (n PullResult, err error) {
+func (r *Relay) Pull(ctx context.Context, from string, have PullQuery) (result PullResult, err error) {
 	defer func() { err = errors.WithMessage(err, "pull from "+from) }()
 	c := wire.NewRelayProtobufClient("http://"+from, r.client)
 	reply, err := c.Pull(ctx, &wire.PullRequest{
@@ -234,7 +234,7 @@
 		Entries: have.WantEntries, Known: have.EntryDigests, Evacuations: uint64(have.Evacuations),
 	})
 	if err != nil {
-		return n, err
+		return result, err
 	}
 	return decodeResult(time.Now(), reply)
 }
@@ -266,20 +266,20 @@
 		Config: route.Version(r.Config), Targets: roster.Revision(r.Targets), Evacuations: roster.Revision(r.Evacuations),
 		WantEntries: r.Entries, EntryDigests: r.Known,
 	}
-	n, err := s.source.AnswerPull(ctx, have)
+	result, err := s.source.AnswerPull(ctx, have)
 	if err != nil {
 		return nil, err
 	}
-	if n.Targets == TargetsChanged && r.Format < formatChanges {
+	if result.Targets == TargetsChanged && r.Format < formatChanges {
 		have.Targets = 0
-		if n, err = s.source.AnswerPull(ctx, have); err != nil {
+		if result, err = s.source.AnswerPull(ctx, have); err != nil {
 			return nil, err
 		}
 	}
-	w := encodeResult(time.Now(), n)
-	if r.Format >= formatChanges && len(n.Config) >= minCompressBytes {
+	w := encodeResult(time.Now(), result)
+	if r.Format >= formatChanges && len(result.Config) >= minCompressBytes {
 		w.Config = nil
-		if w.Packed, err = s.compressor.compress(n.Config); err != nil {
+		if w.Packed, err = s.compressor.compress(result.Config); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -46,11 +46,11 @@
 		name   string
 		packet Packet
 	}{
-		{"ask", Packet{
+		{"gossip request", Packet{
 			Kind: GossipRequest, ExchangeID: 8, Message: member.Message{From: from, Digest: 5, BucketMask: 1 << 63}, Knowledge: knowledge,
 			OwnerCounts: []owner.Count{{Host: 9, Owners: 3, Rate: 2.5, Sequence: 4}},
 		}},
-		{"answer", Packet{Kind: GossipResponse, ExchangeID: 8, Message: member.Message{From: from, BucketDigests: []uint32{1, 2}}, Knowledge: knowledge}},
+		{"gossip response", Packet{Kind: GossipResponse, ExchangeID: 8, Message: member.Message{From: from, BucketDigests: []uint32{1, 2}}, Knowledge: knowledge}},
 		{"knowledge", Packet{Kind: Announcement, Knowledge: knowledge}},
 		{"suspects", Packet{Kind: SuspectReport, ID: from, Suspects: []call.Suspect{{Fingerprint: 5, Crashes: 2, Age: time.Second}}}},
 		{"loads", Packet{Kind: LoadReport, ID: from, Loads: []HostLoad{{Host: 9, Rate: 2.5}}}},
@@ -147,8 +147,8 @@
 		manyChanges = append(manyChanges, c)
 	}
 	tests := []struct {
-		name string
-		news PullResult
+		name   string
+		result PullResult
 	}{
 		{"nothing new", PullResult{}},
 		{"long list", PullResult{Targets: TargetsListed, Revision: 12, LastChange: 9, Changes: manyChanges}},
@@ -165,7 +165,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			to := startRelay(t, fixedSource{tt.news}, ignorePacket)
+			to := startRelay(t, fixedSource{tt.result}, ignorePacket)
 			from := startRelay(t, fixedSource{}, ignorePacket)
 			for range 2 {
 				got, err := from.Pull(t.Context(), to.Address(), PullQuery{Targets: 1})
@@ -173,7 +173,7 @@
 				for i := range got.Entries {
 					got.Entries[i].Since = time.Time{} // encoded as an age
 				}
-				qt.Assert(t, got, qt.DeepEquals, tt.news)
+				qt.Assert(t, got, qt.DeepEquals, tt.result)
 			}
 		})
 	}
@@ -234,14 +234,14 @@
 	good, err := compress([]byte("{}"))
 	qt.Assert(t, err, qt.IsNil)
 	tests := []struct {
-		name   string
-		packed []byte
+		name       string
+		compressed []byte
 	}{
-		{"too long", bomb}, {"cut short", good[:len(good)-3]}, {"not packed", []byte("{}")},
+		{"too long", bomb}, {"cut short", good[:len(good)-3]}, {"not compressed", []byte("{}")},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := decodeResult(time.Unix(1, 0), &wire.PullReply{Packed: tt.packed})
+			_, err := decodeResult(time.Unix(1, 0), &wire.PullReply{Packed: tt.compressed})
 			qt.Assert(t, err, qt.ErrorMatches, "packed: .*")
 		})
 	}
