--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -17,7 +17,7 @@
 type Response struct {
 	Target      string
 	Status      int
-	Header      http.Header // end-to-end headers; also without plumpitch's own unless Config.EchoHeader is set
+	Header      http.Header // end-to-end headers; without plumpitch's own, unless Config.EchoHeader is set
 	Length      int64       // bytes of the body; negative if unknown
 	Buffered    []byte
 	Body        io.ReadCloser
--- a/internal/forward/conn_test.go
+++ b/internal/forward/conn_test.go
@@ -59,9 +59,9 @@
 // those bytes as its response, or none at all, so it must not be written.
 func TestWriteNeedsEmptyConnection(t *testing.T) {
 	tests := []struct {
-		name  string
-		after func(p *targetConn) // what the target does after the first request
-		quiet bool
+		name   string
+		after  func(p *targetConn) // what the target does after the first request
+		usable bool
 	}{
 		{"silent", func(*targetConn) {}, true},
 		{"bytes left", func(p *targetConn) { p.write(ok) }, false},
@@ -89,12 +89,12 @@
 			start = k.beginRequest()
 			eventually(c, func() bool {
 				_ = k.rawConn.Control(k.peekFunc)
-				return k.empty == tt.quiet
+				return k.empty == tt.usable
 			})
 			n, err := k.Write([]byte(get))
-			c.Assert(err == errStaleConnection, qt.Equals, !tt.quiet, qt.Commentf("%v", err))
-			c.Assert(n > 0, qt.Equals, tt.quiet)
-			c.Assert(k.written.Load() > start, qt.Equals, tt.quiet)
+			c.Assert(err == errStaleConnection, qt.Equals, !tt.usable, qt.Commentf("%v", err))
+			c.Assert(n > 0, qt.Equals, tt.usable)
+			c.Assert(k.written.Load() > start, qt.Equals, tt.usable)
 		})
 	}
 }
--- a/internal/forward/cross_test.go
+++ b/internal/forward/cross_test.go
@@ -25,10 +25,10 @@
 	const rounds = 50
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"
 	tests := []struct {
-		name  string
-		first func(p *targetConn, pause func())
-		late  bool // the request times out when the target calls pause
-		names bool // the target echoes the request id and doesn't call pause
+		name   string
+		first  func(p *targetConn, pause func())
+		late   bool // the request times out when the target calls pause
+		echoes bool // the target echoes the request id and doesn't call pause
 	}{
 		{"response after the timeout", func(p *targetConn, pause func()) {
 			pause()
@@ -72,7 +72,7 @@
 			}
 			target := newRaw(t, func(p *targetConn) {
 				for r := p.request(); r != nil; r = p.request() {
-					if p.echoID = ""; tt.names {
+					if p.echoID = ""; tt.echoes {
 						p.echoID = r.Header.Get(call.HeaderRequest)
 					}
 					if r.URL.Path == "/1" {
@@ -94,7 +94,7 @@
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
-					if tt.names {
+					if tt.echoes {
 						return
 					}
 					<-reached
@@ -110,7 +110,7 @@
 				if tt.late {
 					c.Assert(fail != nil && fail.Stage == call.StageTimeout, qt.IsTrue, qt.Commentf("%v", fail))
 				}
-				if !tt.names {
+				if !tt.echoes {
 					released <- struct{}{}
 				}
 			}
--- a/internal/forward/failure_test.go
+++ b/internal/forward/failure_test.go
@@ -50,7 +50,7 @@
 		{"reset in the middle of the write", func(p *targetConn) {
 			_, _ = p.br.Peek(10)
 			p.reset()
-		}, func(t *DispatchParams) { t.Body = []byte(big) }, []call.Stage{call.StageSent}, []call.Execution{call.MayHaveRun}},
+		}, func(p *DispatchParams) { p.Body = []byte(big) }, []call.Stage{call.StageSent}, []call.Execution{call.MayHaveRun}},
 		{"reset after the write", func(p *targetConn) {
 			p.request()
 			p.reset()
@@ -64,20 +64,20 @@
 		{"protocols switched", respond("HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), nil, []call.Stage{call.StageInvalid}, []call.Execution{call.MayHaveRun}},
 		{"two lengths", respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok!"), nil, []call.Stage{call.StageInvalid}, []call.Execution{call.MayHaveRun}},
 		{"head too long", respond("HTTP/1.1 200 OK\r\nX: " + big[:1<<20]), nil, []call.Stage{call.StageInvalid, call.StageSent}, []call.Execution{call.MayHaveRun}},
-		{"silent", silent, func(t *DispatchParams) { t.Timeout = 20 * time.Millisecond }, []call.Stage{call.StageTimeout}, []call.Execution{call.MayHaveRun}},
+		{"silent", silent, func(p *DispatchParams) { p.Timeout = 20 * time.Millisecond }, []call.Stage{call.StageTimeout}, []call.Execution{call.MayHaveRun}},
 		{"silent within a short body", func(p *targetConn) {
 			p.request()
 			p.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			p.request()
-		}, func(t *DispatchParams) { t.Timeout = 50 * time.Millisecond }, []call.Stage{call.StageTimeout}, []call.Execution{call.DidRun, call.MayHaveRun}},
-		{"caller's body breaks", silent, func(t *DispatchParams) {
-			t.Stream, t.Length = io.MultiReader(strings.NewReader("half"), iotest.ErrReader(io.ErrUnexpectedEOF)), -1
+		}, func(p *DispatchParams) { p.Timeout = 50 * time.Millisecond }, []call.Stage{call.StageTimeout}, []call.Execution{call.DidRun, call.MayHaveRun}},
+		{"caller's body breaks", silent, func(p *DispatchParams) {
+			p.Stream, p.Length = io.MultiReader(strings.NewReader("half"), iotest.ErrReader(io.ErrUnexpectedEOF)), -1
 		}, []call.Stage{call.StageCaller}, nil},
-		{"caller's body is short", silent, func(t *DispatchParams) {
-			t.Stream, t.Length = strings.NewReader("half"), 9
+		{"caller's body is short", silent, func(p *DispatchParams) {
+			p.Stream, p.Length = strings.NewReader("half"), 9
 		}, []call.Stage{call.StageCaller}, nil},
-		{"refused", nil, func(t *DispatchParams) { t.Target = refused.addr() }, []call.Stage{call.StageRefused}, []call.Execution{call.DidNotRun}},
-		{"no such port", nil, func(t *DispatchParams) { t.Target = "127.0.0.1:70000" }, []call.Stage{call.StageConnect}, []call.Execution{call.DidNotRun}},
+		{"refused", nil, func(p *DispatchParams) { p.Target = refused.addr() }, []call.Stage{call.StageRefused}, []call.Execution{call.DidNotRun}},
+		{"no such port", nil, func(p *DispatchParams) { p.Target = "127.0.0.1:70000" }, []call.Stage{call.StageConnect}, []call.Execution{call.DidNotRun}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
