--- a/internal/forward/copy_test.go
+++ b/internal/forward/copy_test.go
@@ -22,14 +22,14 @@
 	chunks := head + "Transfer-Encoding: chunked\r\n\r\n"
 	long := strings.Repeat("x", 100_000)
 	tests := []struct {
-		name  string
-		say   string
-		end   func(p *targetConn)
-		whole string // complete body at the caller; empty if it is cut
+		name     string
+		text     string
+		end      func(p *targetConn)
+		complete string // body at the caller; empty if it is cut
 	}{
-		{"short, whole", okResponse("veil"), nil, "veil"},
-		{"long, whole", okResponse(long), nil, long},
-		{"chunks, whole", chunks + "4\r\nveil\r\n0\r\n\r\n", nil, "veil"},
+		{"short, complete", okResponse("veil"), nil, "veil"},
+		{"long, complete", okResponse(long), nil, long},
+		{"chunks, complete", chunks + "4\r\nveil\r\n0\r\n\r\n", nil, "veil"},
 		{"short, closed", head + "Content-Length: 9\r\n\r\nveil", nil, ""},
 		{"long, closed", head + "Content-Length: 100001\r\n\r\n" + long, nil, ""},
 		{"long, reset", head + "Content-Length: 100001\r\n\r\n" + long, (*targetConn).reset, ""},
@@ -47,7 +47,7 @@
 			c := qt.New(t)
 			target := newRaw(t, func(p *targetConn) {
 				p.request()
-				p.write(tt.say)
+				p.write(tt.text)
 				if tt.end != nil {
 					tt.end(p)
 				}
@@ -61,9 +61,9 @@
 				defer resp.Body.Close()
 				body, err = io.ReadAll(resp.Body)
 			}
-			if tt.whole != "" {
+			if tt.complete != "" {
 				c.Assert(err, qt.IsNil)
-				c.Assert(string(body) == tt.whole, qt.IsTrue)
+				c.Assert(string(body) == tt.complete, qt.IsTrue)
 				return
 			}
 			if err == nil {
