--- a/cluster_test.go
+++ b/cluster_test.go
@@ -187,7 +187,7 @@
 	return callResult{res.StatusCode, h.Get(call.HeaderOutcome), h.Get(call.HeaderReason), h.Get("Plumpitch-Replay") != "", string(body), err}
 }
 
-// complete reports whether the response is the complete response of a stand-in target to
+// complete reports whether the response is the complete response of a fake target to
 // the request with this id.
 func (a callResult) complete(id string) bool {
 	return a.err == nil && a.status == http.StatusOK && strings.HasPrefix(a.body, "id="+id+" ") && strings.HasSuffix(a.body, "\n")
--- a/dev_gateway.go
+++ b/dev_gateway.go
@@ -19,7 +19,7 @@
 // devSendInterval is the pause between two requests of dev --gateway --seconds.
 const devSendInterval = 10 * time.Millisecond
 
-// runDevGateways runs the example site with gateways on stand-ins of the users'
+// runDevGateways runs the example site with gateways on fakes of the users'
 // platform.
 func runDevGateways(ctx context.Context, length time.Duration) (err error) {
 	handler := logs.New(os.Stderr)
--- a/gateway_proof_test.go
+++ b/gateway_proof_test.go
@@ -24,7 +24,7 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// gatewaySite is a site of gateway processes on stand-ins of the users' platform.
+// gatewaySite is a site of gateway processes with fakes of the users' platform.
 type gatewaySite struct {
 	q        *qt.C
 	t        *testing.T
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -21,7 +21,7 @@
 	// entries whose callers have just moved to others.
 	burstDivisor = 4
 	// maxBurstShare is the largest share of the traffic on which an entry bases its
-	// burst. An entry that is cut off from all others sees itself as serving all of it.
+	// burst. An isolated entry sees itself as serving all of it.
 	maxBurstShare = 0.5
 )
 
--- a/internal/gateway/budget_views_test.go
+++ b/internal/gateway/budget_views_test.go
@@ -16,7 +16,7 @@
 	budget        *call.Budget
 	totalRate     float64 // requests per second at all entries, as last received; 0 if never
 	rate          float64 // requests per second at this entry
-	isolatedUntil int     // tick until which it is cut off from the others
+	isolatedUntil int     // tick until which it is isolated
 	lastAged      int     // tick at which its budget last aged
 }
 
@@ -128,7 +128,7 @@
 	return part
 }
 
-// Entries start, are cut off, gain and lose callers, and receive the total rate late, while
+// Entries start, are isolated, gain and lose callers, and receive the total rate late, while
 // targets fail from time to time. Together the entries must stay within the retry budget.
 func TestRetryBudgetUnderDifferingViews(t *testing.T) {
 	const seeds = 300
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -49,11 +49,11 @@
 	configRevision roster.Revision // last revision read from the configuration's history
 
 	members             *member.Table
-	pending             []pendingExchange // membership exchanges that wait for an answer
+	pending             []pendingExchange // membership exchanges that wait for a response
 	newestKnowledge     relay.Knowledge   // last advertised by another entry that has something newer
 	newestSource        string            // address of that entry
 	waitingPeers        map[string]bool   // addresses of entries that have no configuration yet
-	pullSource          string            // address of the entry that the current pull asks; empty after its answer
+	pullSource          string            // address of the entry that the current pull asks; empty after its reply
 	pullStarted         time.Time         // when that pull began
 	fetchPending        bool              // a fetch of another entry's members is in progress
 	lastFetch           time.Time
@@ -77,7 +77,7 @@
 	ownersAssignment   *owner.Assignment // the assignment that owners was computed from
 	assignedCounts     map[string]int
 	// sendersChanged is set until services know which entries send to them.
-	// sendersIsolated is whether services were last told that this entry is cut off.
+	// sendersIsolated is whether services were last told that this entry is isolated.
 	sendersChanged, sendersIsolated bool
 	retryShare                      retryShare // last given to the services
 	retryAgedAt                     time.Time  // when the saved retries of the services last aged
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// applyPulledEvacuations applies the evacuations in a pull's answer.
+// applyPulledEvacuations applies the evacuations in the reply to a pull.
 func (c *control) applyPulledEvacuations(e relay.Evacuations) (changed bool) {
 	changed = c.evacuations.Replace(e.List, e.Revision)
 	c.evacuations.AdvanceLastChange(e.LastChange)
--- a/internal/gateway/knowledge_test.go
+++ b/internal/gateway/knowledge_test.go
@@ -209,7 +209,7 @@
 	w.c.Assert(e.hasTarget(w.workers[1].ID), qt.IsTrue)
 }
 
-// A request that reaches an entry before the first answer of the store is held for a moment and
+// A request that reaches an entry before the first response of the store is held for a moment and
 // then served. If the store is unavailable it is refused soon, and later requests at once.
 func TestRequestBeforeFirstStoreAnswer(t *testing.T) {
 	tests := []struct {
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -15,7 +15,7 @@
 	// are no longer sent to a dead entry after 0.25 + 0.2 + 0.25 s and the time in
 	// which the suspicion spreads.
 	roundPeriod = 250 * time.Millisecond
-	// exchangeTimeout is how long an answer may take. The latency between entries is a
+	// exchangeTimeout is how long a response may take. The latency between entries is a
 	// few milliseconds, and a VM that has used up its CPU quota is paused for up to
 	// 100 ms.
 	exchangeTimeout = 200 * time.Millisecond
@@ -25,13 +25,13 @@
 	// 16 entries. Callers are sent elsewhere meanwhile.
 	suspicionTimeout = 600 * time.Millisecond
 	// deadRetention is how long a dead entry is contacted again, so that a VM that was
-	// cut off or frozen for a while gets what it missed as soon as it is back.
+	// isolated or frozen for a while gets what it missed as soon as it is back.
 	deadRetention = 2 * time.Minute
 	// leftRetention is how long a stopped entry is remembered, so that a late message
 	// about it doesn't revive it.
 	leftRetention = time.Minute
 	// isolationTimeout is how long an entry receives nothing from any other before it
-	// counts as cut off: several rounds.
+	// counts as isolated: several rounds.
 	isolationTimeout = 4 * roundPeriod
 )
 
@@ -76,7 +76,7 @@
 	return len(g.otherSeeds()) < len(g.cfg.Settings.Seeds)
 }
 
-// pendingExchange is an exchange that waits for its answer.
+// pendingExchange is an exchange that waits for its response.
 type pendingExchange struct {
 	exchange uint64
 	deadline time.Time
@@ -144,7 +144,7 @@
 	}
 }
 
-// runTimers handles the timers that are due: exchanges without an answer, membership rounds
+// runTimers handles the timers that are due: exchanges without a response, membership rounds
 // and pulls.
 func (c *control) runTimers(now time.Time) {
 	kept := c.pending[:0]
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -20,9 +20,9 @@
 // entry that receives nothing from the others has lost its own network, so that its failed
 // calls are no sign of an outage.
 
-// minOutage is the least duration of failure that counts as an outage. An entry that was cut
-// off learns of failed calls just when it is connected again, its own or those of others that
-// were cut off as well, and gets current data within 0.3 s of that. In a real outage all
+// minOutage is the least duration of failure that counts as an outage. An entry that was isolated
+// learns of failed calls just when it is connected again, its own or those of others that
+// were isolated as well, and gets current data within 0.3 s of that. In a real outage all
 // entries know of the first failed call after 2 s, and no record expires before 3 s.
 const minOutage = 500 * time.Millisecond
 
@@ -62,13 +62,13 @@
 	}
 }
 
-// usableTargets returns the targets with a record and the vanished ones that are kept after an
+// usableTargets returns the targets with a record and the vanished ones that are retained after an
 // outage or a restore of the store.
 func (c *control) usableTargets(now time.Time) map[string]roster.Item[slot.Target] {
 	return effectiveItems(now, c.targets, c.vanishedTargets, c.restoredAt)
 }
 
-// changeTargets applies a change of the targets, and keeps vanished ones after an outage or a
+// changeTargets applies a change of the targets, and retains vanished ones after an outage or a
 // restore of the store.
 func (c *control) changeTargets(now time.Time, apply func() (changed bool)) (changed bool) {
 	before, revision := c.targets.Items(), c.targets.Revision()
@@ -100,7 +100,7 @@
 }
 
 // noteStoreReturn records the end of an outage, where the store answered again at that time.
-// The first answers may hold no change: records expire some tenths of a second later.
+// The first responses may hold no change: records expire some tenths of a second later.
 func (c *control) noteStoreReturn(now, at time.Time) {
 	if c.storeFailingSince.IsZero() || now.Sub(c.storeFailingSince) < minOutage || c.confirmed[resourceTargets].IsZero() {
 		return
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -135,7 +135,7 @@
 
 // The store stops answering for just as long as records take to expire. Afterwards its list lacks
 // targets that work, and callers are refused if these are dropped. An entry must detect the failure
-// by then: the first call without an answer counts, not only the last one of several.
+// by then: the first call without a response counts, not only the last one of several.
 func TestSilentStoreDetected(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1})
 	e := w.startEntry("a").waitReady()
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -108,8 +108,8 @@
 
 // pullExclusiveTime is how long a pull prevents a pull from another entry. The entry asked
 // may have lost power right after it advertised a change, and the call fails only after
-// 0.5 s: 36 of 113 gateways waited that long for one that was cut off, and meanwhile sent
-// requests to targets that had left. An answer takes 20 ms, and up to 0.2 s when all
+// 0.5 s: 36 of 113 gateways waited that long for one that was isolated, and meanwhile sent
+// requests to targets that had left. A reply takes 20 ms, and up to 0.2 s when all
 // entries start at once.
 const pullExclusiveTime = 200 * time.Millisecond
 
@@ -158,7 +158,7 @@
 		}
 	}
 	if m.news.Targets != relay.TargetsUnchanged {
-		// The answer was sent between the request and now, and its transfer may have
+		// The reply was sent between the request and now, and its transfer may have
 		// taken half a second. Measured from the request, the age of a list is never
 		// underestimated.
 		c.confirmFromPeer(now, m.askedAt, resourceTargets, m.news.Age)
@@ -222,7 +222,7 @@
 	}
 }
 
-// applyPulledTargets applies the targets in a pull's answer.
+// applyPulledTargets applies the targets in the reply to a pull.
 func (c *control) applyPulledTargets(n relay.PullResult) (changed bool) {
 	if n.Targets == relay.TargetsChanged {
 		changed = c.targets.Merge(n.Changes, n.Revision)
--- a/internal/gateway/pull_test.go
+++ b/internal/gateway/pull_test.go
@@ -25,7 +25,7 @@
 	qt.Assert(t, c.age(now, resourceTargets) >= 3*time.Second, qt.IsTrue, qt.Commentf("%v", c.age(now, resourceTargets)))
 }
 
-// The answer to a pull is delayed on its way. Its age must be measured from the time of the pull,
+// The reply to a pull is delayed on its way. Its age must be measured from the time of the pull,
 // the earliest time at which it can have been sent. Measured from its arrival, the data would seem
 // younger than it is.
 func TestPulledAgeAfterSlowAnswer(t *testing.T) {
@@ -48,7 +48,7 @@
 	return n, ctx.Err()
 }
 
-// fixedSource answers each pull with the same news.
+// fixedSource answers each pull with the same result.
 type fixedSource relay.PullResult
 
 func (n fixedSource) AnswerPull(context.Context, relay.PullQuery) (relay.PullResult, error) {
@@ -88,7 +88,7 @@
 }
 
 // An entry that has just started pulls the targets from another entry and reads the store itself.
-// The pull's answer comes later and is older. A target in it that the store no longer lists must not
+// The reply to the pull comes later and is older. A target in it that the store no longer lists must not
 // come back, neither at this entry nor at those that pull from it.
 func TestOlderAnswerAfterFirstRead(t *testing.T) {
 	older := []roster.Change[slot.Target]{{Item: item("gone", 9)}, {Item: item("stays", 10)}}
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -12,7 +12,7 @@
 // The store may be restored from a copy that is some seconds old. Objects written since the
 // copy are missing until their authors write them again, and objects deleted since are back.
 // Until then this entry uses its previous state, as after an outage: objects that vanished are
-// kept (roster.Vanished), and objects that the copy brought back are ignored.
+// retained (roster.Vanished), and objects that the copy brought back are ignored.
 
 // revivedIgnoreTime is how long an object that a copy brought back is ignored unless it is
 // written: a target that is gone writes no heartbeat, and its record expires by then.
@@ -47,7 +47,7 @@
 	return n
 }
 
-// effectiveItems returns the objects in the store and the vanished ones that are kept, without
+// effectiveItems returns the objects in the store and the vanished ones that are retained, without
 // those that only a copy brought back.
 func effectiveItems[T any](now time.Time, r *roster.Roster[T], vanished *roster.Vanished[T], restoredAt time.Time) map[string]roster.Item[T] {
 	items := r.Items()
--- a/internal/gateway/senders.go
+++ b/internal/gateway/senders.go
@@ -13,7 +13,7 @@
 // callers may reach by an outdated directory response, uses targets that are warmed up.
 //
 // An entry that receives nothing from the others sends to no cold target. Each entry that
-// is cut off assumes that it owns all hosts, so together their shares would exceed what a
+// is isolated assumes that it owns all hosts, so together their shares would exceed what a
 // cold target can take.
 func (c *control) updateSenders(now time.Time, owners map[string][]owner.Entry) {
 	senders := c.senders(owners)
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -90,7 +90,7 @@
 	OtherInFlight int     `json:"foreign"` // requests of other entries in flight, by the last load report
 	Pace          float64 `json:"pace"`    // 0 without a load report
 	LoadAge       float64 `json:"age"`     // seconds since the load report
-	// Leaves is the time in seconds since this entry learned from a response that the
+	// LeavingFor is the time in seconds since this entry learned from a response that the
 	// target is leaving; nil if it has not.
 	LeavingFor *float64 `json:"leaves,omitempty"`
 	// Limit is the request rate that the target accepts from all entries together; nil if
--- a/internal/lab/tail/entry.go
+++ b/internal/lab/tail/entry.go
@@ -20,10 +20,10 @@
 	retryRatio  = 0.1 // retry tokens that each new request adds
 	retryBurst  = 10  // greatest number of retry tokens
 	maxAttempts = 3   // dispatches per request, including the first
-	attemptBits = 3   // low bits of a dispatch ID that hold the attempt
+	attemptBits = 3   // low bits of a dispatch ID that hold the dispatch index
 )
 
-// dispatchID combines the index of a request and its attempt.
+// dispatchID combines the index of a request and that of its dispatch.
 func dispatchID(request, dispatchID int32) uint64 {
 	return uint64(request)<<attemptBits | uint64(dispatchID)
 }
@@ -166,7 +166,7 @@
 }
 
 // retryOrFail retries a request that is idempotent or has not been executed, as
-// long as the attempt limit and the retry budget of the entry allow it. Any other
+// long as the limit of dispatches and the retry budget of the entry allow it. Any other
 // request fails.
 func (s *simulator) retryOrFail(j job) {
 	r := &s.requests[j.request]
--- a/internal/relay/packet.go
+++ b/internal/relay/packet.go
@@ -25,7 +25,7 @@
 	GossipResponse                 // to a GossipRequest, with the same exchange ID
 	IndirectPing                   // asks the receiver to ping Address; answered by an IndirectAck
 	ping                           // sent on behalf of the entry at Address
-	pong                           // answer to a ping, with the same Address
+	pong                           // response to a ping, with the same Address
 	IndirectAck                    // the entry that an IndirectPing names has answered
 	Announcement                   // Knowledge without a membership message
 	LoadReport                     // request rate of each host at the sender
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -74,7 +74,7 @@
 type Config struct {
 	Address  string // host:port, for datagrams and calls
 	Source   Source
-	Self     func() member.ID            // ID of this entry, the answer to pings
+	Self     func() member.ID            // ID of this entry, the response to pings
 	OnPacket func(p Packet, from string) // called by one goroutine for each received packet
 	OnSent   func(bytes int)             // called for each sent packet
 	Log      log.Interface
--- a/internal/settings/peer.go
+++ b/internal/settings/peer.go
@@ -36,7 +36,7 @@
 	return c
 }
 
-// ApplyChange merges a change received from a peer. It returns tree.ErrGap if the
+// ApplyChange merges a change received from a peer. It returns tree.ErrHistoryMismatch if the
 // edits don't continue the document in force; the caller then has to request the
 // changes since revision 0.
 func (s *Settings) ApplyChange(ctx context.Context, c Change) (err error) {
--- a/internal/site/gateways.go
+++ b/internal/site/gateways.go
@@ -16,7 +16,7 @@
 	"plumpitch.example/plumpitch/platform"
 )
 
-// Gateways is a running site on stand-ins of the users' platform.
+// Gateways is a running site with fakes of the users' platform.
 type Gateways struct {
 	Store    *objects.Store
 	Gateways []*gateway.Gateway
@@ -46,7 +46,7 @@
 	siteWarmSlack     = 8
 )
 
-// StartGateways starts the stand-ins, stores a configuration with a route for each
+// StartGateways starts the fakes, stores a configuration with a route for each
 // service, and starts the gateways.
 func StartGateways(cfg Config) (s *Gateways, err error) {
 	defer func() { err = errors.WithMessage(err, "site of gateways") }()
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Close stops the gateways gracefully, then the stand-ins.
+// Close stops the gateways gracefully, then the fakes.
 func (s *Gateways) Close() {
 	s.stop()
 	s.gatewaysDone.Wait()
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,5 +1,5 @@
 // Package site runs a small site in one process on loopback, for trials and tests: a
-// stand-in of the platform, stand-in targets, and entries or gateways. The entries and
+// fake of the platform, fake targets, and entries or gateways. The entries and
 // gateways are the same code that runs on VMs.
 package site
 
@@ -46,7 +46,7 @@
 // Site is a running site.
 type Site struct {
 	Platform *platform.Platform
-	Store    string // URL of the platform's stand-in
+	Store    string // URL of the fake platform
 	Entries  []*entry.Entry
 	Targets  []*Target
 
@@ -55,7 +55,7 @@
 	servers     []*http.Server
 }
 
-// Target is a stand-in target with its address.
+// Target is a fake target with its address.
 type Target struct {
 	*target.Target
 	Name    string
@@ -63,7 +63,7 @@
 	Addr    string
 }
 
-// Start starts the stand-ins and the entries. The store holds no settings yet; see Apply.
+// Start starts the fakes and the entries. The store holds no settings yet; see Apply.
 func Start(cfg Config) (s *Site, err error) {
 	defer func() { err = errors.WithMessage(err, "site") }()
 	s = &Site{Platform: platform.New(platform.Config{})}
@@ -201,7 +201,7 @@
 	return n
 }
 
-// Kill closes the stand-ins immediately and doesn't wait until the entries have stopped.
+// Kill closes the fakes immediately and doesn't wait until the entries have stopped.
 // It is for measurements that need no graceful stop.
 func (s *Site) Kill() {
 	if s.stopEntries != nil {
@@ -216,7 +216,7 @@
 	}
 }
 
-// Close stops the entries gracefully, then the stand-ins.
+// Close stops the entries gracefully, then the fakes.
 func (s *Site) Close() {
 	if s.stopEntries != nil {
 		s.stopEntries()
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -19,7 +19,7 @@
 	modeReset // resets open and new connections
 )
 
-// proxy forwards connections from gateways to one stand-in.
+// proxy forwards connections from gateways to one fake.
 type proxy struct {
 	listener net.Listener
 	backend  string
--- a/internal/soak/site_test.go
+++ b/internal/soak/site_test.go
@@ -22,7 +22,7 @@
 
 const host = "veil.example"
 
-// site is a test installation: gateway processes, with stand-ins for the store and the targets.
+// site is a test installation: gateway processes, with fakes for the store and the targets.
 type site struct {
 	profile
 	t                  *testing.T
--- a/pkg/member/message.go
+++ b/pkg/member/message.go
@@ -28,7 +28,7 @@
 	return other.Settings > r.Settings || other.Targets > r.Targets
 }
 
-// StopNotice announces that a target is about to stop.
+// StopNotice announces that an incarnation of a target is leaving.
 type StopNotice struct {
 	Target string
 	Boot   uint64
--- a/pkg/slot/book.go
+++ b/pkg/slot/book.go
@@ -38,7 +38,7 @@
 	probed        int
 	shortlist     [maxCandidates]*member // the most promising targets when it sent its probes
 	outstanding   int                    // probes that haven't been answered
-	probeDeadline time.Time              // end of the wait for their answers
+	probeDeadline time.Time              // end of the wait for their responses
 	nextProbe     time.Time              // earliest time of its next probes while it is queued
 	queued        bool
 }
--- a/pkg/slot/choose.go
+++ b/pkg/slot/choose.go
@@ -153,7 +153,7 @@
 )
 
 // ideal reports whether m has just reported that it is idle and that its pace is normal. No
-// other answer can change the choice then.
+// other response can change the choice then.
 func (b *Balancer) ideal(now time.Time, m *member, s *pendingRequest) bool {
 	idle := b.usable(now, m, s) && m.totalInFlight(now, &b.config) == 0
 	return idle && m.pace <= maxIdealPace && m.currentLatencyRatio(now) < maxIdealLatencyRatio && !m.isCold(now)
--- a/pkg/slot/config.go
+++ b/pkg/slot/config.go
@@ -6,7 +6,7 @@
 type Config struct {
 	Place                string        // failure domain of this entry; its targets are preferred
 	Probes               int           // probes per request; 0 takes the default, a negative value disables probes
-	ProbeTimeout         time.Duration // longest wait for the answers to probes
+	ProbeTimeout         time.Duration // longest wait for the responses to probes
 	InitialServiceTime   time.Duration // baseline service time before any is measured
 	InitialCrowdedFactor float64       // increase of the service time at a crowded target before any is measured
 	SlowPace             float64       // targets are slow above this pace
--- a/pkg/slot/limit.go
+++ b/pkg/slot/limit.go
@@ -13,8 +13,8 @@
 	set        bool
 	setAt      time.Time // when it was first reported
 	reportedAt time.Time // when it was last reported
-	// inProbes reports whether the target has included the limit in the answer to a probe.
-	// Only then does an answer without a limit end it.
+	// inProbes reports whether the target has included the limit in the response to a probe.
+	// Only then does a response without a limit end it.
 	inProbes bool
 	share    quota.Share
 	limiter  quota.Limiter
@@ -84,7 +84,7 @@
 const limitProbeInterval = 500 * time.Millisecond
 
 // limitProbeDue reports whether the target has to be probed for its limit. A target that
-// doesn't include its limit in answers to probes isn't probed.
+// doesn't include its limit in responses to probes isn't probed.
 func (m *member) limitProbeDue(now time.Time) bool {
 	l := &m.limit
 	return l.set && !m.probing && !m.excluded() && !now.Before(m.pausedUntil) && now.Sub(latest(l.reportedAt, m.probedAt)) >= limitProbeInterval && (l.inProbes || m.probedAt.Before(l.setAt))
--- a/pkg/slot/limit_test.go
+++ b/pkg/slot/limit_test.go
@@ -143,7 +143,7 @@
 		name  string
 		sent  time.Duration // relative to the last response with the limit
 		r     Report
-		probe bool // the answer to a probe
+		probe bool // the response to a probe
 		named bool
 		rate  float64
 	}{
--- a/pkg/slot/member.go
+++ b/pkg/slot/member.go
@@ -31,7 +31,7 @@
 
 	probing      bool              // a probe is in flight
 	probedAt     time.Time         // when the last probe was sent
-	probeWaiters []*pendingRequest // requests that wait for the answer
+	probeWaiters []*pendingRequest // requests that wait for the response
 
 	failureScore     float64 // recent failures; each success reduces it
 	ejected          bool    // it gets trial requests only
--- a/pkg/slot/queue.go
+++ b/pkg/slot/queue.go
@@ -118,7 +118,7 @@
 	}
 	for _, s := range b.queue {
 		if s.outstanding > 0 {
-			continue // its probe answers or their timeout come first
+			continue // its probe responses or their timeout come first
 		}
 		needBy(s.nextProbe)
 		needBy(s.Objective.Add(-s.serviceTime))
--- a/pkg/slot/slot_test.go
+++ b/pkg/slot/slot_test.go
@@ -51,7 +51,7 @@
 }
 
 // A request probes a few targets and is dispatched to the first one that reports that it is
-// idle with a normal pace, without waiting for the other answers.
+// idle with a normal pace, without waiting for the other responses.
 func TestIdealTargetChosenImmediately(t *testing.T) {
 	c := qt.New(t)
 	h := newHarness(4)
--- a/settings_test.go
+++ b/settings_test.go
@@ -21,7 +21,7 @@
 	"plumpitch.example/plumpitch/internal/store"
 )
 
-// newOperatorServer serves the settings API of an entry on a stand-in platform. Its status
+// newOperatorServer serves the settings API of an entry with a fake platform. Its status
 // shows one live entry, and one dead entry that stays at revision 0.
 func newOperatorServer(q *qt.C) (addr string) {
 	ctx, cancel := context.WithCancel(context.Background())
--- a/standin.go
+++ b/standin.go
@@ -75,7 +75,7 @@
 	}}
 }
 
-// registerTarget adds a stand-in target to the VM list of a platform stand-in.
+// registerTarget adds a fake target to the VM list of a fake platform.
 func registerTarget(ctx context.Context, platformURL string, vm platform.VM) (err error) {
 	defer func() { err = errors.WithMessage(err, "VM list") }()
 	body, err := json.Marshal(map[string]any{
