--- a/internal/forward/failure_test.go
+++ b/internal/forward/failure_test.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// eventually waits up to maxWait for a condition.
+// eventually waits up to waitLimit for a condition.
 func eventually(c *qt.C, condition func() bool) {
 	c.Helper()
 	for end := time.Now().Add(maxWait); !condition(); time.Sleep(time.Millisecond) {
--- a/internal/gateway/roll.go
+++ b/internal/gateway/roll.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// cutOff reports whether this entry receives nothing from the others though some are live.
+// cutOff reports whether lostContact is true though other entries are live.
 // It then reads the store itself, as if it were the first in the order.
 func (c *control) cutOff(now time.Time) bool {
 	return c.lostContact(now) && len(c.live()) > 1
@@ -63,8 +63,8 @@
 }
 
 // isolated reports whether this entry receives nothing from the others though it has known
-// some. Unlike cutOff it also counts entries that seem dead: after a second or more without
-// contact, all of them do.
+// some. Unlike lostContactWithLive it also counts entries that seem dead: after a second or
+// more without contact, all of them do.
 func (c *control) isolated(now time.Time) bool {
 	if !c.lostContact(now) {
 		return false
--- a/pkg/pool/pool.go
+++ b/pkg/pool/pool.go
@@ -20,7 +20,7 @@
 	rnd    *rand.Rand
 
 	epoch          time.Time
-	now            time.Duration // since epoch; never decreases
+	now            time.Duration // since timeOrigin; never decreases
 	members        []*Member
 	byID           map[string]*Member
 	notices        map[string]notice // leaving notices by target
--- a/pkg/slot/event.go
+++ b/pkg/slot/event.go
@@ -45,7 +45,7 @@
 	ColdKnown bool          // whether ColdFor was reported
 }
 
-// ActionKind is what the caller of the balancer has to do.
+// ActionKind is what the driver of the balancer has to do.
 type ActionKind uint8
 
 // Kinds of actions. Those with the prefix Note only announce a change.
@@ -83,14 +83,14 @@
 	return reasonNames[r]
 }
 
-// Action is something that the caller of the balancer has to do.
+// Action is one action for the driver to perform.
 type Action struct {
 	Kind       ActionKind
 	ID         uint64
 	Target     Target
 	Reason     Reason        // for Refuse
 	RetryAfter time.Duration // for Refuse: when a retry is likely to succeed; for NotePause: length of the pause
-	Decision   Decision      // for Send
+	Decision   Decision      // for Dispatch
 	Rate       float64       // for NoteLimit: requests per second
 	HasLimit   bool          // for NoteLimit: whether the target has a limit
 }
