--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -49,11 +49,11 @@
 	configRevision roster.Revision // last revision read from the configuration's history
 
 	members             *member.Table
-	pending             []pendingExchange // membership exchanges that wait for an answer
+	pending             []pendingExchange // membership exchanges that wait for a response
 	newestKnowledge     relay.Knowledge   // last advertised by another entry that has something newer
 	newestSource        string            // address of that entry
 	waitingPeers        map[string]bool   // addresses of entries that have no configuration yet
-	pullSource          string            // address of the entry that the current pull asks; empty after its answer
+	pullSource          string            // address of the entry that the current pull asks; empty after its reply
 	pullStarted         time.Time         // when that pull began
 	fetchPending        bool              // a fetch of another entry's members is in progress
 	lastFetch           time.Time
--- a/pkg/slot/queue.go
+++ b/pkg/slot/queue.go
@@ -118,7 +118,7 @@
 	}
 	for _, p := range b.queue {
 		if p.outstanding > 0 {
-			continue // its probe answers or their timeout come first
+			continue // its probe responses or their timeout come first
 		}
 		needBy(p.nextProbe)
 		needBy(p.Objective.Add(-p.serviceTime))
