--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -23,7 +23,7 @@
 // writing would lose the response.
 const lingerTime = 500 * time.Millisecond
 
-// errTooLong is returned by a read that passes the body limit.
+// errTooLong is returned by a read of a body that exceeds the limit.
 var errTooLong = errors.New("body: too long")
 
 // callerBody is the body of a caller's request. It enforces the body limit and
--- a/internal/entry/drive.go
+++ b/internal/entry/drive.go
@@ -184,7 +184,8 @@
 	}
 }
 
-// acquire asks the balancer for a target other than that of the latest dispatch.
+// acquire asks the balancer for a target, preferably another one than that of the
+// latest dispatch.
 func (d *dispatcher) acquire() {
 	avoid := ""
 	for i := range d.dispatches {
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -120,8 +120,8 @@
 	}
 	l = l.WithFields(log.Fields{"outcome": outcome, "reason": w.Header().Get(call.HeaderReason)})
 	if outcome == call.Unknown.String() {
-		l.Warn("request ended without a target response")
+		l.Warn("responded in place of a target")
 		return
 	}
-	l.Info("request ended without a target response")
+	l.Info("responded in place of a target")
 }
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -27,7 +27,7 @@
 // baseSettings are in force in every test. They keep the stop of an entry short.
 const baseSettings = `"timeout": "5s", "locatettl": "100ms", "drainhold": "100ms"`
 
-// testEntry is an entry with a stand-in for the platform and targets of the test.
+// testEntry is an entry with a fake of the platform and targets of the test.
 type testEntry struct {
 	*Entry
 	t        *testing.T
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -17,7 +17,7 @@
 	client   *peer.Client
 }
 
-// ChangesSince returns the changes after a revision, for a peer that has that revision.
+// ChangesSince returns the changes after the revision that a peer has.
 func (s settingsSync) ChangesSince(_ context.Context, revision uint64) (change peer.SettingsUpdate, err error) {
 	c := s.settings.Since(revision)
 	return peer.SettingsUpdate{Revision: c.Revision, Document: c.Document, Edits: c.Edits}, nil
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -70,8 +70,8 @@
 	r.entry.control.enqueue(ctx, membersChanged{r.entry.members.Serving()})
 }
 
-// advertise passes a new settings revision and the change to ready to membership,
-// which gossips them.
+// advertise tells membership when the settings revision changes and when the entry
+// becomes ready. Membership gossips both to the other entries.
 func (r *relay) advertise(ctx context.Context) {
 	e := r.entry
 	revisions := member.Revisions{Settings: e.settings.Document().Revision}
--- a/internal/entry/release.go
+++ b/internal/entry/release.go
@@ -14,8 +14,8 @@
 
 // cancel ends a dispatch whose response isn't needed. If the dispatch is still in
 // flight in its goroutine, discardLateResults frees its slot later.
-func (d *dispatcher) cancel(try int) {
-	sent := &d.dispatches[try]
+func (d *dispatcher) cancel(index int) {
+	sent := &d.dispatches[index]
 	sent.cancel()
 	if sent.response == nil {
 		return
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -106,7 +106,7 @@
 	return p, nil
 }
 
-// run executes the request until its deadline. The context of a returned
+// runRequest executes a request until its deadline. The context of a returned
 // response is cancelled by its release.
 func (e *Entry) run(ctx context.Context, q *request) (p *openResponse, final call.Final) {
 	ctx, cancel := context.WithDeadline(ctx, q.deadline)
