--- a/internal/settings/api.go
+++ b/internal/settings/api.go
@@ -14,7 +14,7 @@
 // timeout.
 const editTimeout = 15 * time.Second
 
-// Node is a node of the settings tree with the values in effect at it.
+// Node is a node of the settings tree with the values in effect there.
 type Node struct {
 	Revision uint64 // of the document
 	Path     string
@@ -32,7 +32,7 @@
 	Text   []byte
 }
 
-// EditResult is the result of an edit, or of a diff or application of a proposal.
+// EditResult is the result of an edit, or of a proposal that was compared or applied.
 type EditResult struct {
 	ID       string // empty for a diff, and when there was nothing to change
 	Revision uint64
--- a/internal/settings/edit.go
+++ b/internal/settings/edit.go
@@ -102,16 +102,16 @@
 // at most one of the two writes succeeds.
 func (a *pendingEdit) tryOnce(ctx context.Context) (accepted tree.Edit, err error) {
 	s := a.settings
-	o, d, verdict, err := s.read(ctx)
+	o, d, result, err := s.read(ctx)
 	if err != nil {
 		return tree.Edit{}, err
 	}
 	base := *s.Document()
-	if verdict == tree.Diverged {
+	if result == tree.Diverged {
 		base = s.joinHistories(d, base)
 	}
 	next, accepted, err := base.Apply(a.edit, s.cfg.Now())
-	if err != nil || next.Revision == base.Revision && verdict != tree.Diverged {
+	if err != nil || next.Revision == base.Revision && result != tree.Diverged {
 		return accepted, err
 	}
 	value := tree.Encode(next)
--- a/internal/settings/heal.go
+++ b/internal/settings/heal.go
@@ -47,12 +47,12 @@
 // is the same or newer. It merges the two if their histories diverged.
 func (s *Settings) repairOnce(ctx context.Context) (err error) {
 	defer func() { err = errors.WithMessage(err, "heal") }()
-	o, d, verdict, err := s.read(ctx)
-	if err != nil || verdict != tree.Older && verdict != tree.Diverged {
+	o, d, result, err := s.read(ctx)
+	if err != nil || result != tree.Older && result != tree.Diverged {
 		return err
 	}
 	next := *s.Document()
-	if verdict == tree.Diverged {
+	if result == tree.Diverged {
 		next = s.joinHistories(d, next)
 	}
 	if _, err = s.cfg.Store.Put(ctx, Kind, Name, o.Version, tree.Encode(next)); err != nil {
@@ -62,18 +62,18 @@
 	return err
 }
 
-// joinHistories merges two diverged histories, that of the store and the one in
-// force. It logs each accepted edit that conflicts with another one and is dropped.
+// mergeHistories merges two diverged histories, that of the store and the one in
+// force. It logs each accepted edit that is dropped because of a conflict.
 func (s *Settings) joinHistories(stored, inForce tree.Document) tree.Document {
 	if stored.Revision < inForce.Revision {
 		stored, inForce = inForce, stored
 	}
-	joined, dropped := tree.MergeDiverged(stored, inForce)
+	merged, dropped := tree.MergeDiverged(stored, inForce)
 	for _, e := range dropped {
 		s.cfg.Log.WithField("id", e.ID).WithField("author", e.Author).
 			Error("settings: dropped an accepted edit that conflicts with another one; its author must repeat it")
 	}
-	return joined
+	return merged
 }
 
 // readTimeout bounds one read of the store's document.
--- a/internal/settings/own.go
+++ b/internal/settings/own.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// documentMessage is a decoded document from the store or a peer. The merge verdict
-// is sent to done.
+// documentMessage is a decoded document from the store or a peer. The result
+// of the merge is sent to done.
 type documentMessage struct {
 	document  tree.Document
 	fromStore bool // the document was read from the store or written to it
@@ -43,17 +43,17 @@
 }
 
 func (m documentMessage) apply(s *Settings) {
-	verdict := s.merge(m.document)
-	if verdict == tree.Diverged || m.fromStore && verdict == tree.Older {
+	result := s.merge(m.document)
+	if result == tree.Diverged || m.fromStore && result == tree.Older {
 		notify(s.repairNeeded)
 	}
-	m.done <- verdict
+	m.done <- result
 }
 
 // merge brings a document into force if it is newer than the current one.
 func (s *Settings) merge(d tree.Document) tree.MergeResult {
-	next, verdict := tree.Merge(*s.Document(), d)
-	switch verdict {
+	next, result := tree.Merge(*s.Document(), d)
+	switch result {
 	case tree.FastForward:
 		s.current.Store(&next)
 		notify(s.changed)
@@ -61,11 +61,11 @@
 		s.cfg.Log.WithField("force", s.Document().Revision).WithField("found", d.Revision).
 			Error("settings: histories diverged, each has an accepted edit that the other lacks")
 	}
-	return verdict
+	return result
 }
 
 // submit sends a document to the goroutine that owns the current one, and waits for
-// the merge verdict.
+// the result of the merge.
 func (s *Settings) submit(ctx context.Context, d tree.Document, fromStore bool) (tree.MergeResult, error) {
 	m := documentMessage{document: d, fromStore: fromStore, done: make(chan tree.MergeResult, 1)}
 	if err := s.enqueue(ctx, m); err != nil {
--- a/internal/settings/peer.go
+++ b/internal/settings/peer.go
@@ -36,9 +36,9 @@
 	return c
 }
 
-// ApplyChange merges a change received from a peer. It returns tree.ErrGap if the
-// edits don't continue the document in force; the caller then has to request the
-// changes since revision 0.
+// ApplyChange merges a change received from a peer. It returns
+// tree.ErrHistoryMismatch if the edits don't continue the document in force; the
+// caller then has to request the changes since revision 0.
 func (s *Settings) ApplyChange(ctx context.Context, c Change) (err error) {
 	defer func() { err = errors.WithMessagef(err, "settings of a peer, revision %d", c.Revision) }()
 	if len(c.Document) > 0 {
