--- a/internal/store/call.go
+++ b/internal/store/call.go
@@ -54,7 +54,8 @@
 
 // Put writes value if the object's current version equals expected, and returns
 // the new version. An expected version of 0 creates the object. Put makes one
-// attempt; after an Unavailable error the write may have taken effect.
+// attempt. After an Unavailable error without NotSent the write may have taken
+// effect.
 func (s *Client) Put(ctx context.Context, kind, name string, expected uint64, value []byte) (version uint64, err error) {
 	defer func() { err = errors.WithMessagef(err, "put %s/%s", kind, name) }()
 	body, err := json.Marshal(putJSON{Version: expected, Value: value})
@@ -130,7 +131,7 @@
 	return err
 }
 
-// decode reads a response, unmarshals its body into into and returns the body.
+// decode unmarshals the body of a response into a value. It also returns the body.
 func decode(w *http.Response, into any) (b []byte, err error) {
 	b, err = io.ReadAll(io.LimitReader(w.Body, maxResponseBytes))
 	if err != nil {
--- a/internal/store/follow_test.go
+++ b/internal/store/follow_test.go
@@ -123,8 +123,8 @@
 }
 
 // 300 entries see the store fail at the same instant and retry until it recovers.
-// In no second may they make more calls than the store can handle, and after 15 s
-// the calls must be spread evenly, without waves of simultaneous retries.
+// In each second they must make fewer calls than the store can handle. After 15 s
+// the calls must be spread out: in each second fewer than one for every two entries.
 func TestNoStampede(t *testing.T) {
 	const entries, reads = 300, 2000
 	q := qt.New(t)
