--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -221,7 +221,7 @@
 	mux.ServeHTTP(w, r)
 }
 
-// discardResponse is a ResponseWriter that discards the response.
+// discardingWriter is a ResponseWriter that discards the response.
 type discardResponse struct{ header http.Header }
 
 func (l *discardResponse) Header() http.Header         { return l.header }
