--- a/internal/logs/find.go
+++ b/internal/logs/find.go
@@ -29,7 +29,8 @@
 }
 
 // LookbackTime is how long before a request's first line the other lines of its entry are
-// included. Within this time an entry has received the changes in the store.
+// included. An entry receives changes of the store within this time, so these lines show
+// which of them it knew when it served the request.
 const LookbackTime = 5 * time.Second
 
 // maxLineBytes bounds the length of a line.
