--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -24,7 +24,7 @@
 	seed  uint64
 	cause string
 }{
-	{141, "a gateway that exited because of invalid settings was not restarted, as the platform does"},
+	{141, "a gateway that exited because of invalid settings was not restarted, although the platform restarts it"},
 }
 
 // Injects overlapping faults while clients send requests. Guards against violations of the
