--- a/boot_proof_test.go
+++ b/boot_proof_test.go
@@ -34,7 +34,7 @@
 }
 
 // liveEntries returns the number of entries that an entry sees as live.
-func (c *cluster) liveEntries(n int) (liveEntries int) {
+func (c *cluster) liveEntries(n int) (count int) {
 	var s struct {
 		Entries []struct {
 			Live bool `json:"live"`
@@ -43,8 +43,8 @@
 	_ = getJSON("http://"+c.operators(n)+"/v1/status", &s)
 	for _, e := range s.Entries {
 		if e.Live {
-			liveEntries++
+			count++
 		}
 	}
-	return liveEntries
+	return count
 }
--- a/cluster_test.go
+++ b/cluster_test.go
@@ -122,7 +122,7 @@
 }
 
 // readyEntries returns the number of entries that an entry sees as live and ready.
-func (c *cluster) readyEntries(n int) (readyEntries int) {
+func (c *cluster) readyEntries(n int) (count int) {
 	var s struct {
 		Entries []struct {
 			Live  bool `json:"live"`
@@ -132,10 +132,10 @@
 	_ = getJSON("http://"+c.operators(n)+"/v1/status", &s)
 	for _, e := range s.Entries {
 		if e.Live && e.Ready {
-			readyEntries++
+			count++
 		}
 	}
-	return readyEntries
+	return count
 }
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
--- a/experiment.go
+++ b/experiment.go
@@ -62,7 +62,7 @@
 	sub.Description = "ways to choose among targets whose pace changes continuously, in virtual time"
 	sub.Int(&cfg.Seeds, "", "seeds", "runs of each row; default 5")
 	sub.UInt64(&cfg.Seed, "", "seed", "the first seed; default 1")
-	sub.Duration(&cfg.Length, "", "length", "length of the arrivals; default 32s")
+	sub.Duration(&cfg.Length, "", "length", "time during which requests arrive; default 32s")
 	sub.Bool(&cfg.JSON, "j", "json", "print JSON lines")
 	sub.String(&cfg.Plot, "", "plot", "path of an SVG to write")
 	sub.String(&cfg.Shape, "", "shape", "shape of the service: standard, or booking with longer service times and hundreds of targets")
--- a/gateway.go
+++ b/gateway.go
@@ -86,7 +86,7 @@
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			last, _ = os.ReadFile(path) // ReadSettings reports a read error
+			last, _ = os.ReadFile(path) // the reload below reports a read error
 		case <-poll.C:
 			now, _ := os.ReadFile(path)
 			if bytes.Equal(now, last) {
--- a/leaving_proof_test.go
+++ b/leaving_proof_test.go
@@ -96,10 +96,10 @@
 	}
 }
 
-// A place is evacuated through one entry. From two seconds later on no entry may send the
-// place's target a request, including an entry that starts in the meantime, and no request
-// may be cut off. After the place is restored, its target gets requests again. Evacuating
-// an unknown place must fail.
+// A place is evacuated through one entry. After two seconds no entry may send requests to
+// the target in that place, not even an entry that starts later, and no request may be cut
+// off. After the place is restored, its target gets requests again. Evacuating an unknown
+// place must fail.
 func TestEvacuatedPlaceGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
--- a/proof_test.go
+++ b/proof_test.go
@@ -17,9 +17,9 @@
 
 // An entry is killed, or paused and later resumed, while its keyed requests run at their
 // targets for 500 ms. The callers get no response and resend the same keys through other
-// entries, while the store is up, down or loses responses. No key may run twice: a resend
-// gets the outcome unknown or the recorded response, and a resumed entry dispatches
-// nothing again.
+// entries, while the store is up, down or loses responses. No key may run twice, not even
+// after the paused entry resumes, and a resend may get the outcome not-run only if the key
+// hasn't run.
 func TestKeyRunsOnceWhenItsEntryFails(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -75,7 +75,7 @@
 	return n
 }
 
-// storeOutages are the faults that make the store unavailable for a whole test.
+// storeOutages are the faults that make the store unavailable.
 var storeOutages = []struct{ name, faults string }{
 	{"down", `{"down":true}`},
 	{"slow", `{"delay":"3s"}`},
@@ -105,9 +105,9 @@
 }
 
 // The store is unavailable, so an entry can't find out whether a key has run. Keyed
-// requests must get the outcome unknown and a time to retry after within 2 s, instead of
-// waiting for their timeout, and nothing may run. Once the store is back, the same keys are answered, each by one
-// run.
+// requests must get the outcome unknown within 2 s, instead of waiting until their callers
+// give up, and nothing may run. Once the store is back, the same keys must be answered,
+// each by one run.
 func TestKeysDuringAStoreOutage(t *testing.T) {
 	t.Parallel()
 	for _, c := range storeOutages {
--- a/relay_test.go
+++ b/relay_test.go
@@ -118,9 +118,9 @@
 // The connection between an entry and a target is closed or stalls, before the request, in
 // the header of the response or in its body. An idempotent request is retried at another
 // target and gets a complete response, unless the connection stalls: then it ends with its
-// timeout. A keyed request isn't retried: its caller gets the outcome unknown, or the
-// outcome that it ran if the entry knows this, and never a partial response as a complete
-// one. A resend of the key must not run it again.
+// timeout. A keyed request isn't retried: its caller gets the outcome unknown, or ran if the
+// entry knows that it ran, and never a partial response as a complete one. A resend of the
+// key must not run it again.
 func TestOutcomeAfterConnectionFault(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
@@ -141,10 +141,10 @@
 		runs  int // expected runs of the keyed request with the fault
 	}{
 		{"closed before the request", connFault{closeEarly: true}, 0},
-		{"closed before the answer", connFault{responseBytes: 0}, 1},
-		{"closed in the head", connFault{responseBytes: 20}, 1},
+		{"closed before the response", connFault{responseBytes: 0}, 1},
+		{"closed in the header", connFault{responseBytes: 20}, 1},
 		{"closed in the body", connFault{responseBytes: 170}, 1},
-		{"silent before the answer", connFault{responseBytes: 0, stall: true}, 1},
+		{"silent before the response", connFault{responseBytes: 0, stall: true}, 1},
 		{"silent in the body", connFault{responseBytes: 170, stall: true}, 1},
 	} {
 		for n, p := range proxies {
--- a/standin.go
+++ b/standin.go
@@ -100,8 +100,8 @@
 }
 
 // serveUntilDone serves h on addr until ctx ends, and then lets requests in flight
-// finish. It prints the listener's address as the first line of standard output. onListen
-// is called before that with the address, unless it is nil.
+// finish. Once it listens, it calls onListen with the listener's address, unless onListen
+// is nil, and then prints the address as the first line of standard output.
 func serveUntilDone(ctx context.Context, addr string, h http.Handler, onListen func(addr string) error) (err error) {
 	defer func() { err = errors.WithMessage(err, "stand-in") }()
 	l, err := net.Listen("tcp", addr)
--- a/status_gateway.go
+++ b/status_gateway.go
@@ -66,11 +66,11 @@
 }
 
 // conditionsText lists the abnormal conditions of a gateway, each after a comma.
-func conditionsText(leaving, strained, shut bool) (text string) {
+func conditionsText(leaving, overloaded, storeUnavailable bool) (text string) {
 	for _, c := range []struct {
 		active bool
 		name   string
-	}{{leaving, "leaving"}, {strained, "strained"}, {shut, "store lost"}} {
+	}{{leaving, "leaving"}, {overloaded, "strained"}, {storeUnavailable, "store lost"}} {
 		if c.active {
 			text += ", " + c.name
 		}
