--- a/internal/soak/check_repeats_test.go
+++ b/internal/soak/check_repeats_test.go
@@ -18,8 +18,8 @@
 	maxRequestsInPause = 2                      // requests from one gateway to a target that asked for a pause
 )
 
-// peakValues are the highest values seen of those that the bounds on extra dispatches, crashes
-// and pauses limit.
+// peakValues are the highest values measured for the bounds on extra dispatches, crashes and
+// pauses.
 type peakValues struct {
 	repeats float64       // extra dispatches to a service, relative to the number allowed
 	late    time.Duration // from a caller's deadline to the deadline of an extra dispatch
@@ -81,8 +81,8 @@
 }
 
 // checkPauses checks that a target that asked a gateway for a pause receives at most
-// maxRequestsInPause requests from that gateway during the pause, from pauseDelay after the refusal
-// on.
+// maxRequestsInPause requests from that gateway between pauseDelay after the refusal and the end
+// of the pause.
 func (c *checker) checkPauses(k *target) {
 	for _, refused := range k.Refusals() {
 		from := c.byID[refused.Request]
--- a/internal/soak/repeating_test.go
+++ b/internal/soak/repeating_test.go
@@ -158,11 +158,12 @@
 const (
 	// poison is in the path of a request that crashes the target that runs it.
 	poison = "poison"
-	// refusedSuffix is at the end of the path if targets refuse every second such request.
+	// refusedSuffix ends the path of those poison requests of which targets refuse every
+	// second one.
 	refusedSuffix = "refused"
 )
 
-// sendPoison makes an additional client send a request that crashes targets every 300 ms.
+// sendPoison makes an additional client send, every 300 ms, a request that crashes targets.
 func sendPoison(s *site, rnd *rand.Rand) (string, func()) {
 	const period = 300 * time.Millisecond
 	k := s.kinds[rnd.IntN(len(s.kinds))]
