--- a/gateway_proof_test.go
+++ b/gateway_proof_test.go
@@ -204,7 +204,7 @@
 
 // A target breaks the connection of a request. The request may have run, so it isn't
 // retried. The explain command must show the target, how far the request got and the
-// inputs of the target's choice.
+// inputs of the balancer's decision.
 func TestExplainFailedTarget(t *testing.T) {
 	t.Parallel()
 	s := newGatewaySite(t, 2)
@@ -223,8 +223,8 @@
 }
 
 // A gateway is killed while a target runs its request, so no log has a line about the
-// request. The explain command must name the lost gateway, when it was lost and which
-// gateway noticed first. It must not name the gateway that was stopped by SIGTERM.
+// request. The explain command must name the lost gateway and the gateway that noticed it
+// first. It must not report the gateway that was stopped by SIGTERM as lost.
 func TestExplainLostGateway(t *testing.T) {
 	t.Parallel()
 	s := newGatewaySite(t, 2)
