--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -13,16 +13,15 @@
 	"github.com/pkg/errors"
 )
 
-// Config configures a measurement. Zero fields take the default that ends their
-// comment.
+// Config configures a measurement.
 type Config struct {
-	Entries       []int         // numbers of entries in virtual time; 14, 50, 100, 200, 300
-	Loopback      []int         // numbers of entries with real connections; 14, 50, 100, 200
-	Seeds         int           // runs of each size in virtual time; 5
-	QuietTime     time.Duration // virtual or real time to measure without events; 20 s
-	SettleTime    time.Duration // wait before a measurement with real connections; 10 s
-	Exchanges     int           // gossip exchanges of each message size; 3000
-	PartitionTime time.Duration // length of the partition between a region and the others; 10 min
+	Entries       []int         // numbers of entries in virtual time; empty means 14, 50, 100, 200, 300
+	Loopback      []int         // numbers of entries with real connections; empty means 14, 50, 100, 200
+	Seeds         int           // runs of each size in virtual time; 0 means 5
+	QuietTime     time.Duration // length of a measurement without events, in virtual or real time; 0 means 20 s
+	SettleTime    time.Duration // wait before a measurement with real connections; 0 means 10 s
+	Exchanges     int           // gossip exchanges of each message size; 0 means 3000
+	PartitionTime time.Duration // length of the partition between a region and the others; 0 means 10 min
 	Part          string        // name of the only part to run; empty runs all
 }
 
@@ -33,7 +32,8 @@
 	needsSizes bool // needs the message sizes that wire and settings measure
 }
 
-// messageSizes holds sizes that the source parts measure for the later parts.
+// messageSizes holds the sizes that the parts wire and settings measure for the
+// later parts.
 type messageSizes struct {
 	httpOverhead  int // bytes of HTTP beside the body of each message
 	settingsBytes int // bytes of a settings response with one edit
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// selectParts returns the part with the given name, after the source parts if
-// it needs their sizes. An empty name selects all parts.
+// selectParts returns the part with the given name, preceded by wire and settings
+// if it needs the sizes that they measure. An empty name selects all parts.
 func selectParts(name string) (selected []part, err error) {
 	all := parts()
 	if name == "" {
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Each part runs with small sizes and prints one table group with its series.
+// Each part runs with small sizes and prints one section, with its series.
 func TestParts(t *testing.T) {
 	small := Config{
 		Entries: []int{8, 10}, Loopback: []int{3, 5}, Seeds: 1, Exchanges: 20,
--- a/internal/lab/capacity/gossip.go
+++ b/internal/lab/capacity/gossip.go
@@ -199,8 +199,8 @@
 // eventWindow is the time after an event in which its cost is counted.
 const eventWindow = 30 * time.Second
 
-// extraBytes returns the mean bytes per entry in the window after an event, less
-// quiet, those in a window without events.
+// extraBytes returns the mean bytes per entry in the window after an event, minus
+// quiet, the mean in a window without events.
 func extraBytes(f *fleet.Fleet, quiet float64, event func()) float64 {
 	resetTraffic(f)
 	event()
--- a/internal/lab/capacity/loopback.go
+++ b/internal/lab/capacity/loopback.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// measureLoopback adds the values of n entries to the series.
+// measureLoopback measures n entries and adds the values to the series.
 func measureLoopback(cfg Config, n int, bytes, cpu, mem, joined, notice *series) error {
 	before := heapAndStacks()
 	entries, err := startAll(n)
@@ -118,8 +118,8 @@
 	e.client.Close()
 }
 
-// agreedServing returns the number of serving entries of the first view, or 0
-// unless every view has the same number of entries alive.
+// agreedServing returns the number of serving entries in the first entry's view,
+// or 0 if any view shows a different number of alive entries.
 func agreedServing(entries []*entry) int {
 	n := len(entries[0].members.Serving())
 	for _, e := range entries {
