--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -197,9 +197,10 @@
 	return true
 }
 
-// Converged reports whether the views of all running entries, those that are up
-// and not paused, have the same digest and show as many entries, neither suspect
-// nor gone, as are running.
+// Converged reports whether the views of all running entries agree. An entry is
+// running if it is up and not paused. The views agree if they have the same digest
+// and each shows as many entries as are running; those that are suspect or gone
+// don't count.
 func (f *Fleet) Converged() bool {
 	up, digest := 0, f.digest()
 	for _, n := range f.Nodes {
