--- a/internal/lab/pace/busy_test.go
+++ b/internal/lab/pace/busy_test.go
@@ -10,9 +10,9 @@
 // Guards against idle targets in a burst. Two entries get all requests of a service with
 // many targets, so each entry sees half of the requests and has no recent load report of
 // most targets. Requests take longer than a pace lasts: a second request at a target
-// makes the response late. A balancer that doubles requests up would leave a third of the
-// targets idle, those in the failure domain without an entry. Callers must still get most
-// of the possible score.
+// makes the response late. A balancer that sends second requests to busy targets leaves a
+// third of the targets idle meanwhile, those in the failure domain without an entry.
+// Callers must still get most of the possible score.
 func TestBurstAtManyTargets(t *testing.T) {
 	s := Booking()
 	s.Targets = 60
--- a/internal/lab/pace/pace.go
+++ b/internal/lab/pace/pace.go
@@ -29,7 +29,7 @@
 	CallerDelay  time.Duration // network delay, one way, between an entry and the callers
 	Objective    time.Duration // response time to achieve, from a caller's first attempt
 	Deadline     time.Duration // of each attempt
-	LateCredit   float64       // credit for a response after the objective; one before it has 1
+	LateCredit   float64       // credit for a response after the objective; a response within it gets 1
 	Retries      int           // further attempts of a caller that was refused
 	ProbeCost    float64       // deduction from the score for a rate of one probe per request
 }
@@ -87,7 +87,7 @@
 	kind       eventKind
 	subject    int    // index of the request, or of the target of a probe
 	node       int    // index of the entry or target
-	generation uint64 // of workFinished: ignored if the target's has changed
+	generation uint64 // of workFinished; the event is ignored if the target's generation has changed since
 	load       loadReport
 	shed       bool // the target refused the request
 }
--- a/internal/lab/pace/pace_test.go
+++ b/internal/lab/pace/pace_test.go
@@ -10,8 +10,8 @@
 
 // The simulation must rank the policies as real processes on a simulated network
 // do: probing is better than using the last report, polling costs more than it
-// gains, and above the capacity a limit on the requests at each target is the best
-// policy, but not a limit of 1.
+// gains, and above the capacity it pays to limit the requests at each target, but
+// not to 1.
 func TestPolicyRanking(t *testing.T) {
 	rows := map[string][]float64{}
 	for _, r := range runAll(Standard(), Config{Seeds: 2, Seed: 1, Length: 16 * time.Second}) {
--- a/internal/lab/pace/run.go
+++ b/internal/lab/pace/run.go
@@ -18,15 +18,14 @@
 	_ "gonum.org/v1/plot/vg/vgsvg" // the SVG format of Save
 )
 
-// Config configures an experiment. Zero fields take the default that ends their
-// comment.
+// Config configures an experiment.
 type Config struct {
-	Seeds  int           // runs of each row; 5
-	Seed   uint64        // the first seed; 1
-	Length time.Duration // virtual time during which requests arrive; 32 s
+	Seeds  int           // runs of each row; 0 means 5
+	Seed   uint64        // the first seed; 0 means 1
+	Length time.Duration // virtual time during which requests arrive; 0 means 32 s
 	JSON   bool          // prints JSON lines instead of a table
 	Plot   string        // path of an SVG to write; none if empty
-	Shape  string        // name of the service's shape; "standard"
+	Shape  string        // name of the service's shape; empty means "standard"
 }
 
 const (
@@ -62,7 +61,7 @@
 type row struct {
 	Policy string    `json:"way"`
 	Scores []float64 `json:"worth"`
-	Probes []float64 `json:"questions"` // per request
+	Probes []float64 `json:"questions"` // per attempt of a caller
 }
 
 // Run measures all policies and prints the results.
--- a/internal/lab/pace/site.go
+++ b/internal/lab/pace/site.go
@@ -61,8 +61,10 @@
 	}
 }
 
-// generateRequests schedules the first attempts of all callers. They depend only
-// on the seed, so all policies get the same ones.
+// generateRequests schedules the first attempts of all callers. They don't depend
+// on how targets are chosen. Policies with the same chooseEntry get the same ones;
+// another chooseEntry may draw another number of random values, which changes the
+// times of the attempts that follow.
 func (m *simulator) generateRequests(load float64, length time.Duration, rnd *rand.Rand) {
 	const sigma = 0.3 // of the logarithm of the service time
 	rate := load * m.shape.capacity()
--- a/internal/lab/pace/target.go
+++ b/internal/lab/pace/target.go
@@ -12,8 +12,8 @@
 	pace    float64
 }
 
-// target runs requests in its slots. Each running request progresses at the
-// target's speed, which the pace divides, and PairSlowdown too if several run.
+// target runs requests in its slots. Each running request progresses at the same
+// speed: 1 divided by the pace, and also by PairSlowdown if several run.
 type target struct {
 	place        int
 	pace         float64
