--- a/internal/lab/tail/entry.go
+++ b/internal/lab/tail/entry.go
@@ -24,8 +24,8 @@
 )
 
 // dispatchID combines the index of a request and its attempt.
-func dispatchID(request, dispatchID int32) uint64 {
-	return uint64(request)<<attemptBits | uint64(dispatchID)
+func dispatchID(request, dispatchIndex int32) uint64 {
+	return uint64(request)<<attemptBits | uint64(dispatchIndex)
 }
 
 // handleArrival processes a new request at its entry.
--- a/internal/lab/tail/experiments.go
+++ b/internal/lab/tail/experiments.go
@@ -146,7 +146,8 @@
 	return rows
 }
 
-// periodicStalls returns a stall of 300 ms in each second, at changing workers.
+// periodicStalls returns a stall of 300 ms for each second, each at another worker
+// than the one before.
 func periodicStalls(length time.Duration) (faults []fault) {
 	for i, at := 0, time.Second; at < length; i, at = i+1, at+time.Second {
 		faults = append(faults, fault{kind: faultStall, worker: i * 5 % 14, from: at, to: at + 300*time.Millisecond})
--- a/internal/lab/tail/scenario.go
+++ b/internal/lab/tail/scenario.go
@@ -35,7 +35,7 @@
 	evenOwners    bool    // callers spread evenly over the owners; otherwise all use the first
 	strayShare    float64 // share of requests that go to a random entry
 	load          float64 // share of the capacity of all workers without faults
-	swingFactor   float64 // divides the load in the first half of each swingPeriod; up to 1: constant load
+	swingFactor   float64 // divides the load in the first half of each swingPeriod; the load is constant if it is 1 or less
 	swingPeriod   time.Duration
 	requests      int
 	seed          uint64
@@ -51,7 +51,7 @@
 	poolOverride  poolOverride
 }
 
-// expectedSeconds returns the expected length of the arrivals.
+// expectedSeconds returns the expected time until the last arrival, in seconds.
 func (s scenario) expectedSeconds() float64 {
 	rate := s.load * s.shape.capacity()
 	if s.swingFactor > 1 {
--- a/internal/lab/tail/stats.go
+++ b/internal/lab/tail/stats.go
@@ -28,7 +28,7 @@
 	served           int
 	failed           int // requests that got an error or could not be retried
 	refused          int // requests that a balancer refused
-	refusedAfterWait int // requests whose deadline came near in the queue
+	refusedAfterWait int // requests refused because their deadline came near in the queue
 	dispatches       int
 	retries          int
 	trials           int // trial requests to ejected targets
@@ -94,7 +94,7 @@
 }
 
 // probeTimeBetween returns the target time spent on probes between two times. The
-// search starts one second early to include probes that run across from.
+// search starts one second early to include probes that are already running at from.
 func (t *stats) probeTimeBetween(from, to int64) (sum time.Duration) {
 	first, _ := slices.BinarySearchFunc(t.probes, from-int64(time.Second), func(p interval, at int64) int {
 		return int(min(max(p.from-at, -1), 1))
