--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -13,9 +13,9 @@
 //   - reader.go decides which entry reads a resource, and when. The live entries are
 //     ranked for each resource. An entry reads when its copy is older than the age set
 //     for its rank, so usually the first one reads and the others receive its result.
-//   - begin.go does the same for an entry that has no data yet.
+//   - firstread.go does the same for an entry that has no data yet.
 //   - knowledge.go and evacuation.go apply a response of the store.
-//   - spread.go and pull.go distribute the data. Entries gossip versions, revisions and
+//   - announce.go and pull.go distribute the data. Entries gossip versions, revisions and
 //     ages; an entry that lacks something pulls it. Messages may be duplicated, delayed
 //     and reordered, so only the version or revision decides whether one is applied.
 //   - fresh.go limits the age of the data by which a request is served. An entry with
