--- a/internal/entry/components.go
+++ b/internal/entry/components.go
@@ -89,7 +89,7 @@
 func (e *Entry) receiveRumours(r member.Rumours) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	for _, s := range r.StopNotices {
+	for _, s := range r.LeavingNotices {
 		e.control.enqueue(ctx, targetLeaving{s.Target, s.Boot})
 	}
 	now := time.Now()
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	e.control.enqueue(ctx, targetLeaving{target, boot})
-	_ = e.members.SpreadRumours(ctx, member.Rumours{StopNotices: []member.StopNotice{{Target: target, Boot: boot, Time: time.Now()}}})
+	_ = e.members.SpreadRumours(ctx, member.Rumours{LeavingNotices: []member.LeavingNotice{{Target: target, Boot: boot, Time: time.Now()}}})
 }
 
 // announceSuspect spreads the crash count of a request that crashed a target.
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -54,7 +54,7 @@
 func newDispatcher(ctx context.Context, e *Entry, q *request) *dispatcher {
 	d := &dispatcher{entry: e, q: q, ctx: ctx, queueSpan: noSpan}
 	d.call = call.New(call.Config{
-		MaxDispatches: q.policy.Attempts,
+		MaxDispatches: q.policy.MaxDispatches,
 		RetryAfter:    q.policy.RetryAfter,
 		Budget:        q.service.retryBudget.Load(),
 	})
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -87,7 +87,7 @@
 			result = claim.RunResult{Outcome: call.Unknown, Reason: claim.Reason(call.ReasonPanic)}
 		}
 	}()
-	p, final := r.entry.run(ctx, r.q)
+	p, final := r.entry.runRequest(ctx, r.q)
 	if p == nil {
 		return claim.RunResult{Outcome: final.Outcome, Reason: claim.Reason(final.Reason), RetryAfter: final.RetryAfter}
 	}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -99,7 +99,7 @@
 
 // serve runs the request and returns the target's response or a finalError.
 func (e *Entry) serve(ctx context.Context, q *request) (*openResponse, error) {
-	p, final := e.run(ctx, q)
+	p, final := e.runRequest(ctx, q)
 	if p == nil {
 		return nil, finalError{final}
 	}
@@ -108,7 +108,7 @@
 
 // runRequest executes a request until its deadline. The context of a returned
 // response is cancelled by its release.
-func (e *Entry) run(ctx context.Context, q *request) (p *openResponse, final call.Final) {
+func (e *Entry) runRequest(ctx context.Context, q *request) (p *openResponse, final call.Final) {
 	ctx, cancel := context.WithDeadline(ctx, q.deadline)
 	defer func() {
 		if p == nil {
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -88,11 +88,11 @@
 		DefaultSlots:    p.Slots,
 		MaxQueue:        p.Queue,
 		MaxWait:         p.MaxWait,
-		MaxEjectedShare: p.EjectShare,
+		MaxEjectedShare: p.MaxEjectedShare,
 		LeavingHold:     p.LeaveHold,
 		TrialMin:        p.TrialMin,
 		TrialMax:        p.TrialMax,
-		Warmup:          p.Warmup,
+		WarmupRequests:  p.WarmupRequests,
 		ProbeAfter:      p.ProbeAfter,
 	}
 }
--- a/internal/forward/copy_test.go
+++ b/internal/forward/copy_test.go
@@ -104,7 +104,7 @@
 		}
 		select {
 		case <-stopped:
-		case <-time.After(maxWait):
+		case <-time.After(waitLimit):
 			c.Fatal("cancellation did not reach the target")
 		}
 		target.Close()
--- a/internal/forward/cross_test.go
+++ b/internal/forward/cross_test.go
@@ -86,7 +86,7 @@
 			defer f.Close()
 			send := func(ctx context.Context, path string) (*Response, *Failure) {
 				r := httptest.NewRequest("GET", path, nil)
-				return f.Dispatch(ctx, DispatchParams{Target: target.addr(), Request: r, Timeout: maxWait})
+				return f.Dispatch(ctx, DispatchParams{Target: target.addr(), Request: r, Timeout: waitLimit})
 			}
 			first := func() {
 				ctx, cancel := context.WithCancelCause(context.Background())
@@ -151,7 +151,7 @@
 		go func() {
 			for j := range each {
 				path := fmt.Sprintf("/%d/%0*d", i, 1+j%5, j)
-				timeout := maxWait
+				timeout := waitLimit
 				if (i+j)%3 == 0 {
 					timeout = time.Millisecond
 				}
@@ -160,7 +160,7 @@
 				switch {
 				case fail == nil && string(resp.Buffered) != path:
 					results <- path + " got " + string(resp.Buffered)
-				case fail != nil && timeout == maxWait:
+				case fail != nil && timeout == waitLimit:
 					results <- path + " " + fail.Error()
 				default:
 					results <- ""
@@ -199,7 +199,7 @@
 			}
 			slow <- fail
 		}()
-		resp, fail := f.Dispatch(context.Background(), DispatchParams{Target: target.addr(), Request: httptest.NewRequest("GET", "/fast", nil), Timeout: maxWait})
+		resp, fail := f.Dispatch(context.Background(), DispatchParams{Target: target.addr(), Request: httptest.NewRequest("GET", "/fast", nil), Timeout: waitLimit})
 		c.Assert(fail == nil, qt.IsTrue)
 		c.Assert(string(resp.Buffered), qt.Equals, "/fast")
 		cancel()
--- a/internal/forward/failure_test.go
+++ b/internal/forward/failure_test.go
@@ -19,7 +19,7 @@
 // post returns the parameters of a POST dispatch, without a target.
 func post(body string) DispatchParams {
 	r := httptest.NewRequest("POST", "/deposit", strings.NewReader(body))
-	return DispatchParams{Request: r, Body: []byte(body), Timeout: maxWait}
+	return DispatchParams{Request: r, Body: []byte(body), Timeout: waitLimit}
 }
 
 // A dispatch fails at each stage. A failure with DidNotRun makes the caller
@@ -195,7 +195,7 @@
 				for k, v := range tt.header {
 					r.Header[k] = v
 				}
-				_, fail = f.Dispatch(context.Background(), DispatchParams{Target: target.addr(), Request: r, Body: []byte(tt.body), Timeout: maxWait})
+				_, fail = f.Dispatch(context.Background(), DispatchParams{Target: target.addr(), Request: r, Body: []byte(tt.body), Timeout: waitLimit})
 				c.Assert(fail != nil, qt.IsTrue, qt.Commentf("request succeeded, %d runs", target.requests.Load()))
 				c.Assert(fail.Execution, qt.Equals, call.MayHaveRun, qt.Commentf("%v", fail))
 				c.Assert(target.conns.Load(), qt.Equals, int64(1))
@@ -208,7 +208,7 @@
 // eventually waits up to waitLimit for a condition.
 func eventually(c *qt.C, condition func() bool) {
 	c.Helper()
-	for end := time.Now().Add(maxWait); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitLimit); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			c.Fatal("condition not reached before the timeout")
 		}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -14,8 +14,8 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-// maxWait is how long a test waits for a condition at most.
-const maxWait = 10 * time.Second
+// waitLimit is how long a test waits for a condition at most.
+const waitLimit = 10 * time.Second
 
 // serverAddr returns the host:port of a test server.
 func serverAddr(s *httptest.Server) string {
@@ -53,7 +53,7 @@
 	f := New(Config{})
 	defer f.Close()
 	r := httptest.NewRequest("POST", "/a%2Fb?x=1", strings.NewReader("veil"))
-	resp, fail := f.Dispatch(context.Background(), DispatchParams{Target: serverAddr(target), Request: r, Body: []byte("veil"), Timeout: maxWait})
+	resp, fail := f.Dispatch(context.Background(), DispatchParams{Target: serverAddr(target), Request: r, Body: []byte("veil"), Timeout: waitLimit})
 	c.Assert(fail == nil, qt.IsTrue, qt.Commentf("%v", fail))
 	c.Assert(resp.Status, qt.Equals, http.StatusCreated)
 	c.Assert(string(resp.Buffered), qt.Equals, "POST veil")
--- a/internal/forward/header_test.go
+++ b/internal/forward/header_test.go
@@ -72,7 +72,7 @@
 			p.write(ok)
 		})
 		f := New(Config{})
-		params := DispatchParams{Target: target.addr(), Request: httptest.NewRequest(tt.method, "/", nil), Body: []byte(tt.body), Timeout: maxWait}
+		params := DispatchParams{Target: target.addr(), Request: httptest.NewRequest(tt.method, "/", nil), Body: []byte(tt.body), Timeout: waitLimit}
 		if tt.stream {
 			params.Stream, params.Length = strings.NewReader(tt.body), int64(len(tt.body))
 		}
@@ -95,7 +95,7 @@
 	})
 	f := New(Config{})
 	defer f.Close()
-	resp, fail := f.Dispatch(context.Background(), DispatchParams{Target: target.addr(), Request: httptest.NewRequest("GET", "/", nil), Timeout: maxWait})
+	resp, fail := f.Dispatch(context.Background(), DispatchParams{Target: target.addr(), Request: httptest.NewRequest("GET", "/", nil), Timeout: waitLimit})
 	c.Assert(fail == nil, qt.IsTrue)
 	c.Assert(resp.Header, qt.DeepEquals, http.Header{"Content-Length": {"2"}, "X-A": {"1", "2"}})
 	c.Assert(resp.Load, qt.Equals, Load{Known: true, InFlight: 3, Leaving: true})
@@ -180,7 +180,7 @@
 	b.Run("forward", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, fail := f.Dispatch(b.Context(), DispatchParams{Target: serverAddr(target), Request: r, Timeout: maxWait}); fail != nil {
+			if _, fail := f.Dispatch(b.Context(), DispatchParams{Target: serverAddr(target), Request: r, Timeout: waitLimit}); fail != nil {
 				b.Fatal(fail)
 			}
 		}
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -49,7 +49,7 @@
 	configRevision roster.Revision // last revision read from the configuration's history
 
 	members             *member.Table
-	pending             []pendingExchange // membership exchanges that wait for a response
+	pendingExchanges    []pendingExchange // membership exchanges that wait for a response
 	newestKnowledge     relay.Knowledge   // last advertised by another entry that has something newer
 	newestSource        string            // address of that entry
 	waitingPeers        map[string]bool   // addresses of entries that have no configuration yet
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -124,7 +124,7 @@
 	c.gateway.bounds.Store(&b)
 	now := c.started.Add(100 * time.Millisecond)
 	c.confirm(now, resourceConfig, now)
-	pullResult{askedAt: now, news: relay.PullResult{
+	pullFinished{askedAt: now, result: relay.PullResult{
 		Config: []byte(`{"version":"r1","routes":{},"services":{"gowns":{"healthPath":"/health"}},` +
 			`"limits":{"maxHeaderBytes":1,"maxBodyBytes":1,"headerTimeout":"1s","idleTimeout":"1s"}}`),
 		Targets: relay.TargetsListed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, Revision: 5, LastChange: 5,
--- a/internal/gateway/hosts_test.go
+++ b/internal/gateway/hosts_test.go
@@ -37,12 +37,12 @@
 func (e *entry) lastHeard() time.Time {
 	request := lastHeardRequest{make(chan time.Time, 1)}
 	e.control.enqueue(e.w.c.Context(), request)
-	return <-request.answer
+	return <-request.reply
 }
 
-type lastHeardRequest struct{ answer chan time.Time }
+type lastHeardRequest struct{ reply chan time.Time }
 
-func (m lastHeardRequest) apply(_ time.Time, c *control) { m.answer <- c.members.LastReceived() }
+func (m lastHeardRequest) apply(_ time.Time, c *control) { m.reply <- c.members.LastReceived() }
 
 // New configuration versions add routes with hardly any traffic, some of them to another
 // service. The owners must not change: a new owner has no load data of the targets, and
--- a/internal/gateway/instruments.go
+++ b/internal/gateway/instruments.go
@@ -52,7 +52,7 @@
 	dispatches       tally.Counter
 	extraDispatches  func(why string) tally.Counter // retries and hedges
 	budgetDenied     tally.Counter                  // requests without a retry or hedge for lack of budget
-	savedDispatches  tally.Gauge                    // retries and hedges that the budget has saved up
+	budgetAvailable  tally.Gauge                    // retries and hedges that the budget has saved up
 	burst            tally.Gauge                    // the most that it may save up in each bucket
 	crashes          tally.Counter                  // dispatches during which the target may have crashed
 	pauses           tally.Counter                  // responses in which a target asked for a pause
@@ -66,7 +66,7 @@
 	si := serviceInstruments{
 		latency: s.Histogram("latency", metrics.LatencyBuckets), forwarded: s.Counter("answered"),
 		dispatches: s.Counter("dispatches"), loadProbes: s.Counter("load_questions"),
-		budgetDenied: s.Counter("repeats_denied"), savedDispatches: s.Gauge("repeats_saved"), burst: s.Gauge("repeats_burst"),
+		budgetDenied: s.Counter("repeats_denied"), budgetAvailable: s.Gauge("repeats_saved"), burst: s.Gauge("repeats_burst"),
 		crashes: s.Counter("crashes"), pauses: s.Counter("pauses"),
 		failedDispatches: s.Counter("dispatches_failed"), refusals: make(map[slot.Reason]tally.Counter),
 	}
@@ -90,7 +90,7 @@
 	i.targets.Update(float64(c.targets.Len()))
 	i.evacuatedDomains.Update(float64(c.evacuations.Len()))
 	for _, s := range c.services {
-		s.instruments.savedDispatches.Update(s.budget.Available())
+		s.instruments.budgetAvailable.Update(s.budget.Available())
 		s.instruments.burst.Update(float64(c.retryShare.burst))
 	}
 	for r := range resourceCount {
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -40,7 +40,7 @@
 	c.gateway.log.WithFields(log.Fields{
 		"version": uint64(cfg.Version), "before": uint64(c.config.Version), "source": source, "routes": len(cfg.Routes),
 	}).Info("configuration in force")
-	c.logFaults(cfg.Version, fieldErrs)
+	c.logFieldErrors(cfg.Version, fieldErrs)
 	c.config, c.configData = cfg, raw
 	c.table = route.New(cfg, c.table)
 	c.servicesStale, c.sendersChanged = true, true
@@ -49,13 +49,13 @@
 }
 
 // maxLoggedFieldErrors bounds the log lines about the invalid parts of one configuration.
-const maxLoggedFaults = 20
+const maxLoggedFieldErrors = 20
 
-func (c *control) logFaults(v route.Version, fieldErrs platform.FieldErrors) {
-	for _, err := range fieldErrs[:min(len(fieldErrs), maxLoggedFaults)] {
+func (c *control) logFieldErrors(v route.Version, fieldErrs platform.FieldErrors) {
+	for _, err := range fieldErrs[:min(len(fieldErrs), maxLoggedFieldErrors)] {
 		c.gateway.log.WithError(err).WithField("version", uint64(v)).Warn("invalid part of the configuration")
 	}
-	if more := len(fieldErrs) - maxLoggedFaults; more > 0 {
+	if more := len(fieldErrs) - maxLoggedFieldErrors; more > 0 {
 		c.gateway.log.WithFields(log.Fields{"version": uint64(v), "more": more}).Warn("more invalid parts of the configuration")
 	}
 }
--- a/internal/gateway/live.go
+++ b/internal/gateway/live.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// cutOff reports whether lostContact is true though other entries are live.
+// lostContactWithLive reports whether lostContact is true though other entries are live.
 // It then reads the store itself, as if it were the first in the order.
-func (c *control) cutOff(now time.Time) bool {
+func (c *control) lostContactWithLive(now time.Time) bool {
 	return c.lostContact(now) && len(c.live()) > 1
 }
 
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -90,7 +90,7 @@
 }
 
 // answerGossip passes another entry's message to the membership table and answers it.
-func (c *control) handleRequest(now time.Time, p relay.Packet, from string) {
+func (c *control) answerGossip(now time.Time, p relay.Packet, from string) {
 	for _, a := range c.members.Handle(now, member.Request{Message: p.Message}) {
 		if r, ok := a.(member.Reply); ok {
 			c.send(from, c.packet(now, relay.GossipResponse, p.ExchangeID, r.Message))
@@ -103,10 +103,10 @@
 func (c *control) perform(now time.Time, a member.Action) {
 	switch a := a.(type) {
 	case member.Send:
-		c.pending = append(c.pending, pendingExchange{a.ExchangeID, now.Add(a.Timeout)})
+		c.pendingExchanges = append(c.pendingExchanges, pendingExchange{a.ExchangeID, now.Add(a.Timeout)})
 		c.send(a.To.Address, c.packet(now, relay.GossipRequest, a.ExchangeID, a.Message))
 	case member.IndirectPing:
-		c.pending = append(c.pending, pendingExchange{a.ExchangeID, now.Add(a.Timeout)})
+		c.pendingExchanges = append(c.pendingExchanges, pendingExchange{a.ExchangeID, now.Add(a.Timeout)})
 		c.send(a.Via.Address, relay.Packet{Kind: relay.IndirectPing, ExchangeID: a.ExchangeID, Address: a.Peer.Address})
 	case member.ViewChanged:
 		c.liveEntries = nil
@@ -147,16 +147,16 @@
 // runTimers handles the timers that are due: exchanges without a response, membership rounds
 // and pulls.
 func (c *control) runTimers(now time.Time) {
-	kept := c.pending[:0]
+	kept := c.pendingExchanges[:0]
 	var expired []uint64
-	for _, a := range c.pending {
+	for _, a := range c.pendingExchanges {
 		if now.Before(a.deadline) {
 			kept = append(kept, a)
 		} else {
 			expired = append(expired, a.exchange)
 		}
 	}
-	c.pending = kept
+	c.pendingExchanges = kept
 	for _, exchange := range expired {
 		c.handleEvent(now, member.ExchangeFailed{ExchangeID: exchange})
 	}
@@ -178,7 +178,7 @@
 // nextTimer returns the time of the next timer.
 func (c *control) nextTimer() time.Time {
 	at := c.members.Next()
-	for _, a := range c.pending {
+	for _, a := range c.pendingExchanges {
 		if a.deadline.Before(at) {
 			at = a.deadline
 		}
@@ -190,9 +190,9 @@
 }
 
 func (c *control) removePending(exchange uint64) {
-	for i, a := range c.pending {
+	for i, a := range c.pendingExchanges {
 		if a.exchange == exchange {
-			c.pending = append(c.pending[:i], c.pending[i+1:]...)
+			c.pendingExchanges = append(c.pendingExchanges[:i], c.pendingExchanges[i+1:]...)
 			return
 		}
 	}
@@ -209,7 +209,7 @@
 	switch p.Kind {
 	case relay.GossipRequest:
 		c.noteWaitingPeer(m.from, p.Knowledge)
-		c.handleRequest(now, p, m.from)
+		c.answerGossip(now, p, m.from)
 	case relay.GossipResponse:
 		c.removePending(p.ExchangeID)
 		c.handleEvent(now, member.Response{ExchangeID: p.ExchangeID, Message: p.Message})
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// noteStoreAnswer records that the store answered at that time.
-func (c *control) noteStoreAnswer(at time.Time) {
+// noteStoreResponse records that the store answered at that time.
+func (c *control) noteStoreResponse(at time.Time) {
 	if at.After(c.storeFailingSince) {
 		c.storeFailingSince = time.Time{}
 	}
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -28,7 +28,7 @@
 		return targetsChanged{changes: []roster.Change[slot.Target]{removed("gone", 20)}, revision: 20, askedAt: asked}
 	}
 	pulled := func(asked time.Time) message {
-		return pullResult{askedAt: asked, news: relay.PullResult{
+		return pullFinished{askedAt: asked, result: relay.PullResult{
 			Targets: relay.TargetsChanged, Changes: []roster.Change[slot.Target]{removed("gone", 20)}, Revision: 20, LastChange: 20,
 		}}
 	}
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -19,7 +19,7 @@
 
 // AnswerPull returns what another entry lacks.
 func (c *control) AnswerPull(ctx context.Context, have relay.PullQuery) (n relay.PullResult, err error) {
-	m := newsRequest{have: have, reply: make(chan relay.PullResult, 1)}
+	m := pullRequest{have: have, reply: make(chan relay.PullResult, 1)}
 	c.enqueue(ctx, m)
 	select {
 	case n = <-m.reply:
@@ -30,12 +30,12 @@
 }
 
 // pullRequest is another entry's pull.
-type newsRequest struct {
+type pullRequest struct {
 	have  relay.PullQuery
 	reply chan relay.PullResult
 }
 
-func (m newsRequest) apply(now time.Time, c *control) {
+func (m pullRequest) apply(now time.Time, c *control) {
 	var n relay.PullResult
 	if m.have.Config < c.config.Version {
 		n.Config = c.configData
@@ -76,7 +76,7 @@
 	}
 	if r == resourceTargets {
 		c.noteStoreReturn(now, at)
-		c.noteStoreAnswer(at)
+		c.noteStoreResponse(at)
 	}
 	if c.confirmed[r].IsZero() {
 		c.servicesStale = true
@@ -126,19 +126,19 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		n, err := c.gateway.relay.Pull(ctx, from, have)
-		c.enqueue(context.Background(), pullResult{askedAt: now, from: from, news: n, err: err})
+		c.enqueue(context.Background(), pullFinished{askedAt: now, from: from, result: n, err: err})
 	}()
 }
 
 // pullFinished is the result of a pull, or its error.
-type pullResult struct {
+type pullFinished struct {
 	askedAt time.Time
 	from    string // address
-	news    relay.PullResult
+	result  relay.PullResult
 	err     error
 }
 
-func (m pullResult) apply(now time.Time, c *control) {
+func (m pullFinished) apply(now time.Time, c *control) {
 	if c.pullSource == m.from {
 		c.pullSource = ""
 	}
@@ -149,21 +149,21 @@
 		}
 		return
 	}
-	if len(m.news.Config) > 0 {
-		c.applyConfig(now, m.news.Config, "entry "+m.from)
+	if len(m.result.Config) > 0 {
+		c.applyConfig(now, m.result.Config, "entry "+m.from)
 	}
-	if e := m.news.Evacuations; e != nil {
+	if e := m.result.Evacuations; e != nil {
 		c.confirmFromPeer(now, m.askedAt, resourceEvacuations, e.Age)
 		if c.changeEvacuations(now, func() bool { return c.applyPulledEvacuations(*e) }, "entry "+m.from) {
 			c.handleEvent(now, member.PushNow{})
 		}
 	}
-	if m.news.Targets != relay.TargetsUnchanged {
+	if m.result.Targets != relay.TargetsUnchanged {
 		// The reply was sent between the request and now, and its transfer may have
 		// taken half a second. Measured from the request, the age of a list is never
 		// underestimated.
-		c.confirmFromPeer(now, m.askedAt, resourceTargets, m.news.Age)
-		changed := c.changeTargets(now, func() bool { return c.applyPulledTargets(m.news) })
+		c.confirmFromPeer(now, m.askedAt, resourceTargets, m.result.Age)
+		changed := c.changeTargets(now, func() bool { return c.applyPulledTargets(m.result) })
 		if changed {
 			c.announceRevisions(now)
 		}
--- a/internal/gateway/pull_test.go
+++ b/internal/gateway/pull_test.go
@@ -19,7 +19,7 @@
 func TestPulledAgeAfterStart(t *testing.T) {
 	c := parkedControl(t)
 	now := c.started.Add(100 * time.Millisecond)
-	pullResult{askedAt: now, news: relay.PullResult{
+	pullFinished{askedAt: now, result: relay.PullResult{
 		Targets: relay.TargetsListed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, Revision: 5, LastChange: 5, Age: 3 * time.Second,
 	}}.apply(now, c)
 	qt.Assert(t, c.age(now, resourceTargets) >= 3*time.Second, qt.IsTrue, qt.Commentf("%v", c.age(now, resourceTargets)))
@@ -33,7 +33,7 @@
 	c := parkedControl(t)
 	asked := c.started.Add(time.Second)
 	now := asked.Add(held)
-	pullResult{askedAt: asked, news: relay.PullResult{
+	pullFinished{askedAt: asked, result: relay.PullResult{
 		Targets: relay.TargetsListed, Changes: []roster.Change[slot.Target]{{Item: item("a", 5)}}, Revision: 5, LastChange: 5,
 	}}.apply(now, c)
 	qt.Assert(t, c.age(now, resourceTargets) >= held, qt.IsTrue, qt.Commentf("%v", c.age(now, resourceTargets)))
@@ -96,8 +96,8 @@
 		name string
 		late message
 	}{
-		{"a list", pullResult{news: relay.PullResult{Targets: relay.TargetsListed, Changes: older, Revision: 12, LastChange: 10}}},
-		{"changes", pullResult{news: relay.PullResult{Targets: relay.TargetsChanged, Changes: older, Revision: 12, LastChange: 10}}},
+		{"a list", pullFinished{result: relay.PullResult{Targets: relay.TargetsListed, Changes: older, Revision: 12, LastChange: 10}}},
+		{"changes", pullFinished{result: relay.PullResult{Targets: relay.TargetsChanged, Changes: older, Revision: 12, LastChange: 10}}},
 		{"a watch that began before", targetsChanged{changes: older, revision: 12}},
 	}
 	for _, tt := range tests {
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -149,7 +149,7 @@
 func (c *control) turnFor(now time.Time, r resource) readTurn {
 	c.live()
 	rank := c.readerRank[r]
-	if c.cutOff(now) {
+	if c.lostContactWithLive(now) {
 		rank = 0
 	}
 	age := c.age(now, r)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -107,7 +107,7 @@
 		q.objective = q.objective.Add(-q.route.WaitEstimator.Elapsed(left))
 	}
 	q.call = call.New(call.Config{
-		MaxDispatches: min(q.route.Attempts, call.MaxDispatches), Margin: responseMargin, Budget: q.service.budget,
+		MaxDispatches: min(q.route.MaxDispatches, call.MaxDispatches), Margin: responseMargin, Budget: q.service.budget,
 	})
 	return q.call.Arrive(now, call.Arrival{
 		Deadline: deadline, Idempotent: q.route.Idempotent, HedgeDelay: q.service.hedgeDelay(q.route.Name, q.objective.Sub(now)),
@@ -235,7 +235,7 @@
 		res.response.Close()
 	}
 	if f := res.failure; f != nil {
-		completion.Outcome = endKind(f.Stage)
+		completion.Outcome = failureOutcome(f.Stage)
 		q.service.complete(now, completion)
 		q.service.instruments.failedDispatches.Inc(1)
 		quarantined := false
@@ -274,7 +274,7 @@
 
 // failureOutcome maps the stage at which a dispatch failed to the outcome that the balancer
 // records for the target.
-func endKind(stage call.Stage) slot.Outcome {
+func failureOutcome(stage call.Stage) slot.Outcome {
 	switch stage {
 	case call.StageCancelled, call.StageCaller:
 		return slot.Cancelled
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -75,5 +75,5 @@
 // passage of time alone.
 func (c *control) expiryPending(now time.Time) bool {
 	revived := c.targets.AnyRevived() || c.evacuations.AnyRevived()
-	return c.vanishedTargets.Awaiting(now) || c.vanishedEvacuations.Awaiting(now) || revived && now.Sub(c.restoredAt) < revivedIgnoreTime
+	return c.vanishedTargets.AnyRetained(now) || c.vanishedEvacuations.AnyRetained(now) || revived && now.Sub(c.restoredAt) < revivedIgnoreTime
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -132,7 +132,7 @@
 func (s *service) perform(now time.Time, actions []slot.Action) {
 	for _, a := range actions {
 		switch a.Kind {
-		case slot.Send, slot.Refuse:
+		case slot.Dispatch, slot.Refuse:
 			if a.Kind == slot.Refuse {
 				s.instruments.refusals[a.Reason].Inc(1)
 			}
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -71,7 +71,7 @@
 	case member.Fetch:
 		f.fetchEntries(n, a)
 	case member.RumoursReceived:
-		n.Rumours.StopNotices = append(n.Rumours.StopNotices, a.Rumours.StopNotices...)
+		n.Rumours.LeavingNotices = append(n.Rumours.LeavingNotices, a.Rumours.LeavingNotices...)
 		n.Rumours.CrashReports = append(n.Rumours.CrashReports, a.Rumours.CrashReports...)
 	case member.ViewChanged, member.RevisionsChanged:
 		n.View = n.Table.View()
--- a/internal/lab/pace/policy.go
+++ b/internal/lab/pace/policy.go
@@ -151,7 +151,7 @@
 		switch a.Kind {
 		case slot.SendProbe:
 			c.m.sendProbe(c.entry, targetIndex(a.Target.ID))
-		case slot.Send:
+		case slot.Dispatch:
 			c.m.sendRequest(int(a.ID)-1, targetIndex(a.Target.ID))
 		case slot.Refuse:
 			c.m.retryOrFail(int(a.ID)-1, a.RetryAfter)
--- a/internal/lab/tail/entry.go
+++ b/internal/lab/tail/entry.go
@@ -17,15 +17,15 @@
 }
 
 const (
-	retryRatio  = 0.1 // retry tokens that each new request adds
-	retryBurst  = 10  // greatest number of retry tokens
-	maxAttempts = 3   // dispatches per request, including the first
-	attemptBits = 3   // low bits of a dispatch ID that hold the dispatch index
+	retryRatio    = 0.1 // retry tokens that each new request adds
+	retryBurst    = 10  // greatest number of retry tokens
+	maxDispatches = 3   // dispatches per request, including the first
+	dispatchBits  = 3   // low bits of a dispatch ID that hold the dispatch index
 )
 
 // dispatchID combines the index of a request and that of its dispatch.
 func dispatchID(request, dispatchIndex int32) uint64 {
-	return uint64(request)<<attemptBits | uint64(dispatchIndex)
+	return uint64(request)<<dispatchBits | uint64(dispatchIndex)
 }
 
 // handleArrival processes a new request at its entry.
@@ -45,7 +45,7 @@
 func (s *simulator) submit(i int32, avoid string) {
 	r := &s.requests[i]
 	e := &s.entries[r.entry]
-	a := pool.Arrival{ID: dispatchID(i, r.attempt), Deadline: epoch.Add(time.Duration(r.arrival) + s.sc.deadline), Idempotent: !r.write, Avoid: avoid}
+	a := pool.Arrival{ID: dispatchID(i, r.dispatchIndex), Deadline: timeOrigin.Add(time.Duration(r.arrival) + s.sc.deadline), Idempotent: !r.write, Avoid: avoid}
 	s.execute(r.entry, e.pool.Submit(s.time(), a, e.actions[:0]))
 }
 
@@ -57,8 +57,8 @@
 		case pool.Dispatch:
 			s.dispatch(i, a)
 		case pool.Refuse:
-			s.stats.addRefusal(a.Reason, s.requests[a.ID>>attemptBits].write)
-			s.endRequest(int32(a.ID >> attemptBits))
+			s.stats.addRefusal(a.Reason, s.requests[a.ID>>dispatchBits].write)
+			s.endRequest(int32(a.ID >> dispatchBits))
 		case pool.Probe:
 			w, _ := strconv.Atoi(a.Target)
 			s.sendProbe(i, int32(w))
@@ -77,7 +77,7 @@
 	if a.Trial {
 		s.stats.trials++
 	}
-	j := job{request: int32(a.ID >> attemptBits), attempt: int32(a.ID & (1<<attemptBits - 1)), entry: i, worker: int32(w)}
+	j := job{request: int32(a.ID >> dispatchBits), dispatchIndex: int32(a.ID & (1<<dispatchBits - 1)), entry: i, worker: int32(w)}
 	delay := s.sc.shape.TargetDelay
 	if e.idleConns[w] > 0 {
 		e.idleConns[w]--
@@ -110,7 +110,7 @@
 	if next.IsZero() {
 		return
 	}
-	when := max(int64(next.Sub(epoch)), s.now)
+	when := max(int64(next.Sub(timeOrigin)), s.now)
 	if e.nextTick > s.now && e.nextTick <= when {
 		return
 	}
@@ -145,7 +145,7 @@
 		e.idleConns[j.worker]++
 	}
 	s.respondToCaller(j)
-	s.execute(j.entry, e.pool.Done(s.time(), pool.Completion{ID: dispatchID(j.request, j.attempt), Outcome: j.result.outcome, Load: load}, e.actions[:0]))
+	s.execute(j.entry, e.pool.Done(s.time(), pool.Completion{ID: dispatchID(j.request, j.dispatchIndex), Outcome: j.result.outcome, Load: load}, e.actions[:0]))
 	s.retryOrFail(j)
 }
 
@@ -175,14 +175,14 @@
 	}
 	e := &s.entries[r.entry]
 	notExecuted := j.result.outcome == pool.Shed || j.result.outcome == pool.ConnectFailed
-	if !s.sc.retries || r.write && !notExecuted || r.attempt+1 >= maxAttempts || e.retryTokens < 1 {
+	if !s.sc.retries || r.write && !notExecuted || r.dispatchIndex+1 >= maxDispatches || e.retryTokens < 1 {
 		s.stats.failed++
 		s.endRequest(j.request)
 		return
 	}
 	e.retryTokens--
 	s.stats.retries++
-	r.attempt++
+	r.dispatchIndex++
 	s.submit(j.request, strconv.Itoa(int(j.worker)))
 }
 
--- a/internal/lab/tail/event.go
+++ b/internal/lab/tail/event.go
@@ -33,10 +33,10 @@
 
 // job is one dispatch of a request, or one probe, at a worker.
 type job struct {
-	request  int32 // index in simulator.requests; -1 for a probe
-	attempt  int32 // 0 for the first dispatch of the request
-	entry    int32
-	worker   int32
-	finishAt int64 // virtual time, in nanoseconds
-	result   result
+	request       int32 // index in simulator.requests; -1 for a probe
+	dispatchIndex int32 // 0 for the first dispatch of the request
+	entry         int32
+	worker        int32
+	finishAt      int64 // virtual time, in nanoseconds
+	result        result
 }
--- a/internal/lab/tail/simulator.go
+++ b/internal/lab/tail/simulator.go
@@ -14,12 +14,12 @@
 // request is one caller's request. Its arrival and its service time depend on the
 // seed and the load only, so that all policies get the same requests.
 type request struct {
-	arrival     int64 // at the entry, in nanoseconds of virtual time
-	entry       int32
-	serviceTime float64 // nanoseconds, on a worker without faults
-	attempt     int32   // 0 for the first dispatch
-	ended       bool
-	write       bool // not idempotent
+	arrival       int64 // at the entry, in nanoseconds of virtual time
+	entry         int32
+	serviceTime   float64 // nanoseconds, on a worker without faults
+	dispatchIndex int32   // 0 for the first dispatch
+	ended         bool
+	write         bool // not idempotent
 }
 
 // simulator simulates one service, its entries and its callers in virtual time.
@@ -35,8 +35,8 @@
 	openRequests int // requests that have not ended
 }
 
-// epoch is the wall-clock time at the start of a run.
-var epoch = time.Unix(0, 0)
+// timeOrigin is the wall-clock time at the start of a run.
+var timeOrigin = time.Unix(0, 0)
 
 // schedule adds an event at the given virtual time.
 func (s *simulator) schedule(when int64, e event) {
@@ -112,7 +112,7 @@
 		if e.pool, err = pool.NewBalancer(s.sc.policy, cfg, rand.New(rand.NewPCG(s.sc.seed, uint64(2+i)))); err != nil {
 			return err
 		}
-		s.execute(int32(i), e.pool.SetTargets(epoch, s.targetList(), nil))
+		s.execute(int32(i), e.pool.SetTargets(timeOrigin, s.targetList(), nil))
 		if len(s.sc.faults) > 0 {
 			s.schedule(int64(time.Second)+int64(i), event{kind: targetListRead, index: int32(i)})
 		}
@@ -140,7 +140,7 @@
 		Budget: time.Duration(s.sc.probeShare * slots * float64(window)),
 		Cost:   s.sc.shape.ProbeTime,
 	})
-	b.SetShare(epoch, probe.Share{Rank: entry, Count: owners})
+	b.SetShare(timeOrigin, probe.Share{Rank: entry, Count: owners})
 	return b
 }
 
@@ -194,4 +194,4 @@
 	}
 }
 
-func (s *simulator) time() time.Time { return epoch.Add(time.Duration(s.now)) }
+func (s *simulator) time() time.Time { return timeOrigin.Add(time.Duration(s.now)) }
--- a/internal/lab/tail/worker.go
+++ b/internal/lab/tail/worker.go
@@ -76,7 +76,7 @@
 	w := &s.workers[e.index]
 	for i := range w.running {
 		j := w.running[i]
-		if j.request != e.job.request || j.attempt != e.job.attempt || j.entry != e.job.entry || j.finishAt != e.at {
+		if j.request != e.job.request || j.dispatchIndex != e.job.dispatchIndex || j.entry != e.job.entry || j.finishAt != e.at {
 			continue
 		}
 		w.running = append(w.running[:i], w.running[i+1:]...)
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -95,7 +95,7 @@
 	}
 
 	c.Assert(b.SetRevisions(ctx, member.Revisions{Settings: 4}), qt.IsNil)
-	c.Assert(b.SpreadRumours(ctx, member.Rumours{StopNotices: []member.StopNotice{{Target: "w", Time: time.Now()}}}), qt.IsNil)
+	c.Assert(b.SpreadRumours(ctx, member.Rumours{LeavingNotices: []member.LeavingNotice{{Target: "w", Time: time.Now()}}}), qt.IsNil)
 	c.Assert(b.SetReady(ctx), qt.IsNil)
 	for _, n := range []*node{a, d} {
 		eventually(c, "settings of b", func() bool { return n.aheadRevision.Load() == 4 })
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -99,7 +99,7 @@
 	for _, e := range m.Entries {
 		w.Entries = append(w.Entries, EncodeEntry(now, e))
 	}
-	for _, s := range m.Rumours.StopNotices {
+	for _, s := range m.Rumours.LeavingNotices {
 		w.Leaving = append(w.Leaving, &wire.Leaving{Target: s.Target, Boot: s.Boot, Ago: encodeAge(now, s.Time)})
 	}
 	for _, c := range m.Rumours.CrashReports {
@@ -139,7 +139,7 @@
 
 func decodeRumours(now time.Time, w *wire.Gossip) (r member.Rumours) {
 	for _, s := range w.GetLeaving() {
-		r.StopNotices = append(r.StopNotices, member.StopNotice{Target: s.GetTarget(), Boot: s.GetBoot(), Time: decodeAge(now, s.GetAgo())})
+		r.LeavingNotices = append(r.LeavingNotices, member.LeavingNotice{Target: s.GetTarget(), Boot: s.GetBoot(), Time: decodeAge(now, s.GetAgo())})
 	}
 	for _, c := range w.GetSuspects() {
 		r.CrashReports = append(r.CrashReports, member.CrashReport{Fingerprint: c.GetPrint(), Crashes: c.GetCrashes(), Time: decodeAge(now, c.GetAgo()), Reporter: c.GetBy(), Sequence: c.GetSequence()})
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -86,8 +86,8 @@
 		BucketMask:       1 << 63,
 		MissingAddresses: []string{"e9"},
 		Rumours: member.Rumours{
-			StopNotices:  []member.StopNotice{{Target: "w1", Boot: 2, Time: now.Add(-time.Second)}},
-			CrashReports: []member.CrashReport{{Fingerprint: 1 << 62, Crashes: 2, Time: now.Add(-time.Second), Reporter: "e3", Sequence: 1 << 60}},
+			LeavingNotices: []member.LeavingNotice{{Target: "w1", Boot: 2, Time: now.Add(-time.Second)}},
+			CrashReports:   []member.CrashReport{{Fingerprint: 1 << 62, Crashes: 2, Time: now.Add(-time.Second), Reporter: "e3", Sequence: 1 << 60}},
 		},
 	}
 	got, err := client.Gossip(ctx, address, m)
--- a/internal/settings/edit.go
+++ b/internal/settings/edit.go
@@ -108,7 +108,7 @@
 	}
 	base := *s.Document()
 	if result == tree.Diverged {
-		base = s.joinHistories(d, base)
+		base = s.mergeHistories(d, base)
 	}
 	next, accepted, err := base.Apply(a.edit, s.cfg.Now())
 	if err != nil || next.Revision == base.Revision && result != tree.Diverged {
--- a/internal/settings/repair.go
+++ b/internal/settings/repair.go
@@ -53,7 +53,7 @@
 	}
 	next := *s.Document()
 	if result == tree.Diverged {
-		next = s.joinHistories(d, next)
+		next = s.mergeHistories(d, next)
 	}
 	if _, err = s.cfg.Store.Put(ctx, Kind, Name, o.Version, tree.Encode(next)); err != nil {
 		return err
@@ -64,7 +64,7 @@
 
 // mergeHistories merges two diverged histories, that of the store and the one in
 // force. It logs each accepted edit that is dropped because of a conflict.
-func (s *Settings) joinHistories(stored, inForce tree.Document) tree.Document {
+func (s *Settings) mergeHistories(stored, inForce tree.Document) tree.Document {
 	if stored.Revision < inForce.Revision {
 		stored, inForce = inForce, stored
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -103,14 +103,14 @@
 		if !signed || a.responseID != a.id || a.responseBody != "ran "+a.path+" "+a.requestBody {
 			c.addViolation("request %s received the response of another request: signed by %q, id %q, body %q", a.id, a.signer, a.responseID, a.responseBody)
 		}
-	case guaranteesNotRun(a.status) && a.runOnce && len(runs) > 0:
+	case impliesNotRun(a.status) && a.runOnce && len(runs) > 0:
 		c.addViolation("request %s was refused with status %d, but ran at %s", a.id, a.status, c.site.timeOffset(runs[0].StartedAt))
 	}
 }
 
-// guaranteesNotRun reports whether a response with this status guarantees that no target
+// impliesNotRun reports whether a response with this status guarantees that no target
 // ran the request.
-func guaranteesNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
--- a/internal/soak/clients_test.go
+++ b/internal/soak/clients_test.go
@@ -136,7 +136,7 @@
 	for range 1 + k.retries + extraRetries {
 		a := c.sendOnce(k, path)
 		remaining := k.deadline - time.Since(started)
-		if a == nil || a.status == http.StatusOK || k.runOnce && !guaranteesNotRun(a.status) || remaining <= 0 {
+		if a == nil || a.status == http.StatusOK || k.runOnce && !impliesNotRun(a.status) || remaining <= 0 {
 			return
 		}
 		if extraRetries == 0 {
--- a/internal/soak/gateway_test.go
+++ b/internal/soak/gateway_test.go
@@ -80,7 +80,7 @@
 	g.mu.Lock()
 	g.badSettings = false
 	g.mu.Unlock()
-	text := fmt.Sprintf(settingsTemplate, g.name, g.place, g.ip, g.site.cpuShare, grace, g.site.retryRatio.Load(), g.site.retrySlack, g.site.storeProxy.address())
+	text := fmt.Sprintf(settingsTemplate, g.name, g.place, g.ip, g.site.cores, grace, g.site.retryRatio.Load(), g.site.retrySlack, g.site.storeProxy.address())
 	g.site.q.Assert(os.WriteFile(g.settingsPath, []byte(text), 0o600), qt.IsNil)
 }
 
--- a/internal/soak/profile_test.go
+++ b/internal/soak/profile_test.go
@@ -6,7 +6,7 @@
 type profile struct {
 	gatewayCount      int
 	clientCount       int
-	cpuShare          float64 // of a gateway, as in its settings
+	cores             float64 // of a gateway, as in its settings
 	places            []string
 	initialRetryRatio float64 // retry budget ratio in the settings at the start; lowered to retryBudgetRatio before the first fault
 	retrySlack        int     // extra dispatches allowed beyond the retry budget ratio
@@ -30,32 +30,32 @@
 
 // requestKind is a kind of request.
 type requestKind struct {
-	name        string
-	service     string
-	method      string
-	prefix      string
-	runOnce     bool // it must not run twice
-	attempts    int  // most targets at which a request may run
-	latencyGoal time.Duration
-	timeout     time.Duration
-	deadline    time.Duration
-	retries     int // by its clients
-	weight      int // relative to the other kinds
+	name          string
+	service       string
+	method        string
+	prefix        string
+	runOnce       bool // it must not run twice
+	attempts      int  // most targets at which a request may run
+	targetLatency time.Duration
+	timeout       time.Duration
+	deadline      time.Duration
+	retries       int // by its clients
+	weight        int // relative to the other kinds
 }
 
 // smallSite is the profile of a site with one service, small enough to observe every target.
 func smallSite() profile {
 	return profile{
-		gatewayCount: *numGateways, clientCount: *numClients, cpuShare: 1, places: []string{"hall"}, initialRetryRatio: retryBudgetRatio, retrySlack: 50,
+		gatewayCount: *numGateways, clientCount: *numClients, cores: 1, places: []string{"hall"}, initialRetryRatio: retryBudgetRatio, retrySlack: 50,
 		services: []service{{name: "gowns", targets: *numTargets, slots: 4, serviceTime: 15 * time.Millisecond}},
 		kinds: []requestKind{
 			{
 				name: "r-once", service: "gowns", method: "POST", prefix: "/once/", runOnce: true, attempts: 2,
-				latencyGoal: 500 * time.Millisecond, timeout: 2 * time.Second, deadline: 3 * time.Second, weight: 1,
+				targetLatency: 500 * time.Millisecond, timeout: 2 * time.Second, deadline: 3 * time.Second, weight: 1,
 			},
 			{
 				name: "r-twice", service: "gowns", method: "POST", prefix: "/twice/", attempts: 3,
-				latencyGoal: 500 * time.Millisecond, timeout: 2 * time.Second, deadline: 3 * time.Second, weight: 1,
+				targetLatency: 500 * time.Millisecond, timeout: 2 * time.Second, deadline: 3 * time.Second, weight: 1,
 			},
 		},
 		pathCount: 7, minServedShare: 0.95, faults: smallSiteFaults,
@@ -66,7 +66,7 @@
 // when their queue is full and its clients retry. Its faults cause extra dispatches.
 func fullSizeSite() profile {
 	return profile{
-		gatewayCount: 13, clientCount: 120, cpuShare: 0.32, places: []string{"fremantle", "subiaco", "joondalup"}, initialRetryRatio: 1, retrySlack: 56,
+		gatewayCount: 13, clientCount: 120, cores: 0.32, places: []string{"fremantle", "subiaco", "joondalup"}, initialRetryRatio: 1, retrySlack: 56,
 		services: []service{
 			{name: "catalogue", targets: 14, slots: 2, queueLimit: 4, serviceTime: 60 * time.Millisecond, variablePace: true},
 			{name: "diary", targets: 7, slots: 2, queueLimit: 4, serviceTime: 78 * time.Millisecond, variablePace: true},
@@ -75,15 +75,15 @@
 		kinds: []requestKind{
 			{
 				name: "r-read", service: "catalogue", method: "GET", prefix: "/read/", attempts: 2, retries: 1, weight: 101,
-				latencyGoal: 200 * time.Millisecond, timeout: 800 * time.Millisecond, deadline: 800 * time.Millisecond,
+				targetLatency: 200 * time.Millisecond, timeout: 800 * time.Millisecond, deadline: 800 * time.Millisecond,
 			},
 			{
 				name: "r-book", service: "diary", method: "POST", prefix: "/book/", runOnce: true, attempts: 2, retries: 1, weight: 39,
-				latencyGoal: 250 * time.Millisecond, timeout: time.Second, deadline: time.Second,
+				targetLatency: 250 * time.Millisecond, timeout: time.Second, deadline: time.Second,
 			},
 			{
 				name: "r-pay", service: "ledger", method: "PUT", prefix: "/pay/", runOnce: true, attempts: 2, retries: 1, weight: 36,
-				latencyGoal: 150 * time.Millisecond, timeout: 600 * time.Millisecond, deadline: 600 * time.Millisecond,
+				targetLatency: 150 * time.Millisecond, timeout: 600 * time.Millisecond, deadline: 600 * time.Millisecond,
 			},
 		},
 		pathCount: 1 << 40, requestRate: 176, minServedShare: 0.85, faults: extraDispatchFaults,
--- a/internal/soak/site_test.go
+++ b/internal/soak/site_test.go
@@ -282,7 +282,7 @@
 	var names []string
 	for _, k := range s.kinds {
 		routes = append(routes, objects.Route{
-			Name: k.name, Host: host, Prefix: k.prefix, NonIdempotent: k.runOnce, Timeout: k.timeout.String(), TargetLatency: k.latencyGoal.String(),
+			Name: k.name, Host: host, Prefix: k.prefix, NonIdempotent: k.runOnce, Timeout: k.timeout.String(), TargetLatency: k.targetLatency.String(),
 			Attempts: k.attempts, Service: k.service,
 		})
 	}
--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -204,7 +204,7 @@
 		return
 	}
 	if f.LoseResponse && r.Method != http.MethodGet {
-		w = &discardResponse{header: make(http.Header)}
+		w = &discardingWriter{header: make(http.Header)}
 		defer panic(http.ErrAbortHandler)
 	}
 	mux := http.NewServeMux()
@@ -222,11 +222,11 @@
 }
 
 // discardingWriter is a ResponseWriter that discards the response.
-type discardResponse struct{ header http.Header }
+type discardingWriter struct{ header http.Header }
 
-func (l *discardResponse) Header() http.Header         { return l.header }
-func (l *discardResponse) Write(p []byte) (int, error) { return len(p), nil }
-func (l *discardResponse) WriteHeader(int)             {}
+func (l *discardingWriter) Header() http.Header         { return l.header }
+func (l *discardingWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (l *discardingWriter) WriteHeader(int)             {}
 
 func queryUint(r *http.Request, name string) uint64 {
 	n, err := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
--- a/leaving_proof_test.go
+++ b/leaving_proof_test.go
@@ -190,7 +190,7 @@
 // Long responses stream through an entry when it gets SIGTERM twice. They last longer than
 // the TTL of the locate responses that name the entry, and go on after it has closed its
 // listeners. Each must arrive complete.
-func TestLongAnswerSurvivesTheStopOfItsEntry(t *testing.T) {
+func TestLongResponseSurvivesStopOfItsEntry(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
 	s := newStore(t)
--- a/once_proof_test.go
+++ b/once_proof_test.go
@@ -63,7 +63,7 @@
 
 // A caller disconnects before its keyed request is answered. The run must go on and be
 // recorded, so that the same key gets the recorded response through any other entry.
-func TestCallerThatLeftGetsTheRecordedAnswer(t *testing.T) {
+func TestDisconnectedCallerGetsRecordedResponse(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
 	s := newCluster(t, 2, 3, 300*time.Millisecond)
--- a/pkg/member/faults_test.go
+++ b/pkg/member/faults_test.go
@@ -284,17 +284,17 @@
 			for seed := range s.seeds {
 				f := settledFleet(c, s, seed)
 				f.Handle(f.Nodes[2], member.SpreadRumours{Rumours: member.Rumours{
-					StopNotices:  []member.StopNotice{{Target: "w1", Boot: 4, Time: f.Now()}},
-					CrashReports: []member.CrashReport{{Fingerprint: 99, Crashes: 1, Time: f.Now()}},
+					LeavingNotices: []member.LeavingNotice{{Target: "w1", Boot: 4, Time: f.Now()}},
+					CrashReports:   []member.CrashReport{{Fingerprint: 99, Crashes: 1, Time: f.Now()}},
 				}})
 				within(c, f, 5*time.Second, "rumours", func() bool {
 					return f.AllViews(func(n *fleet.Node, _ member.View) bool {
-						return n == f.Nodes[2] || len(n.Rumours.StopNotices) == 1 && len(n.Rumours.CrashReports) == 1
+						return n == f.Nodes[2] || len(n.Rumours.LeavingNotices) == 1 && len(n.Rumours.CrashReports) == 1
 					})
 				})
 				f.Run(20 * time.Second)
 				f.AllViews(func(n *fleet.Node, _ member.View) bool {
-					c.Assert(len(n.Rumours.StopNotices) <= 1 && len(n.Rumours.CrashReports) <= 1, qt.IsTrue, qt.Commentf("received again: %+v", n.Rumours))
+					c.Assert(len(n.Rumours.LeavingNotices) <= 1 && len(n.Rumours.CrashReports) <= 1, qt.IsTrue, qt.Commentf("received again: %+v", n.Rumours))
 					return true
 				})
 			}
--- a/pkg/member/message.go
+++ b/pkg/member/message.go
@@ -28,8 +28,8 @@
 	return other.Settings > r.Settings || other.Targets > r.Targets
 }
 
-// StopNotice announces that an incarnation of a target is leaving.
-type StopNotice struct {
+// LeavingNotice announces that an incarnation of a target is leaving.
+type LeavingNotice struct {
 	Target string
 	Boot   uint64
 	Time   time.Time
@@ -48,11 +48,11 @@
 
 // Rumours are short-lived notices that entries relay to each other.
 type Rumours struct {
-	StopNotices  []StopNotice
-	CrashReports []CrashReport
+	LeavingNotices []LeavingNotice
+	CrashReports   []CrashReport
 }
 
-func (r Rumours) empty() bool { return len(r.StopNotices) == 0 && len(r.CrashReports) == 0 }
+func (r Rumours) empty() bool { return len(r.LeavingNotices) == 0 && len(r.CrashReports) == 0 }
 
 // Message is one direction of an exchange.
 type Message struct {
--- a/pkg/member/pause_test.go
+++ b/pkg/member/pause_test.go
@@ -61,7 +61,7 @@
 // An entry that was paused or partitioned during a death receives only an old report
 // of it. It must send the report to the suspect in the next round, once. Then either
 // the suspect refutes it, or the death is detected.
-func TestOldAccusationIsVerified(t *testing.T) {
+func TestOldReportIsVerified(t *testing.T) {
 	c := qt.New(t)
 	a := table("a")
 	dead := entry("b", 1, 0, member.Dead)
--- a/pkg/member/rumour.go
+++ b/pkg/member/rumour.go
@@ -26,16 +26,16 @@
 	items     []*rumour[V]
 }
 
-type stopNoticeKey struct {
+type leavingNoticeKey struct {
 	target string
 	boot   uint64
 }
 
-func newStopNotices() *rumours[stopNoticeKey, StopNotice] {
-	return &rumours[stopNoticeKey, StopNotice]{
-		key:       func(s StopNotice) stopNoticeKey { return stopNoticeKey{s.Target, s.Boot} },
-		timestamp: func(s StopNotice) time.Time { return s.Time },
-		newer:     func(_, _ StopNotice) bool { return false },
+func newLeavingNotices() *rumours[leavingNoticeKey, LeavingNotice] {
+	return &rumours[leavingNoticeKey, LeavingNotice]{
+		key:       func(s LeavingNotice) leavingNoticeKey { return leavingNoticeKey{s.Target, s.Boot} },
+		timestamp: func(s LeavingNotice) time.Time { return s.Time },
+		newer:     func(_, _ LeavingNotice) bool { return false },
 	}
 }
 
@@ -97,7 +97,7 @@
 	if t.cfg.MaxEntryBytes > 0 {
 		most = maxPacketRumours
 	}
-	return Rumours{StopNotices: t.stopNotices.takeUnsent(now, most), CrashReports: t.crashReports.takeUnsent(now, most)}
+	return Rumours{LeavingNotices: t.leavingNotices.takeUnsent(now, most), CrashReports: t.crashReports.takeUnsent(now, most)}
 }
 
 // startRumours spreads rumours that begin at this entry.
@@ -114,9 +114,9 @@
 // addRumours queues the new ones of the rumours for sending and returns them.
 func (t *Table) addRumours(now time.Time, r Rumours) (added Rumours) {
 	sends := rumourSendFactor * t.sendCount()
-	for _, s := range r.StopNotices {
-		if t.stopNotices.add(now, s, sends) {
-			added.StopNotices = append(added.StopNotices, s)
+	for _, s := range r.LeavingNotices {
+		if t.leavingNotices.add(now, s, sends) {
+			added.LeavingNotices = append(added.LeavingNotices, s)
 		}
 	}
 	for _, c := range r.CrashReports {
--- a/pkg/member/table.go
+++ b/pkg/member/table.go
@@ -27,8 +27,8 @@
 	unverified       []Entry  // suspicions to verify, oldest first
 	missingAddresses []string // names to request from the sender of the current message
 
-	stopNotices  *rumours[stopNoticeKey, StopNotice]
-	crashReports *rumours[crashReportKey, CrashReport]
+	leavingNotices *rumours[leavingNoticeKey, LeavingNotice]
+	crashReports   *rumours[crashReportKey, CrashReport]
 
 	lastEvent        time.Time // time of the last event
 	nextRound        time.Time // time of the next round
@@ -71,16 +71,16 @@
 func New(cfg Config) *Table {
 	cfg = cfg.withDefaults()
 	t := &Table{
-		cfg:          cfg,
-		rand:         cfg.Rand,
-		records:      make(map[string]*record),
-		byDigest:     make(map[uint32]*record),
-		seeds:        cfg.Seeds,
-		exchanges:    make(map[uint64]exchange),
-		checks:       make(map[ID]*indirectCheck),
-		stopNotices:  newStopNotices(),
-		crashReports: newCrashReports(),
-		pushBudget:   tokenBucket{tokens: pushBurst},
+		cfg:            cfg,
+		rand:           cfg.Rand,
+		records:        make(map[string]*record),
+		byDigest:       make(map[uint32]*record),
+		seeds:          cfg.Seeds,
+		exchanges:      make(map[uint64]exchange),
+		checks:         make(map[ID]*indirectCheck),
+		leavingNotices: newLeavingNotices(),
+		crashReports:   newCrashReports(),
+		pushBudget:     tokenBucket{tokens: pushBurst},
 	}
 	t.self = t.add(cfg.Self)
 	t.announce(t.self)
--- a/pkg/pool/config.go
+++ b/pkg/pool/config.go
@@ -17,7 +17,7 @@
 	LeavingHold        time.Duration // how long a leaving notice overrides a list that shows the target as live; default 1 min
 	TrialMin           time.Duration // shortest pause before a trial request; default 50 ms
 	TrialMax           time.Duration // longest pause before a trial request; default 1 s
-	Warmup             int           // served requests until a new target counts as warmed up; default 8
+	WarmupRequests     int           // served requests until a new target counts as warmed up; default 8
 	ProbeAfter         time.Duration // time without a response after which a target is probed; default 2 s
 
 	Unlimited      bool          // dispatch immediately, without queue or limits; for baselines
@@ -48,7 +48,7 @@
 	c.LeavingHold = orDuration(c.LeavingHold, time.Minute)
 	c.TrialMin = orDuration(c.TrialMin, 50*time.Millisecond)
 	c.TrialMax = orDuration(c.TrialMax, time.Second)
-	c.Warmup = orInt(c.Warmup, 8)
+	c.WarmupRequests = orInt(c.WarmupRequests, 8)
 	c.ProbeAfter = orDuration(c.ProbeAfter, 2*time.Second)
 	if c.MaxEjectedShare == 0 {
 		c.MaxEjectedShare = 0.34
--- a/pkg/pool/explain.go
+++ b/pkg/pool/explain.go
@@ -38,16 +38,16 @@
 	}
 	switch {
 	case m.excluded:
-		r.Why, r.Until = "leaving", p.epoch.Add(m.excludedUntil)
+		r.Why, r.Until = "leaving", p.timeOrigin.Add(m.excludedUntil)
 		if m.Evacuated {
 			r.Why, r.Until = "evacuated", time.Time{}
 		}
 	case m.ejected && m.failEvidence > readmitFail:
-		r.Why, r.Until = "ejected: fails more than the others", p.epoch.Add(m.nextTrial)
+		r.Why, r.Until = "ejected: fails more than the others", p.timeOrigin.Add(m.nextTrial)
 	case m.ejected:
-		r.Why, r.Until = "ejected: slower than the others", p.epoch.Add(m.nextTrial)
+		r.Why, r.Until = "ejected: slower than the others", p.timeOrigin.Add(m.nextTrial)
 	case m.cooldownUntil > p.now:
-		r.Why, r.Until = "refused work a moment ago", p.epoch.Add(m.cooldownUntil)
+		r.Why, r.Until = "refused work a moment ago", p.timeOrigin.Add(m.cooldownUntil)
 	case p.cfg.Unlimited:
 		r.Why, r.Chosen = "free", true
 	case float64(r.InFlight)+r.OtherInFlight > float64(r.Limit)-0.5:
--- a/pkg/pool/freeslot.go
+++ b/pkg/pool/freeslot.go
@@ -43,7 +43,7 @@
 // freeRank returns the rank of m by its number of requests; the lowest is the best. ok is
 // false when m has no free slot.
 func freeRank(c *PickInput, m *Member) (rank float64, ok bool) {
-	rank = float64(m.InFlight()) + m.OtherInFlight(c.Now, c.ReportHalfLife)
+	rank = float64(m.InFlight()) + m.OtherInFlight(c.Now, c.LoadHalfLife)
 	if rank > float64(m.limit(c.Config))-0.5 {
 		return 0, false
 	}
@@ -58,7 +58,7 @@
 // requests.
 func soonestFree(c *PickInput) int {
 	best, bestStay, bestOver := -1, 0.0, 0
-	span := horizonFactor * c.Latencies.Mean(c.ReportHalfLife)
+	span := horizonFactor * c.Latencies.Mean(c.LoadHalfLife)
 	for i, m := range c.Members {
 		over := m.InFlight() - m.limit(c.Config)
 		if over >= c.Config.Allowance || !m.warmedUp(c.Config) {
--- a/pkg/pool/member.go
+++ b/pkg/pool/member.go
@@ -20,7 +20,7 @@
 	dispatches []dispatch
 
 	reportedOther    float64 // requests of other entries there, from the last load report
-	reportedAt       time.Duration
+	loadAt           time.Duration
 	lastResponse     time.Duration // last completion or probe result
 	served           int           // served requests
 	learnedLimit     float64       // concurrency limit learned from sheds
@@ -52,7 +52,7 @@
 	if m.reportedOther == 0 {
 		return 0
 	}
-	return m.reportedOther * math.Exp2(-float64(now-m.reportedAt)/float64(halfLife))
+	return m.reportedOther * math.Exp2(-float64(now-m.loadAt)/float64(halfLife))
 }
 
 func (m *Member) addDispatch(id uint64, now time.Duration, trial bool) {
@@ -82,7 +82,7 @@
 	return d
 }
 
-func (m *Member) warmedUp(c *Config) bool { return m.served >= c.Warmup }
+func (m *Member) warmedUp(c *Config) bool { return m.served >= c.WarmupRequests }
 
 // limit returns the number of requests that the target may hold, without the allowance.
 func (m *Member) limit(c *Config) int {
--- a/pkg/pool/outcome.go
+++ b/pkg/pool/outcome.go
@@ -71,7 +71,7 @@
 	}
 	if l.HasInFlight {
 		m.reportedOther = min(max(float64(l.InFlight-own), 0), float64(m.Slots))
-		m.reportedAt = p.now
+		m.loadAt = p.now
 	}
 	return out
 }
--- a/pkg/pool/policy.go
+++ b/pkg/pool/policy.go
@@ -14,12 +14,12 @@
 
 // PickInput is the input of a policy.
 type PickInput struct {
-	Now            time.Duration // on the pool's clock
-	Members        []*Member     // targets that may get the request
-	ReportHalfLife time.Duration // time in which the weight of a load report halves
-	Latencies      *LatencyDistribution
-	Config         *Config
-	Rand           *rand.Rand
+	Now          time.Duration // on the pool's clock
+	Members      []*Member     // targets that may get the request
+	LoadHalfLife time.Duration // time in which the weight of a load report halves
+	Latencies    *LatencyDistribution
+	Config       *Config
+	Rand         *rand.Rand
 }
 
 // IsSuspect reports whether the target appears slower or more faulty than the others.
--- a/pkg/pool/pool.go
+++ b/pkg/pool/pool.go
@@ -19,7 +19,7 @@
 	policy P
 	rnd    *rand.Rand
 
-	epoch          time.Time
+	timeOrigin     time.Time
 	now            time.Duration // since timeOrigin; never decreases
 	members        []*Member
 	byID           map[string]*Member
@@ -56,12 +56,12 @@
 // its last value. Otherwise pauses and leaving notices would last longer by the size of
 // the step, and every deadline would appear to have passed.
 func (p *Pool[P]) setClock(now time.Time) {
-	if p.epoch.IsZero() {
-		p.epoch = now
+	if p.timeOrigin.IsZero() {
+		p.timeOrigin = now
 	}
-	at := now.Sub(p.epoch)
+	at := now.Sub(p.timeOrigin)
 	if at < p.now {
-		p.epoch = now.Add(-p.now)
+		p.timeOrigin = now.Add(-p.now)
 		return
 	}
 	p.now = at
@@ -94,7 +94,7 @@
 	if deadline.IsZero() {
 		return math.MaxInt64
 	}
-	return deadline.Sub(p.epoch)
+	return deadline.Sub(p.timeOrigin)
 }
 
 // Done processes the completion of a dispatched request. An unknown ID is ignored, because
@@ -155,7 +155,7 @@
 	}
 	p.pickInput.Now = p.now
 	p.pickInput.Members = p.candidates
-	p.pickInput.ReportHalfLife = p.latencies.Mean(p.cfg.InitialServiceTime)
+	p.pickInput.LoadHalfLife = p.latencies.Mean(p.cfg.InitialServiceTime)
 	i := p.policy.Pick(&p.pickInput)
 	if i < 0 {
 		return nil, true
--- a/pkg/pool/targets.go
+++ b/pkg/pool/targets.go
@@ -44,7 +44,7 @@
 	if m == nil || m.Boot != t.Boot {
 		m = &Member{learnedLimit: float64(t.Slots), lastResponse: p.now, slowUpdatedAt: p.now}
 		if !cold {
-			m.served = p.cfg.Warmup
+			m.served = p.cfg.WarmupRequests
 		}
 	}
 	m.Target = t
--- a/pkg/pool/tick.go
+++ b/pkg/pool/tick.go
@@ -35,11 +35,11 @@
 func (p *Pool[P]) NextTick() time.Time {
 	switch {
 	case p.queue.len() > 0:
-		return p.epoch.Add(p.now + queueTick)
+		return p.timeOrigin.Add(p.now + queueTick)
 	case p.cfg.ProbeBudget != nil && p.cfg.ProbeBudget.Active() && len(p.members) > 0:
-		return p.epoch.Add(max(p.lastProbeScan+probeTick, p.now))
+		return p.timeOrigin.Add(max(p.lastProbeScan+probeTick, p.now))
 	case len(p.notices) > 0:
-		return p.epoch.Add(p.now + time.Second)
+		return p.timeOrigin.Add(p.now + time.Second)
 	}
 	return time.Time{}
 }
--- a/pkg/quota/counter.go
+++ b/pkg/quota/counter.go
@@ -6,7 +6,7 @@
 type slidingCounter struct {
 	bucketWidth time.Duration
 	counts      [buckets + 1]uint16
-	epoch       time.Time // beginning of bucket 0
+	timeOrigin  time.Time // beginning of bucket 0
 	newest      int64     // newest bucket in counts
 }
 
@@ -23,8 +23,8 @@
 
 // add counts a request.
 func (s *slidingCounter) add(now time.Time) {
-	if s.epoch.IsZero() {
-		s.epoch = now
+	if s.timeOrigin.IsZero() {
+		s.timeOrigin = now
 	}
 	s.advance(now)
 	if c := &s.counts[s.newest%(buckets+1)]; *c < 1<<16-1 {
@@ -34,7 +34,7 @@
 
 // count returns the number of requests within the span, or slightly more.
 func (s *slidingCounter) count(now time.Time) (n int) {
-	if s.epoch.IsZero() {
+	if s.timeOrigin.IsZero() {
 		return 0
 	}
 	s.advance(now)
@@ -45,7 +45,7 @@
 }
 
 func (s *slidingCounter) advance(now time.Time) {
-	bucket := int64(now.Sub(s.epoch) / s.bucketWidth)
+	bucket := int64(now.Sub(s.timeOrigin) / s.bucketWidth)
 	if bucket-s.newest > buckets {
 		clear(s.counts[:])
 		s.newest = bucket
@@ -68,7 +68,7 @@
 		}
 		n -= int(s.counts[bucket%(buckets+1)])
 		if n < most {
-			return s.epoch.Add(time.Duration(bucket+buckets+1) * s.bucketWidth)
+			return s.timeOrigin.Add(time.Duration(bucket+buckets+1) * s.bucketWidth)
 		}
 	}
 	return now.Add(s.span())
--- a/pkg/roster/vanished.go
+++ b/pkg/roster/vanished.go
@@ -59,7 +59,7 @@
 }
 
 // AnyRetained reports whether any objects are still retained.
-func (v *Vanished[T]) Awaiting(now time.Time) bool { return len(v.Items(now)) > 0 }
+func (v *Vanished[T]) AnyRetained(now time.Time) bool { return len(v.Items(now)) > 0 }
 
 // Items returns the objects that are still retained.
 func (v *Vanished[T]) Items(now time.Time) map[string]Item[T] {
--- a/pkg/route/config.go
+++ b/pkg/route/config.go
@@ -17,16 +17,16 @@
 
 // Route defines how the requests for one host and path prefix are served.
 type Route struct {
-	Name       string
-	Host       string            // compared without case and port
-	Prefix     string            // begins and ends with a slash
-	Idempotent bool              // a request may be run twice without harm
-	Timeout    time.Duration     // longest time to a final response
-	Objective  time.Duration     // a response within it is worth its full credit
-	Priority   int               // rank among the routes of a service, 0 first
-	Attempts   int               // targets that one request may be sent to
-	Regions    []string          // regions whose targets may serve it; empty for all
-	Services   []WeightedService // empty if it isn't known which service may serve it
+	Name          string
+	Host          string            // compared without case and port
+	Prefix        string            // begins and ends with a slash
+	Idempotent    bool              // a request may be run twice without harm
+	Timeout       time.Duration     // longest time to a final response
+	Objective     time.Duration     // a response within it is worth its full credit
+	Priority      int               // rank among the routes of a service, 0 first
+	MaxDispatches int               // targets that one request may be sent to
+	Regions       []string          // regions whose targets may serve it; empty for all
+	Services      []WeightedService // empty if it isn't known which service may serve it
 }
 
 // WeightedService is a service with its weight in a route.
--- a/pkg/slot/absent_test.go
+++ b/pkg/slot/absent_test.go
@@ -48,7 +48,7 @@
 	for _, a := range actionsOf(out, SendProbe) {
 		out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 	}
-	at := actionsOf(out, Send)[0].Target
+	at := actionsOf(out, Dispatch)[0].Target
 	h.SetTargets(h.now, nil, nil)
 	h.Done(h.now, Completion{ID: id, Report: Report{Leaving: true}}, nil)
 	h.SetTargets(h.now, []Target{at}, nil)
--- a/pkg/slot/balancer.go
+++ b/pkg/slot/balancer.go
@@ -336,5 +336,5 @@
 	m.coldLimiter.RecordSent(now)
 	m.limit.limiter.RecordSent(now)
 	b.dispatches[p.ID] = &dispatch{member: m, sent: now, concurrent: concurrent, pace: pace, class: p.Class, serviceTime: p.serviceTime}
-	return append(out, Action{Kind: Send, ID: p.ID, Target: m.Target, Decision: decision})
+	return append(out, Action{Kind: Dispatch, ID: p.ID, Target: m.Target, Decision: decision})
 }
--- a/pkg/slot/cold_test.go
+++ b/pkg/slot/cold_test.go
@@ -44,7 +44,7 @@
 			Healthy: true, ColdFor: remaining, ColdKnown: remaining >= 0,
 		}, nil)...)
 	}
-	return actionsOf(out, Send), actionsOf(out, Refuse)
+	return actionsOf(out, Dispatch), actionsOf(out, Refuse)
 }
 
 // The targets of a failure domain come back cold while the load exceeds what the warm ones
@@ -183,7 +183,7 @@
 		for _, a := range actionsOf(out, SendProbe) {
 			out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 		}
-		sent = actionsOf(out, Send)
+		sent = actionsOf(out, Dispatch)
 	}
 	c.Assert(sent[0].ID, qt.Equals, h.lastID)
 }
--- a/pkg/slot/evacuated_test.go
+++ b/pkg/slot/evacuated_test.go
@@ -71,7 +71,7 @@
 		for _, a := range actionsOf(out, SendProbe) {
 			out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 		}
-		for range actionsOf(out, Send) {
+		for range actionsOf(out, Dispatch) {
 			h.Done(h.now, Completion{ID: id, Outcome: Failed}, nil)
 		}
 	}
@@ -103,11 +103,11 @@
 		var inFlight []uint64
 		check := func(out []Action) {
 			for _, a := range out {
-				if a.Kind != Send && a.Kind != SendProbe {
+				if a.Kind != Dispatch && a.Kind != SendProbe {
 					continue
 				}
 				qt.Assert(t, h.members[a.Target.ID].Evacuated, qt.IsFalse, qt.Commentf("seed %d: %v", seed, a))
-				if a.Kind == Send {
+				if a.Kind == Dispatch {
 					inFlight = append(inFlight, a.ID)
 				}
 			}
--- a/pkg/slot/event.go
+++ b/pkg/slot/event.go
@@ -51,7 +51,7 @@
 // Kinds of actions. Those with the prefix Note only announce a change.
 const (
 	SendProbe      ActionKind = iota + 1 // probe Target for its load; ProbeDone has to be called in any case
-	Send                                 // send request ID to Target
+	Dispatch                             // send request ID to Target
 	Refuse                               // refuse request ID
 	NoteEjected                          // Target was ejected because it fails requests
 	NoteReadmitted                       // Target gets requests again
--- a/pkg/slot/limit_test.go
+++ b/pkg/slot/limit_test.go
@@ -53,7 +53,7 @@
 			out = n.ProbeDone(n.now, ProbeResult{Target: a.Target.ID, Report: r, Healthy: true}, out)
 		}
 	}
-	for _, a := range actionsOf(out, Send) {
+	for _, a := range actionsOf(out, Dispatch) {
 		n.dispatchTimes[a.Target.ID] = append(n.dispatchTimes[a.Target.ID], n.now)
 	}
 	return out
@@ -110,7 +110,7 @@
 	count := func(out []Action) {
 		for _, a := range out {
 			switch a.Kind {
-			case Send:
+			case Dispatch:
 				served[a.ID%2]++
 			case Refuse:
 				refused++
@@ -189,5 +189,5 @@
 	_, out = n.arrive() // sends a probe
 	n.step(out)
 	_, out = n.arrive()
-	c.Assert(actionsOf(n.step(out), Send), qt.HasLen, 1)
+	c.Assert(actionsOf(n.step(out), Dispatch), qt.HasLen, 1)
 }
--- a/pkg/slot/member.go
+++ b/pkg/slot/member.go
@@ -22,7 +22,7 @@
 	inFlight int // requests of this entry
 
 	pace           float64 // from the last load report
-	reportedOthers int     // requests of other entries, from the last load report
+	reportedOther  int     // requests of other entries, from the last load report
 	loadAt         time.Time
 	loadKnown      bool    // it has reported its load
 	omitsLoad      bool    // it answers probes without its load
@@ -72,10 +72,10 @@
 // otherInFlight returns the estimated number of requests of other entries at the target. The
 // report expires after twice LoadHalfLife.
 func (m *member) otherInFlight(now time.Time, c *Config) int {
-	if m.reportedOthers == 0 || now.Sub(m.loadAt) > 2*c.LoadHalfLife {
+	if m.reportedOther == 0 || now.Sub(m.loadAt) > 2*c.LoadHalfLife {
 		return 0
 	}
-	return m.reportedOthers
+	return m.reportedOther
 }
 
 func (m *member) totalInFlight(now time.Time, c *Config) int {
@@ -119,7 +119,7 @@
 func (m *member) recordLoad(now time.Time, l Load) {
 	m.loadKnown = true
 	m.pace = l.Pace
-	m.reportedOthers = max(l.Running+l.Waiting-m.inFlight, 0)
+	m.reportedOther = max(l.Running+l.Waiting-m.inFlight, 0)
 	m.loadAt = now
 }
 
--- a/pkg/slot/regions_test.go
+++ b/pkg/slot/regions_test.go
@@ -29,7 +29,7 @@
 	for i := range 40 {
 		h.now = h.now.Add(10 * time.Millisecond)
 		out := append(arrive("metro"), h.Tick(h.now, nil)...)
-		for _, a := range append(actionsOf(out, Send), actionsOf(out, SendProbe)...) {
+		for _, a := range append(actionsOf(out, Dispatch), actionsOf(out, SendProbe)...) {
 			c.Assert(a.Target.ID, qt.Equals, "t0", qt.Commentf("request %d", i))
 		}
 	}
@@ -44,5 +44,5 @@
 			out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 		}
 	}
-	c.Assert(actionsOf(out, Send), qt.HasLen, 1, qt.Commentf("one without regions goes anywhere"))
+	c.Assert(actionsOf(out, Dispatch), qt.HasLen, 1, qt.Commentf("one without regions goes anywhere"))
 }
--- a/pkg/slot/servicetime_test.go
+++ b/pkg/slot/servicetime_test.go
@@ -19,7 +19,7 @@
 			ID: h.lastID, Class: class, Arrived: h.now, Objective: h.now.Add(200 * time.Millisecond), Deadline: h.now.Add(800 * time.Millisecond),
 		}, nil)
 		out = append(out, h.replyLoad("t0", 1, 0)...)
-		sent = len(actionsOf(out, Send)) == 1
+		sent = len(actionsOf(out, Dispatch)) == 1
 		h.now = h.now.Add(took)
 		h.Done(h.now, Completion{ID: h.lastID, Outcome: Served}, nil)
 		h.now = h.now.Add(100 * time.Millisecond)
@@ -36,5 +36,5 @@
 	h.lastID++
 	out := h.Submit(h.now, Request{ID: h.lastID, Class: "page", Arrived: h.now, Objective: h.now.Add(200 * time.Millisecond), Deadline: h.now.Add(time.Second)}, nil)
 	out = append(out, h.replyLoad("t0", 2.5, 0)...)
-	c.Assert(actionsOf(out, Send), qt.HasLen, 0)
+	c.Assert(actionsOf(out, Dispatch), qt.HasLen, 0)
 }
--- a/pkg/slot/slot_test.go
+++ b/pkg/slot/slot_test.go
@@ -57,8 +57,8 @@
 	h := newHarness(4)
 	_, out := h.arrive()
 	c.Assert(actionsOf(out, SendProbe), qt.HasLen, 4)
-	c.Assert(actionsOf(h.replyLoad("t0", 5, 0), Send), qt.HasLen, 0)
-	sent := actionsOf(h.replyLoad("t1", 1, 0), Send)
+	c.Assert(actionsOf(h.replyLoad("t0", 5, 0), Dispatch), qt.HasLen, 0)
+	sent := actionsOf(h.replyLoad("t1", 1, 0), Dispatch)
 	c.Assert(sent, qt.HasLen, 1)
 	c.Assert(sent[0].Target.ID, qt.Equals, "t1")
 }
@@ -73,7 +73,7 @@
 	c.Assert(actionsOf(first, SendProbe), qt.HasLen, 2)
 	c.Assert(actionsOf(second, SendProbe), qt.HasLen, 0)
 	out := append(h.replyLoad("t0", 1, 0), h.replyLoad("t1", 1, 0)...)
-	sent := actionsOf(out, Send)
+	sent := actionsOf(out, Dispatch)
 	c.Assert(sent, qt.HasLen, 2)
 	c.Assert(sent[0].Target.ID, qt.Not(qt.Equals), sent[1].Target.ID)
 }
@@ -83,7 +83,7 @@
 	h := newHarness(3)
 	h.arrive()
 	h.now = h.NextTick()
-	qt.Assert(t, actionsOf(h.Tick(h.now, nil), Send), qt.HasLen, 1)
+	qt.Assert(t, actionsOf(h.Tick(h.now, nil), Dispatch), qt.HasLen, 1)
 }
 
 // A target's VM is gone, so neither responses nor refusals come back. Each request that is
@@ -112,11 +112,11 @@
 			}
 			out = append(out, h.replyLoad(a.Target.ID, 1.2, 0)...)
 		}
-		if len(actionsOf(out, Send)) == 0 {
+		if len(actionsOf(out, Dispatch)) == 0 {
 			h.now = h.now.Add(defaultProbeTimeout)
 			out = append(out, h.Tick(h.now, nil)...)
 		}
-		for _, a := range actionsOf(out, Send) {
+		for _, a := range actionsOf(out, Dispatch) {
 			if a.Target.ID == "t0" {
 				sent++
 				ends[a.ID] = end{h.now.Add(timeout), Lost}
@@ -145,7 +145,7 @@
 	arrived := h.now
 	_, out := h.arrive()
 	out = append(out, h.replyLoad("t0", 5, 1)...)
-	c.Assert(actionsOf(out, Send), qt.HasLen, 0)
+	c.Assert(actionsOf(out, Dispatch), qt.HasLen, 0)
 	for len(actionsOf(out, Refuse)) == 0 {
 		at := h.NextTick()
 		c.Assert(at.IsZero(), qt.IsFalse)
@@ -198,7 +198,7 @@
 			h := newHarness(0)
 			h.SetTargets(h.now, list("10.0.0.1:1"), nil)
 			id, _ := h.arrive()
-			sent := actionsOf(h.replyLoad("t0", 1, 0), Send)
+			sent := actionsOf(h.replyLoad("t0", 1, 0), Dispatch)
 			qt.Assert(t, sent, qt.HasLen, 1)
 			h.Done(h.now, Completion{ID: id, Outcome: Shed, AddressReused: true}, nil)
 			h.now = h.now.Add(time.Second)
@@ -220,7 +220,7 @@
 	for i, a := range asks {
 		out = append(out, h.replyLoad(a.Target.ID, []float64{5, 1.2, 5, 1.3}[i], 0)...)
 	}
-	sent := actionsOf(out, Send)
+	sent := actionsOf(out, Dispatch)
 	qt.Assert(t, sent, qt.HasLen, 1)
 	qt.Assert(t, sent[0].Target.ID, qt.Equals, asks[1].Target.ID)
 }
@@ -245,7 +245,7 @@
 				for _, a := range actionsOf(out, SendProbe) {
 					out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 				}
-				for _, a := range actionsOf(out, Send) {
+				for _, a := range actionsOf(out, Dispatch) {
 					kind := Served
 					if a.Target.ID == "t0" {
 						kind = tt.kind
@@ -263,7 +263,7 @@
 				for _, a := range actionsOf(out, SendProbe) {
 					out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 				}
-				for _, a := range actionsOf(out, Send) {
+				for _, a := range actionsOf(out, Dispatch) {
 					if a.Target.ID == "t0" {
 						back++
 					}
@@ -283,7 +283,7 @@
 		for _, a := range actionsOf(out, SendProbe) {
 			out = append(out, h.replyLoad(a.Target.ID, 1, 0)...)
 		}
-		for range actionsOf(out, Send) {
+		for range actionsOf(out, Dispatch) {
 			h.Done(h.now, Completion{ID: id, Outcome: Failed}, nil)
 		}
 	}
@@ -309,7 +309,7 @@
 			probed++
 			out = append(out, h.ProbeDone(h.now, ProbeResult{Target: a.Target.ID, Healthy: true}, nil)...)
 		}
-		for _, a := range actionsOf(out, Send) {
+		for _, a := range actionsOf(out, Dispatch) {
 			count[a.Target.ID]++
 		}
 		h.now = h.now.Add(time.Millisecond)
@@ -348,7 +348,7 @@
 		h := newHarness(1 + rnd.IntN(3))
 		var inFlight []uint64
 		collect := func(out []Action) {
-			for _, a := range actionsOf(out, Send) {
+			for _, a := range actionsOf(out, Dispatch) {
 				inFlight = append(inFlight, a.ID)
 			}
 		}
--- a/pkg/slot/targets_test.go
+++ b/pkg/slot/targets_test.go
@@ -31,7 +31,7 @@
 				id, out := h.arrive()
 				out = append(out, h.replyLoad("t1", 5, 2)...)
 				out = append(out, h.replyLoad("t0", 1, 0)...)
-				c.Assert(actionsOf(out, Send)[0].Target.ID, qt.Equals, "t0")
+				c.Assert(actionsOf(out, Dispatch)[0].Target.ID, qt.Equals, "t0")
 				stuck = append(stuck, id)
 				h.now = h.now.Add(20 * time.Millisecond)
 			}
@@ -40,7 +40,7 @@
 			probed := slices.ContainsFunc(actionsOf(out, SendProbe), func(a Action) bool { return a.Target.ID == "t0" })
 			c.Assert(probed, qt.Equals, tt.want)
 			out = append(out, h.replyLoad("t0", 1, 0)...)
-			c.Assert(len(actionsOf(out, Send)) == 1, qt.Equals, tt.want)
+			c.Assert(len(actionsOf(out, Dispatch)) == 1, qt.Equals, tt.want)
 			for _, id := range stuck {
 				h.Done(h.now, Completion{ID: id, Outcome: Lost}, nil)
 			}
@@ -105,7 +105,7 @@
 					h.now = h.now.Add(20 * time.Millisecond)
 					out = h.Tick(h.now, out)
 				}
-				sent := actionsOf(out, Send)
+				sent := actionsOf(out, Dispatch)
 				for _, a := range sent {
 					qt.Assert(t, a.Target.ID, qt.Equals, "other")
 				}
--- a/pkg/tree/policy.go
+++ b/pkg/tree/policy.go
@@ -5,32 +5,32 @@
 // Policy holds all settings in effect at one node. The table Fields documents each
 // setting under its name in lower case.
 type Policy struct {
-	Timeout    time.Duration
-	Idempotent []string // HTTP methods
-	RequireKey bool
-	Entries    int
-	Slots      int
-	Queue      int
-	MaxWait    time.Duration
-	Policy     string
-	RetryShare float64 // of first dispatches
-	Attempts   int
-	Hedge      bool
-	HedgeAfter time.Duration
-	ProbeShare float64 // of the targets' time
-	ProbeCost  time.Duration
-	ProbePath  string
-	ProbeAfter time.Duration
-	EjectShare float64 // of the targets
-	TrialMin   time.Duration
-	TrialMax   time.Duration
-	Warmup     int // responses
-	LeaveHold  time.Duration
-	DrainHold  time.Duration
-	MaxBody    int64 // bytes
-	LocateTTL  time.Duration
-	RetryAfter time.Duration
-	Places     []string // names; empty for all places
+	Timeout         time.Duration
+	Idempotent      []string // HTTP methods
+	RequireKey      bool
+	Entries         int
+	Slots           int
+	Queue           int
+	MaxWait         time.Duration
+	Policy          string
+	RetryShare      float64 // of first dispatches
+	MaxDispatches   int
+	Hedge           bool
+	HedgeAfter      time.Duration
+	ProbeShare      float64 // of the targets' time
+	ProbeCost       time.Duration
+	ProbePath       string
+	ProbeAfter      time.Duration
+	MaxEjectedShare float64 // of the targets
+	TrialMin        time.Duration
+	TrialMax        time.Duration
+	WarmupRequests  int // responses
+	LeaveHold       time.Duration
+	DrainHold       time.Duration
+	MaxBody         int64 // bytes
+	LocateTTL       time.Duration
+	RetryAfter      time.Duration
+	Places          []string // names; empty for all places
 }
 
 // Load balancing policies. The names are those of package pool.
--- a/pkg/tree/table.go
+++ b/pkg/tree/table.go
@@ -57,7 +57,7 @@
 		rangeField(countType, fieldSpec{
 			name: "attempts", def: "3", min: "1", max: "10",
 			help: "Most dispatches of one request, the first included.",
-		}, func(p *Policy) *int { return &p.Attempts }),
+		}, func(p *Policy) *int { return &p.MaxDispatches }),
 		boolField(fieldSpec{
 			name: "hedge", def: "false",
 			help: "Whether a slow idempotent request is sent to a second target.",
@@ -126,7 +126,7 @@
 		rangeField(shareType, fieldSpec{
 			name: "ejectshare", def: "30%", min: "0%", max: "90%",
 			help: "Most targets that may be ejected at a time.",
-		}, func(p *Policy) *float64 { return &p.EjectShare }),
+		}, func(p *Policy) *float64 { return &p.MaxEjectedShare }),
 		rangeField(durationType, fieldSpec{
 			name: "trialmin", def: "50ms", min: "1ms", max: "1m",
 			help: "First pause of an ejected target before a trial request; it doubles up to trialmax.",
@@ -138,7 +138,7 @@
 		rangeField(countType, fieldSpec{
 			name: "warmup", def: "8", min: "1", max: "1000",
 			help: "Answers until a new target gets more than one request at a time.",
-		}, func(p *Policy) *int { return &p.Warmup }),
+		}, func(p *Policy) *int { return &p.WarmupRequests }),
 		rangeField(durationType, fieldSpec{
 			name: "leavehold", def: "1m", min: "1s", max: "1h",
 			help: "How long a target's word that it is leaving outweighs a VM list that says live.",
