--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -48,7 +48,7 @@
 	index      int
 	response   *forward.Response
 	failure    *forward.Failure
-	panicValue any
+	panicValue any // recovered in a separate goroutine, nil without a panic
 }
 
 func newDispatcher(ctx context.Context, e *Entry, q *request) *dispatcher {
@@ -61,8 +61,8 @@
 	return d
 }
 
-// run executes the request. It returns the response to copy to the caller, or
-// nil and the final response.
+// run executes the request. It returns the target's response, which is to be
+// copied to the caller. If that is nil, the entry responds with final instead.
 func (d *dispatcher) run() (p *openResponse, final call.Final) {
 	finished := false
 	defer func() {
@@ -184,8 +184,8 @@
 	}
 }
 
-// acquire asks the balancer for a target, preferably another one than that of the
-// latest dispatch.
+// acquire asks the balancer for a target, preferably not the target of the latest
+// dispatch.
 func (d *dispatcher) acquire() {
 	avoid := ""
 	for i := range d.dispatches {
--- a/internal/entry/http_test.go
+++ b/internal/entry/http_test.go
@@ -125,7 +125,7 @@
 		}
 	})
 	w := start(t, testService{name: "plain", targets: []string{addr}}, testService{name: "hedged", settings: `"hedge": true`, targets: []string{addr}})
-	leave := func(method, service, key string) {
+	disconnect := func(method, service, key string) {
 		ctx, cancel := context.WithCancel(context.Background())
 		r, err := http.NewRequestWithContext(ctx, method, w.url+"/v1/call/"+service+"/", strings.NewReader("veil"))
 		w.c.Assert(err, qt.IsNil)
@@ -138,7 +138,7 @@
 		w.c.Assert(err, qt.ErrorIs, context.Canceled)
 	}
 	for _, tt := range []struct{ method, service string }{{"GET", "plain"}, {"POST", "plain"}, {"GET", "hedged"}} {
-		leave(tt.method, tt.service, "")
+		disconnect(tt.method, tt.service, "")
 		select {
 		case <-cancelled:
 		case <-time.After(waitLimit):
@@ -146,7 +146,7 @@
 		}
 		w.waitIdle(tt.service)
 	}
-	leave("POST", "plain", "k")
+	disconnect("POST", "plain", "k")
 	release <- true
 	got := w.request("POST", "/v1/call/plain/", strings.NewReader("veil"), "Idempotency-Key", "k")
 	w.c.Assert(got.body, qt.Equals, "booked")
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -9,9 +9,10 @@
 // locate response that contains it may be in transit when it starts to leave.
 const stopMargin = time.Second
 
-// leave removes the entry from locate on all entries and waits until every locate
-// response that contained it has expired. Otherwise a caller with a cached
-// response would connect to a closed port.
+// leave removes the entry from locate on all entries. It then waits, while the
+// entry still serves requests, until every locate response that contained it has
+// expired, but at most for stopTimeout. Otherwise a caller with a cached response
+// would connect to a closed port.
 func (e *Entry) leave() {
 	e.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
--- a/internal/forward/copy.go
+++ b/internal/forward/copy.go
@@ -10,7 +10,7 @@
 	"plumpitch.example/plumpitch/pkg/call"
 )
 
-const copyBufferSize = 32 << 10
+const copyBufferSize = 32 << 10 // bytes
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
@@ -38,8 +38,8 @@
 	}
 }
 
-// declareTrailers lists the trailers in the Trailer header. Trailers need a chunked
-// response.
+// declareTrailers lists the trailers in the Trailer header. HTTP/1.1 carries
+// trailers only in a chunked response.
 func declareTrailers(h, trailer http.Header) {
 	for k := range trailer {
 		if !isOwnHeader(k) && !hopByHop[k] {
--- a/pkg/tree/check.go
+++ b/pkg/tree/check.go
@@ -7,7 +7,9 @@
 	"strings"
 )
 
-// Check validates a document and returns all problems found, nil for a valid one.
+// Check validates a document and returns the problems found, nil for a valid one.
+// The rules on inherited values are checked only if there is no other problem,
+// because a service inherits values only in a valid tree.
 func (d Document) Check() Problems {
 	var found Problems
 	if n, ok := d.Nodes[Root]; !ok || n.Kind != RootKind {
--- a/pkg/tree/merge_test.go
+++ b/pkg/tree/merge_test.go
@@ -51,9 +51,10 @@
 	}
 }
 
-// Two histories diverged at revision 2. An entry with one of them receives the edits
-// from revision 2 on from an entry that is at revision 3 of the other. It must not
-// replay them, because that history lacks its own edit 2.
+// Two histories diverged at revision 2. An entry at revision 2 of the first receives
+// edits 2 and 3 of the second. It must not replay them, because the second history
+// lacks its own edit 2. An entry at revision 1 must not replay them either: it
+// contains none of them, so it can't verify that the histories are the same.
 func TestReplayRejectsDivergedHistory(t *testing.T) {
 	q := qt.New(t)
 	base := newSite(q)
@@ -82,9 +83,9 @@
 	values = map[string][]string{"timeout": {"1s", "2s", "3s"}, "slots": {"1", "2"}, "queue": {"5", "6"}}
 )
 
-// applyRandomEdit applies a random edit to the newest document. Its base revision
-// lies between the document of a random entry, which gets the result, and the
-// newest document.
+// applyRandomEdit applies a random edit to the newest document and merges the result
+// into the copy of a random entry. The base revision of the edit lies between the
+// revision of that copy and the newest one.
 func (m *replicas) applyRandomEdit(t *rapid.T, n int) {
 	i := rapid.IntRange(0, len(m.documents)-1).Draw(t, "entry")
 	field := rapid.SampledFrom([]string{"timeout", "slots", "queue"}).Draw(t, "field")
