--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -44,7 +44,7 @@
 	File        File
 	Boot        uint64 // incarnation; grows with each start
 	Log         log.Interface
-	TraceOutput io.Writer // for spans, with the stdout exporter
+	TraceOutput io.Writer // to which the stdout exporter writes spans
 }
 
 // Entry is one entry process.
@@ -53,7 +53,7 @@
 	log                 log.Interface
 	skipTargetResponses bool          // don't log requests that a target responded to
 	stop                chan struct{} // signals that a later incarnation is running
-	stopping            atomic.Bool
+	stopping            atomic.Bool   // leave has begun
 
 	snapshot atomic.Pointer[snapshot]
 	forward  *forward.Forwarder
@@ -144,8 +144,8 @@
 	return s.revision > 0 && s.vmsKnown
 }
 
-// Addresses holds the host:port of each listener. They differ from the settings
-// file where it specifies port 0.
+// Addresses holds the host:port of each listener. They differ from those in File
+// where it specifies port 0.
 type Addresses struct {
 	Callers   string
 	Peers     string
@@ -216,8 +216,9 @@
 	}
 }
 
-// controlSupervisor runs the control workers. It restarts one that fails without
-// affecting the others; a worker keeps its state across the restart.
+// controlSupervisor returns the supervisor of the control workers. It restarts a
+// worker that fails without affecting the others; a worker keeps its state across
+// the restart.
 func (e *Entry) controlSupervisor() *suture.Supervisor {
 	s := suture.New("control", suture.Spec{EventHook: e.logSupervisorEvent, Timeout: stopTimeout})
 	s.Add(e.control)
@@ -233,7 +234,7 @@
 	return s
 }
 
-// trafficSupervisor runs the servers for callers and operators.
+// trafficSupervisor returns the supervisor of the servers for callers and operators.
 func (e *Entry) trafficSupervisor() *suture.Supervisor {
 	s := suture.New("traffic", suture.Spec{EventHook: e.logSupervisorEvent, Timeout: stopTimeout})
 	s.Add(newServer("callers", e.callers, e.callerHandler()))
@@ -253,7 +254,7 @@
 }
 
 // newServer returns a server whose time and size limits bound the resources that
-// a slow client can hold.
+// a slow or greedy client can hold.
 func newServer(name string, listener net.Listener, h http.Handler) *server {
 	return &server{name: name, listener: listener, http: &http.Server{
 		Handler:           h,
@@ -266,7 +267,7 @@
 // stopTimeout limits each step of a graceful stop.
 const stopTimeout = time.Minute
 
-// shutdownContext returns a context for one step of a stop, which is limited to
+// shutdownContext returns a context for one step of a graceful stop. It ends after
 // stopTimeout.
 func shutdownContext() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// callerRouter selects a handler by path. It replaces http.ServeMux, which
+// callerRouter selects a handler by path. It is used instead of http.ServeMux, which
 // redirects paths that contain "//" or "..". Such paths must reach the target
 // unchanged, and a client follows the redirect of a POST with a GET.
 type callerRouter struct {
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// count counts a request by the value of its outcome header, which a target's
-// response doesn't have.
+// count counts a request by the value of its outcome header. A target's response
+// doesn't have this header and counts as ran.
 func (m serviceMetrics) count(outcome string) {
 	switch outcome {
 	case call.NotRun.String():
--- a/internal/entry/policy_test.go
+++ b/internal/entry/policy_test.go
@@ -28,8 +28,8 @@
 }
 
 // A target reports in a response that it is leaving, and the VM list doesn't show
-// that yet. A changed limit then replaces the balancer. The target must get no new
-// work from the new balancer, which inherits the leaving notice.
+// that yet. An operator then changes a limit, which replaces the balancer. The new
+// balancer must inherit the leaving notice and give the target no new work.
 func TestLeavingNoticeSurvivesBalancerReplacement(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
@@ -46,8 +46,8 @@
 }
 
 // A request crashes its target in the middle of a streamed response. The received
-// head must not clear the request from suspicion: repeated, it would crash one
-// target after another.
+// head must not clear the request from suspicion. Otherwise the same request, sent
+// again and again, would crash one target after another.
 func TestCrashInStreamedResponseCounts(t *testing.T) {
 	var runs atomic.Int64
 	crashing := func() string {
--- a/internal/entry/slot_test.go
+++ b/internal/entry/slot_test.go
@@ -12,7 +12,7 @@
 
 // A target responds with a status that net/http refuses to write. The caller must
 // get a final response and the slot must be freed. Otherwise each such response
-// would occupy a slot permanently, until the target gets no work at all.
+// would occupy a slot permanently, and the target would finally get no work at all.
 func TestInvalidStatusFreesSlot(t *testing.T) {
 	addr := startRawTarget(t, func(c net.Conn) {
 		defer c.Close()
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -10,7 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// body is the body of an outgoing request. It is streamed from the caller.
+// body is the state of an outgoing request's body. The transport reads through it
+// only if the body is streamed from the caller.
 type body struct {
 	src           io.Reader
 	callerTrailer http.Header // caller's trailer; complete at the end of src
@@ -71,7 +72,8 @@
 	return nil
 }
 
-// consumed reports whether a streamed body was read, which rules out sending it again.
+// consumed reports whether any part of a streamed body may have been read, so that the
+// body can't be sent again.
 func (b *body) consumed() bool {
 	return b.streamed && b.readStarted.Load()
 }
--- a/internal/forward/conn_test.go
+++ b/internal/forward/conn_test.go
@@ -40,15 +40,15 @@
 			tcp, err := net.Dial("tcp", target.addr())
 			c.Assert(err, qt.IsNil)
 			defer tcp.Close()
-			var w transportTrace
+			var trace transportTrace
 			var ctx context.Context
-			ctx, w.cancel = context.WithCancelCause(context.Background())
+			ctx, trace.cancel = context.WithCancelCause(context.Background())
 			k, err := newConn(tcp)
 			c.Assert(err, qt.IsNil)
-			w.conn.Store(k)
+			trace.conn.Store(k)
 			tt.steps(k)
-			w.firstByte()
-			c.Assert(w.stale.Load(), qt.Equals, tt.stale)
+			trace.firstByte()
+			c.Assert(trace.stale.Load(), qt.Equals, tt.stale)
 			c.Assert(context.Cause(ctx) == errStaleConnection, qt.Equals, tt.stale)
 		})
 	}
--- a/internal/forward/dispatch.go
+++ b/internal/forward/dispatch.go
@@ -103,8 +103,8 @@
 	return t.RoundTrip(req)
 }
 
-// fail ends the dispatch and returns the stage at which it failed. resp is nil if no
-// response head was received.
+// fail ends the dispatch and returns its failure, with the stage at which it occurred.
+// resp is nil if no response head was received.
 func (d *dispatch) fail(resp *http.Response, err error) *Failure {
 	if d.trace.stale.Load() {
 		resp, err = nil, errStaleConnection
@@ -125,8 +125,9 @@
 	return f
 }
 
-// stage classifies a failure. It checks for a timeout and for the caller first,
-// because both also break connections; only then is the target the cause.
+// stage classifies a failure. It first checks for a timeout, a cancellation and an
+// error of the caller's body, because each of them also breaks the connection to the
+// target. Only a failure with none of these causes is attributed to the target.
 func (d *dispatch) stage(status int, err error) call.Stage {
 	cause := context.Cause(d.ctx)
 	switch {
--- a/pkg/slot/targets_test.go
+++ b/pkg/slot/targets_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// resubmit submits a hedge or a retry of a request that was dispatched to these targets
-// before.
+// resubmit submits a hedge or a retry of a request that was dispatched to the targets in
+// tried before.
 func (h *harness) resubmit(hedge bool, tried ...string) []Action {
 	h.lastID++
 	return h.Submit(h.now, Request{
--- a/pkg/tree/diff.go
+++ b/pkg/tree/diff.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Diff returns the changes that turn the nodes of d into those of other. It ignores
-// revisions and logs.
+// Diff returns the changes that turn the nodes of d into those of other, and none if
+// they are equal. It doesn't compare revisions and logs of edits.
 func (d Document) Diff(other Document) []Change {
 	var structure, values, removed []Change
 	for _, path := range other.paths() {
--- a/pkg/tree/edit.go
+++ b/pkg/tree/edit.go
@@ -49,7 +49,7 @@
 }
 
 // checkResend returns an error unless e is a resend of the logged edit with the
-// same ID.
+// same ID. A logged edit without changes was dropped by MergeDiverged.
 func checkResend(logged, e Edit) error {
 	if len(logged.Changes) == 0 {
 		return &DroppedEdit{Edit: logged}
@@ -142,8 +142,9 @@
 	return log[len(log)-edits:]
 }
 
-// applyChange applies a change to the nodes of d in place. The caller must own
-// the map d.Nodes; the values of a node are cloned.
+// applyChange applies a change to the nodes of d in place. No other document may
+// share the map d.Nodes. The Values of a node may be shared, because they are cloned
+// before they are changed.
 func (d Document) applyChange(c Change) *Problem {
 	c, p := c.canonicalize()
 	if p != nil {
