--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -36,12 +36,12 @@
 	Boot  uint64 // incarnation of this entry
 	Store Store
 	Log   log.Interface
-	// ShouldSweep reports whether this entry removes expired records. One of all
-	// entries should.
+	// ShouldSweep reports whether this entry removes expired records. Exactly one of
+	// the entries should.
 	ShouldSweep func() bool
 	Now         func() time.Time // time.Now when nil
 	// MaxWriteDelay is how long after its call a write whose response was lost may
-	// still be applied; default 15 s, several times the platform's own figure.
+	// still be applied; default 15 s, several times the delay that the platform states.
 	MaxWriteDelay time.Duration
 }
 
@@ -154,8 +154,8 @@
 	return a, true
 }
 
-// finish ends an attempt. An attempt with an outcome stays registered until the outcome
-// is stored. Otherwise a resend in between would find the key in progress.
+// finish ends an attempt. An attempt with an outcome stays registered until the write of
+// the outcome has ended. Otherwise a resend in between would find the key in progress.
 func (c *Claims) finish(key attemptKey, a *attempt) {
 	if a.resendResult == nil {
 		c.forget(key)
--- a/internal/claims/holder.go
+++ b/internal/claims/holder.go
@@ -104,9 +104,10 @@
 	return found, o.Version, err
 }
 
-// settle records the outcome of the run, or removes the record if kept is nil. It
-// retries in the background while the store is unavailable, for settleTimeout at most.
-// A removal is awaited for up to withdrawWait. settled is closed when the write has ended.
+// settle records the outcome of the run, or removes the record if kept is nil. It writes
+// in the background and retries a failed write for settleTimeout at most. If it removes
+// the record, it waits up to withdrawWait for that. settled is closed when the write has
+// ended.
 func (h *recordHolder) settle(kept *claim.Response) (settled <-chan struct{}) {
 	done := make(chan struct{})
 	h.claims.pendingWrites.Go(func() {
@@ -123,14 +124,14 @@
 	return done
 }
 
-// Delays between attempts to settle. Until one succeeds, resends of the key through
-// other entries get in-progress or run-unknown as their reason. If it is unknown whether
-// the record was created, the attempts go on until it can't be created any more.
+// Delays between the writes of settleWithRetry. Until one succeeds, resends of the key
+// through other entries get in-progress or run-unknown as their reason. If it is unknown
+// whether the record was created, the retries go on until it can't be created any more.
 const (
 	minSettleDelay = 50 * time.Millisecond
 	maxSettleDelay = 5 * time.Second
-	// settleTimeout is how long the write of an outcome is retried while the store is
-	// unavailable.
+	// settleTimeout is how long a failed write of an outcome is retried, so that it
+	// survives an outage of the store of up to this time.
 	settleTimeout = 15 * time.Minute
 )
 
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -70,7 +70,8 @@
 }
 
 // limitLinger limits reads of the rest of the body to lingerTime, after the
-// request has ended. It also ends a dispatch's read that waits for the caller.
+// request has ended. This also limits a read by a dispatch that still waits for the
+// caller.
 func (b *callerBody) limitLinger() {
 	if !b.complete.Load() {
 		_ = b.conn.SetReadDeadline(time.Now().Add(lingerTime))
--- a/internal/entry/components.go
+++ b/internal/entry/components.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// maxExportedSuspects limits the suspects that are searched for the one to
-// spread.
+// maxExportedSuspects is how many suspects announceSuspect exports to find the one
+// that it spreads.
 const maxExportedSuspects = 64
 
 // peerSettings pulls the settings from a live peer, for an entry that starts
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -18,7 +18,7 @@
 // inboxSize is how many messages can be queued for the control loop.
 const inboxSize = 256
 
-// message changes the state of the control loop. All its types are in
+// message changes the state of the control loop. All implementations are in
 // message.go.
 type message interface {
 	apply(now time.Time, c *control)
--- a/internal/entry/final.go
+++ b/internal/entry/final.go
@@ -46,8 +46,8 @@
 	}}
 }
 
-// encodeError writes an endpoint's error as a final response. An error of another
-// type gets outcome Unknown, since it may have occurred after a dispatch.
+// encodeError writes an endpoint's error as a final response. An error that isn't a
+// finalError gets outcome Unknown, since it may have occurred after a dispatch.
 func encodeError(_ context.Context, err error, w http.ResponseWriter) {
 	var fe finalError
 	if !errors.As(err, &fe) {
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -126,9 +126,9 @@
 
 // recordedResponse converts a response to the form in which a claim records it.
 // The body of a streamed response isn't recorded.
-func recordedResponse(a *forward.Response) claim.Response {
-	out := claim.Response{Outcome: call.Ran, Status: a.Status, Complete: a.Body == nil, Body: a.Buffered}
-	for name, values := range a.Header {
+func recordedResponse(r *forward.Response) claim.Response {
+	out := claim.Response{Outcome: call.Ran, Status: r.Status, Complete: r.Body == nil, Body: r.Buffered}
+	for name, values := range r.Header {
 		for _, v := range values {
 			out.Header = append(out.Header, claim.Field{Name: name, Value: v})
 		}
@@ -137,12 +137,12 @@
 }
 
 // writeReplay writes a recorded response.
-func writeReplay(w http.ResponseWriter, a *claim.Response) {
+func writeReplay(w http.ResponseWriter, r *claim.Response) {
 	h := w.Header()
-	for _, f := range a.Header {
+	for _, f := range r.Header {
 		h.Add(f.Name, f.Value)
 	}
 	h.Set(headerReplay, "true")
-	w.WriteHeader(a.Status)
-	_, _ = w.Write(a.Body)
+	w.WriteHeader(r.Status)
+	_, _ = w.Write(r.Body)
 }
--- a/internal/entry/message.go
+++ b/internal/entry/message.go
@@ -30,7 +30,8 @@
 
 func (m drainsListed) apply(_ time.Time, c *control) { c.drains = m.drains }
 
-// membersChanged carries the live entries, including this one.
+// membersChanged carries the live entries, including this one. They divide
+// claimWritesPerSecond equally.
 type membersChanged struct{ live []member.Entry }
 
 func (m membersChanged) apply(_ time.Time, c *control) {
--- a/internal/entry/trace.go
+++ b/internal/entry/trace.go
@@ -16,7 +16,7 @@
 	"plumpitch.example/plumpitch/internal/claims"
 )
 
-// Span exporters, as in the settings file.
+// Span exporters, the values of File.Trace.
 const (
 	traceOff    = "off"
 	traceStdout = "stdout"
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -105,8 +105,8 @@
 	return len(name) > n && (name[n] == '-' || name[n] == '_') && strings.EqualFold(name[:n], call.HeaderPrefix[:n])
 }
 
-// requestHeader returns the headers for the target. With an echo header, it also
-// sets the id that identifies the response.
+// requestHeader returns the headers for the target. If Config.EchoHeader is set, it
+// also sets d.id to the caller's id, which the target copies to its response.
 func (d *dispatch) requestHeader() http.Header {
 	if d.echoHeader == "" {
 		h := d.params.targetHeader()
--- a/internal/settings/api.go
+++ b/internal/settings/api.go
@@ -75,12 +75,12 @@
 
 func (s *Settings) editEndpoint() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		d := request.(editRequest)
-		d.edit.Base = s.Document().Revision
-		if d.base != nil {
-			d.edit.Base = *d.base
+		r := request.(editRequest)
+		r.edit.Base = s.Document().Revision
+		if r.base != nil {
+			r.edit.Base = *r.base
 		}
-		return s.acceptEdit(ctx, d.edit)
+		return s.acceptEdit(ctx, r.edit)
 	}
 }
 
--- a/internal/settings/client.go
+++ b/internal/settings/client.go
@@ -119,23 +119,23 @@
 func (c Client) attempt(ctx context.Context, method, name string, payload []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.Addr+"/v1/settings/"+name, bytes.NewReader(payload))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Addr+"/v1/settings/"+name, bytes.NewReader(payload))
 	if err != nil {
 		return err
 	}
-	w, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = w.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(w.Body, maxBody))
+	defer func() { _ = resp.Body.Close() }()
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
 	if err != nil {
 		return err
 	}
-	if w.StatusCode == http.StatusOK {
+	if resp.StatusCode == http.StatusOK {
 		return json.Unmarshal(b, into)
 	}
-	return responseError(w.StatusCode, b)
+	return responseError(resp.StatusCode, b)
 }
 
 func responseError(status int, body []byte) error {
--- a/internal/settings/http.go
+++ b/internal/settings/http.go
@@ -114,8 +114,8 @@
 }
 
 func encodeEditResult(ctx context.Context, w http.ResponseWriter, v any) error {
-	a := v.(EditResult)
-	j := editResultJSON{ID: a.ID, Revision: a.Revision, Changes: changesToJSON(a.Changes)}
+	r := v.(EditResult)
+	j := editResultJSON{ID: r.ID, Revision: r.Revision, Changes: changesToJSON(r.Changes)}
 	return kithttp.EncodeJSONResponse(ctx, w, j)
 }
 
--- a/internal/settings/inbox.go
+++ b/internal/settings/inbox.go
@@ -72,8 +72,8 @@
 		return tree.Same, err
 	}
 	select {
-	case v := <-m.done:
-		return v, nil
+	case result := <-m.done:
+		return result, nil
 	case <-ctx.Done():
 		return tree.Same, ctx.Err()
 	}
--- a/internal/settings/repair.go
+++ b/internal/settings/repair.go
@@ -63,12 +63,13 @@
 }
 
 // mergeHistories merges two diverged histories, that of the store and the one in
-// force. It logs each accepted edit that is dropped because of a conflict.
-func (s *Settings) mergeHistories(stored, inForce tree.Document) tree.Document {
-	if stored.Revision < inForce.Revision {
-		stored, inForce = inForce, stored
+// force. It appends to the one with the higher revision, and logs each accepted edit
+// that is dropped because of a conflict.
+func (s *Settings) mergeHistories(newer, older tree.Document) tree.Document {
+	if newer.Revision < older.Revision {
+		newer, older = older, newer
 	}
-	merged, dropped := tree.MergeDiverged(stored, inForce)
+	merged, dropped := tree.MergeDiverged(newer, older)
 	for _, e := range dropped {
 		s.cfg.Log.WithField("id", e.ID).WithField("author", e.Author).
 			Error("settings: dropped an accepted edit that conflicts with another one; its author must repeat it")
@@ -80,7 +81,7 @@
 const readTimeout = 10 * time.Second
 
 // read gets the store's document and merges it with the one in force.
-func (s *Settings) read(ctx context.Context) (o store.Object, d tree.Document, v tree.MergeResult, err error) {
+func (s *Settings) read(ctx context.Context) (o store.Object, d tree.Document, result tree.MergeResult, err error) {
 	limited, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	o, err = s.cfg.Store.Get(limited, Kind, Name)
@@ -88,11 +89,11 @@
 		o, err = store.Object{Kind: Kind, Name: Name}, nil
 	}
 	if err != nil {
-		return o, d, v, err
+		return o, d, result, err
 	}
 	if d, err = decodeStored(o); err != nil {
-		return o, d, v, &Corrupt{Version: o.Version, Cause: err}
+		return o, d, result, &Corrupt{Version: o.Version, Cause: err}
 	}
-	v, err = s.submit(ctx, d, true)
-	return o, d, v, err
+	result, err = s.submit(ctx, d, true)
+	return o, d, result, err
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -62,8 +62,8 @@
 	inbox        chan message
 	changed      chan struct{}
 	repairNeeded chan struct{}
-	editSlot     chan struct{}
-	mu           sync.Mutex // guards cfg.Rand
+	editSlot     chan struct{} // holds a value while an edit is written; one at a time
+	mu           sync.Mutex    // guards cfg.Rand
 }
 
 // New returns Settings with the empty document in force.
