--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// announceRevisions sends the newer versions in force to the waiting entries, and advertises them to
-// others.
+// announceRevisions sends the newer versions in force to the waiting entries, and
+// advertises them to the others.
 func (c *control) announceRevisions(now time.Time) {
 	for address := range c.waitingPeers {
 		c.send(address, relay.Packet{Kind: relay.Announcement, Knowledge: c.knowledge(now)})
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -16,7 +16,8 @@
 	// allows, so that all entries together stay below it: requests at the edge of a
 	// window are counted late.
 	retryShareMargin = 0.85
-	// burstDivisor divides an entry's part of the slack. The budget keeps two buckets,
+	// burstDivisor divides an entry's part of the slack, the retries and hedges that all
+	// entries may send beyond the share in one window. The budget keeps two buckets,
 	// and half is reserved for entries that do not receive each other's reports and for
 	// entries whose callers have just moved to others.
 	burstDivisor = 4
@@ -92,8 +93,9 @@
 	}).Info("part of the retry budget changed")
 }
 
-// trafficShare returns this entry's share of all requests. For a host without a reported
-// rate it assumes that every live entry gets as many requests as this one.
+// trafficShare returns this entry's share of all requests. For a host whose total rate no
+// entry has announced yet, it assumes that every live entry gets as many requests as this
+// one.
 func (c *control) trafficShare() float64 {
 	var own, all float64
 	for host, r := range c.hosts.rates {
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -57,11 +57,11 @@
 	pullStarted         time.Time         // when that pull began
 	fetchPending        bool              // a fetch of another entry's members is in progress
 	lastFetch           time.Time
-	announcedCrashes    map[uint64]int // crashes of each suspect, as announced to the other entries
-	suspectSequence     uint64         // number of the last announcement of a suspect
+	announcedCrashes    map[uint64]int // crashes of each suspected request, by fingerprint, as announced to the other entries
+	suspectSequence     uint64         // number of the last announcement of a suspected request
 	liveInstances       map[string]liveInstance
 	liveVersion         int // grows each time that the live entries are recomputed
-	suspectsSentVersion int // liveVersion at which newly started entries were last sent the suspects
+	suspectsSentVersion int // liveVersion up to which notifyStarted has handled newly started entries
 
 	// State derived from membership; liveEntries is nil when the membership has changed.
 	liveEntries []owner.Candidate
@@ -238,13 +238,15 @@
 		services[name] = sv
 	}
 	c.updateRemoved(now, services)
-	for name, d := range c.removedServices {
-		d.setTargets(now, byService[name])
+	for name, removed := range c.removedServices {
+		removed.setTargets(now, byService[name])
 	}
 	c.services = services
 }
 
-// initialized reports whether everything needed to choose a target is known.
+// initialized reports whether the targets and, if the settings have a bound for them, the
+// evacuations are known: everything besides the configuration that the choice of a target
+// depends on.
 func (c *control) initialized() bool {
 	for _, r := range []resource{resourceTargets, resourceEvacuations} {
 		if c.gateway.needs(r) && c.confirmed[r].IsZero() {
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,6 +1,10 @@
 // Package gateway implements the load balancer process that forwards callers' requests
 // to targets.
 //
+// An entry is one such process, and its incarnation is one run of it. The entries learn of
+// each other by gossip. For each host of the configuration some of them are its owners: the
+// directory sends the host's callers to these.
+//
 // A single control loop owns the state: the configuration, the targets, the evacuated
 // failure domains and the other entries. It publishes immutable snapshots (view) that
 // request handlers read. Each service has its own balancer behind its own lock.
@@ -24,6 +28,7 @@
 //   - outage.go covers an unavailable store. The configuration and the evacuations stay
 //     in force until newer ones arrive. Targets whose records expire in the meantime are
 //     kept for a limited time.
+//   - restore.go covers a store that was restored from an older copy.
 //
 // The settings bound the delay of each resource: until a configuration is in force, until
 // a leaving target gets no more requests, until an evacuated domain is empty. An entry
--- a/internal/gateway/enroller.go
+++ b/internal/gateway/enroller.go
@@ -105,8 +105,8 @@
 	return err
 }
 
-// checkRecord writes this entry's record if it needs one and has none, and cleans the records if
-// this entry is the first in their order.
+// checkRecord writes this entry's record if it needs one and has none, and cleans the
+// records if this entry is the first in recordOrder.
 func (e *enroller) checkRecord(ctx context.Context, now time.Time) {
 	rank := owner.Rank(e.gateway.view.Load().live, recordOrder, e.gateway.self.Name)
 	if n := e.gateway.restores.Load(); n != e.handledRestores {
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -26,8 +26,9 @@
 }
 
 // addDecision adds the inputs of the choice of a target: its requests in flight, its pace
-// and the age in ms of the load report if there is one, the expected response time, the
-// number of probed targets, the wait and the time left.
+// (service time as a multiple of the baseline) and the age in ms of its load report if it
+// has sent one, the expected response time, the number of probed targets, the wait for the
+// choice and the time left for the dispatch.
 func addDecision(f log.Fields, d *dispatch) {
 	f["target"], f["inflight"], f["asked"] = d.target.ID, d.decision.InFlight, d.decision.Probed
 	if d.decision.LoadKnown {
--- a/internal/gateway/firstread.go
+++ b/internal/gateway/firstread.go
@@ -27,8 +27,9 @@
 	// enrolment suggests. Without it, 27 of 72 starts of eight entries beside other work
 	// took more than two calls per entry plus eight.
 	minStartDelay = 200 * time.Millisecond
-	// startDelayFactor is that delay as a multiple of the enrolment's duration. The reads
-	// of the first entries, their announcement and a pull take a similar number of calls.
+	// startDelayFactor is the least delay of the same entries as a multiple of the
+	// enrolment's duration. They wait for the reads of the first entries, their
+	// announcement and a pull, which take a similar number of calls.
 	startDelayFactor = 6
 	// maxStartStep bounds the delay between two entries if the enrolment took long.
 	maxStartStep = 100 * time.Millisecond
@@ -38,7 +39,8 @@
 	minFirstReaders  = 2
 	maxFirstReaders  = 8
 	entriesPerReader = 4
-	// maxStartSteps bounds the delay, as the entries waited for may have died since.
+	// maxStartSteps bounds the number of such delays that an entry waits, as the entries
+	// that it waits for may have died since.
 	maxStartSteps = 10
 	// startWindow is the time within which entries count as started together; VMs start
 	// together within 0.5 s. With 5 s, all waited 0.35 s for entries that had been killed
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -83,7 +83,8 @@
 // Waits of requests that arrive while the entry starts.
 const (
 	// startupWindow is how long after its start an entry holds requests until it has a
-	// configuration and targets. Entries that start together have both within 0.1 s;
+	// configuration, the targets and, if the settings require them, the evacuations.
+	// Entries that start together have the configuration and the targets within 0.1 s;
 	// a refused caller would retry only 0.2 s later.
 	startupWindow = 250 * time.Millisecond
 	// maxStartupWait bounds the wait of one request. It is shorter than the shortest
@@ -91,8 +92,8 @@
 	maxStartupWait = 100 * time.Millisecond
 )
 
-// viewAfterStart returns the current view. If the entry has just started and has no
-// targets yet, it waits for them first.
+// viewAfterStart returns the current view. If the entry has just started, it first waits
+// for a view from which a target can be chosen.
 func (g *Gateway) viewAfterStart(ctx context.Context, now time.Time) *view {
 	v := g.view.Load()
 	wait := min(maxStartupWait, startupWindow-now.Sub(g.started))
@@ -109,8 +110,9 @@
 	return g.view.Load()
 }
 
-// noConfigRetry is the Retry-After value while an entry has no configuration. It reads
-// one within that time unless the store is unavailable.
+// noConfigRetry is the Retry-After value while an entry has no configuration, or lacks the
+// service of a route. An entry reads its first configuration within that time unless the
+// store is unavailable.
 const noConfigRetry = 200 * time.Millisecond
 
 // headerBytes returns the size of a request's header lines.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,7 +29,7 @@
 	Log         log.Interface
 }
 
-// Gateway is one entry process.
+// Gateway is one entry: a process that serves callers.
 type Gateway struct {
 	cfg         Config
 	log         log.Interface
@@ -41,11 +41,11 @@
 	suspects    *call.Suspects
 	parseErrors *parseErrorLog
 	leaving     atomic.Bool
-	selfID      atomic.Pointer[member.ID] // this incarnation's name in the membership
+	selfID      atomic.Pointer[member.ID] // this incarnation's ID in the membership
 	enrolled    atomic.Bool               // this entry has a record in the store
 	restores    atomic.Uint64             // restores of the store from a copy since the start
 	started     time.Time
-	initialized chan struct{} // closed once the entry has a configuration and targets
+	initialized chan struct{} // closed once a view has everything needed to choose a target
 	giveUp      chan struct{} // closed when a stop gives up the unfinished requests
 	bounds      atomic.Pointer[platform.Bounds]
 	view        atomic.Pointer[view]
@@ -139,7 +139,8 @@
 	return c
 }
 
-// crashLimit is how many targets in a row a request may crash before it is quarantined.
+// crashLimit is how many targets in a row a request may crash before it is quarantined,
+// that is, refused for a time.
 const crashLimit = 3
 
 // listen opens all listeners, or none if one fails.
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -49,8 +49,8 @@
 	return sum
 }
 
-// minReportedRate is the rate in requests per second from which a host is reported to its
-// first owners.
+// minReportedRate is the least rate, in requests per second at this entry, at which it
+// reports a host to the host's first owners.
 const minReportedRate = 0.5
 
 // rateReport is another entry's report of its request rate for each host.
@@ -82,7 +82,7 @@
 			Kind: relay.LoadReport, Loads: list, ID: c.members.Self(),
 		})
 	}
-	maps.DeleteFunc(c.rateReports, func(_ string, l rateReport) bool { return now.Sub(l.receivedAt) > rateReportTTL })
+	maps.DeleteFunc(c.rateReports, func(_ string, report rateReport) bool { return now.Sub(report.receivedAt) > rateReportTTL })
 }
 
 // currentAssignment returns the assignment of hosts to the live entries. It is computed
--- a/internal/gateway/live.go
+++ b/internal/gateway/live.go
@@ -52,7 +52,7 @@
 }
 
 // lostContactWithLive reports whether lostContact is true though other entries are live.
-// It then reads the store itself, as if it were the first in the order.
+// This entry then reads the store itself, as if it were the first in the order of readers.
 func (c *control) lostContactWithLive(now time.Time) bool {
 	return c.lostContact(now) && len(c.live()) > 1
 }
--- a/internal/gateway/loggedstate.go
+++ b/internal/gateway/loggedstate.go
@@ -25,10 +25,10 @@
 // logChanges logs changes of the live entries, of the owners of each host, and of the targets.
 func (c *control) logChanges(now time.Time, live []owner.Candidate, owners map[string][]owner.Entry) {
 	c.logLive(live)
-	b := &c.logged
-	if text := ownersText(owners); text != b.owners {
-		c.gateway.log.WithFields(log.Fields{"owners": text, "before": b.owners}).Info("owners changed")
-		b.owners = text
+	logged := &c.logged
+	if text := ownersText(owners); text != logged.owners {
+		c.gateway.log.WithFields(log.Fields{"owners": text, "before": logged.owners}).Info("owners changed")
+		logged.owners = text
 	}
 	c.logTargets(now)
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -11,9 +11,9 @@
 // Membership timing. Each entry contacts two others per round, so that its traffic doesn't
 // depend on the number of entries.
 const (
-	// roundPeriod is the time between rounds. With the two timeouts below, callers
-	// are no longer sent to a dead entry after 0.25 + 0.2 + 0.25 s and the time in
-	// which the suspicion spreads.
+	// roundPeriod is the time between rounds. With the two timeouts below, it takes at
+	// most 0.25 + 0.2 + 0.25 s and the time in which the suspicion spreads until
+	// callers are no longer sent to an entry that died.
 	roundPeriod = 250 * time.Millisecond
 	// exchangeTimeout is how long a response may take. The latency between entries is a
 	// few milliseconds, and a VM that has used up its CPU quota is paused for up to
@@ -21,8 +21,9 @@
 	exchangeTimeout = 200 * time.Millisecond
 	// indirectPingTimeout is how long a ping through another entry may take.
 	indirectPingTimeout = 250 * time.Millisecond
-	// suspicionTimeout is how long a suspect has to refute the suspicion, with up to 16
-	// entries. Callers are sent elsewhere meanwhile.
+	// suspicionTimeout is how long an entry that is suspected to be dead has to refute the
+	// suspicion, among up to 16 entries; among more it has longer. Callers are sent
+	// elsewhere meanwhile.
 	suspicionTimeout = 600 * time.Millisecond
 	// deadRetention is how long the others keep trying to contact a dead entry, so that a
 	// VM that was isolated or frozen for a while gets what it missed as soon as it is back.
@@ -41,8 +42,9 @@
 	gossipFanOut = 3
 	// maxEntryBytes is the size limit of the entries in a packet, beside its other parts.
 	maxEntryBytes = 900
-	// bulkFetchBuckets is the least number of differing buckets, of 64, at which all
-	// members are fetched from the other entry: a message has room for few buckets.
+	// bulkFetchBuckets is the number of differing buckets from which on an entry fetches
+	// all members that it lacks in one call. The membership table has 64 buckets, and a
+	// message has room for the members of a few of them.
 	bulkFetchBuckets = 8
 	// maxOwnerCounts is the number of hosts whose owner counts fit into a message.
 	maxOwnerCounts = 8
@@ -149,11 +151,11 @@
 func (c *control) runTimers(now time.Time) {
 	kept := c.pendingExchanges[:0]
 	var expired []uint64
-	for _, a := range c.pendingExchanges {
-		if now.Before(a.deadline) {
-			kept = append(kept, a)
+	for _, pending := range c.pendingExchanges {
+		if now.Before(pending.deadline) {
+			kept = append(kept, pending)
 		} else {
-			expired = append(expired, a.exchange)
+			expired = append(expired, pending.exchange)
 		}
 	}
 	c.pendingExchanges = kept
@@ -178,9 +180,9 @@
 // nextTimer returns the time of the next timer.
 func (c *control) nextTimer() time.Time {
 	at := c.members.Next()
-	for _, a := range c.pendingExchanges {
-		if a.deadline.Before(at) {
-			at = a.deadline
+	for _, pending := range c.pendingExchanges {
+		if pending.deadline.Before(at) {
+			at = pending.deadline
 		}
 	}
 	if pull, ok := c.nextPull(); ok && pull.Before(at) {
@@ -190,8 +192,8 @@
 }
 
 func (c *control) removePending(exchange uint64) {
-	for i, a := range c.pendingExchanges {
-		if a.exchange == exchange {
+	for i, pending := range c.pendingExchanges {
+		if pending.exchange == exchange {
 			c.pendingExchanges = append(c.pendingExchanges[:i], c.pendingExchanges[i+1:]...)
 			return
 		}
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -100,13 +100,14 @@
 }
 
 // noteStoreReturn records the end of an outage if there was one; at is when the store answered
-// again. The first responses may hold no change: records expire some tenths of a second later.
+// again. It doesn't wait for a response with changes: the first ones may hold none, since
+// records expire some tenths of a second later.
 func (c *control) noteStoreReturn(now, at time.Time) {
 	if c.storeFailingSince.IsZero() || now.Sub(c.storeFailingSince) < minOutage || c.confirmed[resourceTargets].IsZero() {
 		return
 	}
 	gap := at.Sub(c.confirmed[resourceTargets])
 	if c.vanishedTargets.StoreAnswered(now, gap) {
-		c.gateway.log.WithField("gap", gap.Milliseconds()).Warn("store was away, records that vanish are awaited")
+		c.gateway.log.WithField("gap", gap.Milliseconds()).Warn("store answers again after an outage; targets that vanish now are kept for a while")
 	}
 }
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -23,20 +23,20 @@
 )
 
 // tick records a tick that was due one period after the previous one.
-func (s *overloadDetector) tick(now time.Time, period time.Duration) {
-	late := !s.lastTick.IsZero() && now.Sub(s.lastTick) > period+maxTickDelay
-	s.lastTick = now
+func (d *overloadDetector) tick(now time.Time, period time.Duration) {
+	late := !d.lastTick.IsZero() && now.Sub(d.lastTick) > period+maxTickDelay
+	d.lastTick = now
 	if !late {
-		s.lateTicks = 0
+		d.lateTicks = 0
 		return
 	}
-	s.lateTicks++
-	if s.lateTicks >= overloadTicks {
-		s.overloadedUntil = now.Add(overloadHold)
+	d.lateTicks++
+	if d.lateTicks >= overloadTicks {
+		d.overloadedUntil = now.Add(overloadHold)
 	}
 }
 
 // overloaded reports whether callers should be sent to other entries.
-func (s *overloadDetector) overloaded(now time.Time) bool {
-	return now.Before(s.overloadedUntil)
+func (d *overloadDetector) overloaded(now time.Time) bool {
+	return now.Before(d.overloadedUntil)
 }
--- a/internal/gateway/parseerror.go
+++ b/internal/gateway/parseerror.go
@@ -35,31 +35,31 @@
 }
 
 // logObject logs that an object of the store could not be parsed.
-func (r *parseErrorLog) logObject(now time.Time, kind, name string, err error) {
-	if !r.allow(now, kind+"/"+name) {
+func (l *parseErrorLog) logObject(now time.Time, kind, name string, err error) {
+	if !l.allow(now, kind+"/"+name) {
 		return
 	}
-	r.log.WithError(err).WithFields(log.Fields{"kind": kind, "name": name}).Warn("store: object not understood")
+	l.log.WithError(err).WithFields(log.Fields{"kind": kind, "name": name}).Warn("store: object not understood")
 }
 
 // logHeader logs that a response header of a target could not be parsed.
-func (r *parseErrorLog) logHeader(now time.Time, target string, err error) {
-	if !r.allow(now, "response/"+target) {
+func (l *parseErrorLog) logHeader(now time.Time, target string, err error) {
+	if !l.allow(now, "response/"+target) {
 		return
 	}
-	r.log.WithError(err).WithField("target", target).Warn("target: header not understood")
+	l.log.WithError(err).WithField("target", target).Warn("target: header not understood")
 }
 
 // allow reports whether a line about key may be logged now.
-func (r *parseErrorLog) allow(now time.Time, key string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if last, ok := r.lastLogged[key]; ok && now.Sub(last) < parseErrorInterval || !r.limiter.AllowN(now, 1) {
+func (l *parseErrorLog) allow(now time.Time, key string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if last, ok := l.lastLogged[key]; ok && now.Sub(last) < parseErrorInterval || !l.limiter.AllowN(now, 1) {
 		return false
 	}
-	if len(r.lastLogged) >= maxParseErrors {
-		clear(r.lastLogged)
+	if len(l.lastLogged) >= maxParseErrors {
+		clear(l.lastLogged)
 	}
-	r.lastLogged[key] = now
+	l.lastLogged[key] = now
 	return true
 }
--- a/internal/gateway/pull.go
+++ b/internal/gateway/pull.go
@@ -18,14 +18,14 @@
 var _ relay.Source = (*control)(nil)
 
 // AnswerPull returns what another entry lacks.
-func (c *control) AnswerPull(ctx context.Context, have relay.PullQuery) (n relay.PullResult, err error) {
+func (c *control) AnswerPull(ctx context.Context, have relay.PullQuery) (result relay.PullResult, err error) {
 	m := pullRequest{have: have, reply: make(chan relay.PullResult, 1)}
 	c.enqueue(ctx, m)
 	select {
-	case n = <-m.reply:
-		return n, nil
+	case result = <-m.reply:
+		return result, nil
 	case <-ctx.Done():
-		return n, errors.WithMessage(ctx.Err(), "control")
+		return result, errors.WithMessage(ctx.Err(), "control")
 	}
 }
 
@@ -36,29 +36,29 @@
 }
 
 func (m pullRequest) apply(now time.Time, c *control) {
-	var n relay.PullResult
+	var result relay.PullResult
 	if m.have.Config < c.config.Version {
-		n.Config = c.configData
+		result.Config = c.configData
 	}
 	if m.have.Targets < c.targets.LastChange() {
-		n.Revision, n.LastChange, n.Age = c.targets.Revision(), c.targets.LastChange(), now.Sub(c.confirmed[resourceTargets])
-		n.Targets, n.Changes = c.targetsSince(m.have.Targets)
+		result.Revision, result.LastChange, result.Age = c.targets.Revision(), c.targets.LastChange(), now.Sub(c.confirmed[resourceTargets])
+		result.Targets, result.Changes = c.targetsSince(m.have.Targets)
 	}
 	if m.have.Evacuations < c.evacuations.LastChange() {
-		n.Evacuations = &relay.Evacuations{
+		result.Evacuations = &relay.Evacuations{
 			List: slices.Collect(maps.Values(c.evacuations.Items())), Revision: c.evacuations.Revision(), LastChange: c.evacuations.LastChange(),
 			Age: now.Sub(c.confirmed[resourceEvacuations]),
 		}
 	}
 	if m.have.WantEntries {
-		n.Entries = c.members.EntriesMissingFrom(m.have.EntryDigests)
+		result.Entries = c.members.EntriesMissingFrom(m.have.EntryDigests)
 	}
-	m.reply <- n
+	m.reply <- result
 }
 
 // targetsSince returns the changes of targets since a revision, or the full list if the
 // recorded changes don't reach back to it.
-func (c *control) targetsSince(since roster.Revision) (e relay.TargetsUpdate, changes []roster.Change[slot.Target]) {
+func (c *control) targetsSince(since roster.Revision) (update relay.TargetsUpdate, changes []roster.Change[slot.Target]) {
 	changes, ok := c.targets.ChangesSince(since)
 	if ok {
 		return relay.TargetsChanged, changes
@@ -99,16 +99,17 @@
 const unconfirmedAge = 24 * time.Hour
 
 // confirmFromPeer records another entry's confirmation, sent at that time or later, of a
-// version that both have. Entries that have just started have none and have not asked the
-// store. If their advertised ages counted as confirmations, none of them would ask it.
+// version that both have. Entries that have just started have the same version too, which
+// is none, but have not asked the store. If their advertised ages counted as confirmations,
+// none of them would ask it.
 func (c *control) confirmFromPeer(now, sentAt time.Time, r resource, age time.Duration) {
 	if age < unconfirmedAge {
 		c.confirm(now, r, sentAt.Add(-age))
 	}
 }
 
-// pullExclusiveTime is how long a pull prevents a pull from another entry. The entry asked
-// may have lost power right after it advertised a change, and the call fails only after
+// pullExclusiveTime is how long a pull prevents a pull from another entry. The entry that is
+// asked may have lost power right after it advertised a change, and the call fails only after
 // 0.5 s: 36 of 113 gateways waited that long for one that was isolated, and meanwhile sent
 // requests to targets that had left. A reply takes 20 ms, and up to 0.2 s when all
 // entries start at once.
@@ -125,8 +126,8 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		n, err := c.gateway.relay.Pull(ctx, from, have)
-		c.enqueue(context.Background(), pullFinished{askedAt: now, from: from, result: n, err: err})
+		result, err := c.gateway.relay.Pull(ctx, from, have)
+		c.enqueue(context.Background(), pullFinished{askedAt: now, from: from, result: result, err: err})
 	}()
 }
 
@@ -177,9 +178,9 @@
 }
 
 // pullNewest pulls again if something newer was advertised during a pull, or if the entry
-// asked doesn't answer. At a start the configuration and the targets are read separately:
-// without a second pull, an entry that got only one of them would lack the other until the
-// next round.
+// that was asked doesn't answer. At a start the configuration and the targets are read
+// separately: without a second pull, an entry that got only one of them would lack the other
+// until the next round.
 func (c *control) pullNewest(now time.Time) {
 	if c.lacks(c.newestKnowledge) {
 		c.pull(now, c.newestSource)
@@ -203,8 +204,8 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		n, err := c.gateway.relay.Pull(ctx, from, have)
-		c.enqueue(context.Background(), entriesFetched{n.Entries, err})
+		result, err := c.gateway.relay.Pull(ctx, from, have)
+		c.enqueue(context.Background(), entriesFetched{result.Entries, err})
 	}()
 }
 
@@ -224,16 +225,16 @@
 }
 
 // applyPulledTargets applies the targets in the reply to a pull.
-func (c *control) applyPulledTargets(n relay.PullResult) (changed bool) {
-	if n.Targets == relay.TargetsChanged {
-		changed = c.targets.Merge(n.Changes, n.Revision)
+func (c *control) applyPulledTargets(result relay.PullResult) (changed bool) {
+	if result.Targets == relay.TargetsChanged {
+		changed = c.targets.Merge(result.Changes, result.Revision)
 	} else {
-		list := make([]roster.Item[slot.Target], 0, len(n.Changes))
-		for _, change := range n.Changes {
+		list := make([]roster.Item[slot.Target], 0, len(result.Changes))
+		for _, change := range result.Changes {
 			list = append(list, change.Item)
 		}
-		changed = c.targets.Replace(list, n.Revision)
+		changed = c.targets.Replace(list, result.Revision)
 	}
-	c.targets.AdvanceLastChange(n.LastChange)
+	c.targets.AdvanceLastChange(result.LastChange)
 	return changed
 }
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -24,8 +24,8 @@
 
 var resourceLabels = [resourceCount]string{"configuration", "targets", "evacuations"}
 
-// readSchedule is when each live entry reads a resource, by its rank. Each call to the
-// store is counted, and targets write heartbeats all the time, so that a watch of them
+// readSchedule is when each live entry reads a resource, by its rank. The store counts
+// and charges each call, and targets write heartbeats all the time, so that a watch of them
 // returns at once. A watch by each entry would cost one call per event and entry.
 // Instead, an entry reads when its copy is older than the age for its rank. The reads of
 // the first entry, which it announces, keep the other copies younger than that. If the
@@ -64,12 +64,13 @@
 	// pollTimeout is how long a watch stays open that doesn't wait for changes.
 	pollTimeout = time.Millisecond
 	// readTimeout bounds a call, in addition to the time for which its watch stays
-	// open. The store answers within 4 ms; after a hundred times that the call has
+	// open. The store answers within 4 ms; after a hundred times that the call counts as
 	// failed.
 	readTimeout = 400 * time.Millisecond
 	// listTimeout bounds a list, which may take several pages of a slow store.
 	listTimeout = 2 * time.Second
-	// storeRetryDelay is the delay of the first reader after a failed call.
+	// storeRetryDelay is the delay of the first reader after a failed call, and
+	// storeRetryDelayMax bounds the longer delays of the others.
 	storeRetryDelay    = 300 * time.Millisecond
 	storeRetryDelayMax = 3 * time.Second
 )
@@ -103,7 +104,7 @@
 	rank     int             // of this entry in the order of readers
 	age      time.Duration   // since the store last confirmed the data
 	revision roster.Revision // last known one in the resource's history
-	// initial is set before the data was first read.
+	// initial is set until the data has been read for the first time.
 	initial bool
 	// distant is set when many others read before this entry and it has no callers.
 	distant bool
--- a/internal/gateway/removed.go
+++ b/internal/gateway/removed.go
@@ -17,8 +17,9 @@
 	since time.Time
 }
 
-// updateRemoved keeps the current services that are not in next, and deletes kept ones
-// that are in next again or have expired. A service with requests does not expire.
+// updateRemoved keeps the current services that are not in next. Of the kept ones it deletes
+// those that are in next again and, if they have no requests, those that have expired or
+// exceed maxRemovedServices.
 func (c *control) updateRemoved(now time.Time, next map[string]*service) {
 	for name, sv := range c.services {
 		if next[name] != sv {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -88,7 +88,7 @@
 	Until         float64 `json:"until"` // minimum seconds until the state ends
 	InFlight      int     `json:"inflight"`
 	OtherInFlight int     `json:"foreign"` // requests of other entries in flight, by the last load report
-	Pace          float64 `json:"pace"`    // 0 without a load report
+	Pace          float64 `json:"pace"`    // service time as a multiple of the baseline; 0 without a load report
 	LoadAge       float64 `json:"age"`     // seconds since the load report
 	// LeavingFor is the time in seconds since this entry learned from a response that the
 	// target is leaving; nil if it has not.
@@ -164,8 +164,8 @@
 		Name: e.ID.Name, Place: e.Place, Front: e.CallerAddress, Live: e.State == member.Alive, State: e.State.String(),
 		StateAge: now.Sub(e.Since).Seconds(), ConfigVersion: e.Revisions.Settings, TargetsRevision: roster.Revision(e.Revisions.Targets).Position(), Overloaded: e.Overloaded, StoreUnavailable: e.StoreUnavailable,
 	}
-	for _, l := range c.rateReports[s.Name].rates {
-		s.Rate += l.Rate
+	for _, hostRate := range c.rateReports[s.Name].rates {
+		s.Rate += hostRate.Rate
 	}
 	return s
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -12,6 +12,9 @@
 	"plumpitch.example/plumpitch/pkg/owner"
 )
 
+// A suspect is a request, known by its fingerprint, that may have crashed targets
+// (call.Suspects). After crashLimit crashes in a row it is quarantined.
+
 const (
 	// maxSuspects is how many suspects are checked for changes at a time.
 	maxSuspects = 16
@@ -21,8 +24,8 @@
 )
 
 const (
-	// notifierMinUptime is how long an entry must have been live before it sends its
-	// quarantine to entries that start: by then it has received the quarantine itself.
+	// notifierMinUptime is how long an entry must have been live before it sends the
+	// quarantined requests to entries that start: by then it has received them itself.
 	notifierMinUptime = 2 * time.Second
 	// maxNotifiers is how many entries notify one that starts; several, since datagrams
 	// may be lost.
