--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -165,7 +165,7 @@
 }
 
 // IndirectPing asks the entry at via to ping the one at target. It returns a zero ID if
-// target didn't answer via.
+// the entry at via received no response.
 func (c *Client) IndirectPing(ctx context.Context, via, target string) (id member.ID, err error) {
 	defer func() { err = errors.WithMessage(err, "ping "+target+" through "+via) }()
 	ctx, cancel := c.withDeadline(ctx)
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -51,8 +51,8 @@
 type Count struct {
 	Method Method
 	Calls  int64 // as client and as server
-	In     int64 // bytes received
-	Out    int64 // bytes sent
+	In     int64 // bytes of message bodies received
+	Out    int64 // bytes of message bodies sent
 }
 
 // Counts returns the traffic of every method.
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// DecodeEntry converts a wire entry to its domain type. Errors name it as field.
+// DecodeEntry converts a wire entry to its domain type. field is the path of the entry
+// in its message, for errors.
 func DecodeEntry(now time.Time, field string, w *wire.Entry) (e member.Entry, err error) {
 	id, err := requireID(field+".ident", w.GetIdent())
 	if err != nil {
--- a/internal/relay/cache.go
+++ b/internal/relay/cache.go
@@ -9,8 +9,8 @@
 
 // replyCache caches the reply to pulls by entries that have no data yet. When
 // hundreds of entries start at once, they all pull from the few that have read the
-// store. With a reply built for each pull, half of them waited 0.28 s for three
-// entries of 0.8 cores each.
+// store. With a reply built for each pull, half of the new entries waited 0.28 s, as
+// three entries with 0.8 cores each answered all pulls.
 type replyCache struct {
 	mu       sync.Mutex
 	cachedAt time.Time
@@ -18,8 +18,9 @@
 	reply    *wire.PullReply
 }
 
-// replyCacheTime is how long a cached reply is used. The next packet shows its
-// receiver that the reply was stale, and its ages are too low by this time at most.
+// replyCacheTime is how long a cached reply is used. An entry that received a stale
+// reply learns so from the next packet, and the ages in a cached reply are too low by
+// this time at most.
 const replyCacheTime = 100 * time.Millisecond
 
 func (r *replyCache) get(now time.Time, format uint32) *wire.PullReply {
--- a/internal/relay/codec.go
+++ b/internal/relay/codec.go
@@ -28,8 +28,8 @@
 }
 
 // optionalAge decodes an age that is encoded as 1 more than its milliseconds. A
-// release without that kind of data omits the field: decoded as age 0, that would
-// confirm that no such data exists.
+// release without that kind of data omits the field, which decodes as the maximum age.
+// Age 0 would confirm that no such data exists.
 func optionalAge(ms uint32) time.Duration {
 	if ms == 0 {
 		return math.MaxInt64
--- a/internal/relay/packet.go
+++ b/internal/relay/packet.go
@@ -70,9 +70,9 @@
 	maxSuspects = 32
 )
 
-// encodePacket drops entries from a message that doesn't fit into one packet, since
-// rumours and MissingAddresses have no size limit of their own. A later comparison
-// of digests finds the dropped entries.
+// encodePacket drops entries from a message that doesn't fit into one packet. This
+// happens because rumours and MissingAddresses are limited in number but not in bytes.
+// A later comparison of digests finds the dropped entries.
 func encodePacket(now time.Time, p Packet) (data []byte, err error) {
 	for {
 		data, err = marshal(now, p)
--- a/pkg/member/config.go
+++ b/pkg/member/config.go
@@ -19,8 +19,8 @@
 	// MaxEntryBytes bounds the entries of a message that must fit into a packet. With
 	// 0 only their number is bounded.
 	MaxEntryBytes int
-	// BulkThreshold is the number of differing buckets from which this entry fetches
-	// the peer's whole view instead of exchanging summaries; 0 disables it.
+	// BulkThreshold is the least number of differing buckets for which this entry emits
+	// a Fetch instead of exchanging summaries; 0 disables it.
 	BulkThreshold int
 	// ExclusiveName promises that no other process uses this name. A later incarnation
 	// in the peers' views is then an earlier process, from before its clock was set back.
--- a/pkg/member/entry.go
+++ b/pkg/member/entry.go
@@ -1,7 +1,8 @@
 // Package member detects which entries are up, by gossip. In each round an entry
-// exchanges digests with a bounded number of peers, and sends entries only where
-// the digests differ. The package does no I/O: Table.Handle takes typed events and
-// returns typed actions.
+// exchanges messages with a bounded number of peers. A message holds a digest of the
+// sender's view and its recent changes; other entries are sent only where the digests
+// differ. The package does no I/O: Table.Handle takes typed events and returns typed
+// actions.
 package member
 
 import "time"
@@ -47,7 +48,7 @@
 	Since         time.Time // when the state was declared
 	CallerAddress string    // host:port of the callers' listener
 	PeerAddress   string    // host:port of the peers' listener
-	Place         string
+	Place         string    // failure domain
 	Region        string
 	Capacity      float64 // requests per second
 	Condition
--- a/pkg/member/event.go
+++ b/pkg/member/event.go
@@ -39,7 +39,8 @@
 	// SetCondition sets the health that this entry reports.
 	SetCondition struct{ Condition Condition }
 
-	// Fetched holds a peer's whole view, in response to a Fetch.
+	// Fetched holds a peer's view, in response to a Fetch. Entries that are the same in
+	// this entry's view may be left out.
 	Fetched struct{ Entries []Entry }
 
 	// PushNow asks for messages to be sent at once: the driver adds data of its own
@@ -71,12 +72,13 @@
 func (Leave) event()          {}
 func (Depart) event()         {}
 
-// Action is an output of Table.Handle, which the driver carries out. The set is
-// closed.
+// Action is an output of Table.Handle, which the caller, called the driver, carries
+// out. The set is closed.
 type Action interface{ action() }
 
 type (
-	// Send starts an exchange. A Response or an ExchangeFailed with its ID ends it.
+	// Send starts an exchange. A Response or an ExchangeFailed with the same ExchangeID
+	// ends it.
 	Send struct {
 		ExchangeID uint64
 		To         Ref
@@ -85,7 +87,7 @@
 	}
 
 	// IndirectPing asks one peer to ping another. An IndirectAck or an ExchangeFailed
-	// with its ID ends it.
+	// with the same ExchangeID ends it.
 	IndirectPing struct {
 		ExchangeID uint64
 		Via        Ref
@@ -96,8 +98,8 @@
 	// Reply is the response to the Request that was handled.
 	Reply struct{ Message Message }
 
-	// Fetch asks a peer for its whole view, since the views differ in more entries
-	// than fit into messages. A Fetched may follow.
+	// Fetch asks a peer for its view, since the views differ in more entries than fit
+	// into messages. A Fetched may follow.
 	Fetch struct{ From Ref }
 
 	// ViewChanged signals that View has changed.
--- a/pkg/member/exchange.go
+++ b/pkg/member/exchange.go
@@ -12,10 +12,11 @@
 	pinged   ID   // of an IndirectPing: the incarnation that is pinged
 }
 
-// indirectCheck checks an entry that did not respond, through relays.
+// indirectCheck is the check of an entry that did not respond: other entries, its
+// relays, are asked to ping it.
 type indirectCheck struct {
-	sequence      uint64
-	pendingRelays int // relays that have not responded
+	sequence      uint64 // of the entry when the check began
+	pendingRelays int    // relays that have not responded
 }
 
 func (t *Table) send(to Ref, m Message, ex exchange) {
@@ -57,7 +58,8 @@
 	t.send(Ref{Address: address}, m, exchange{join: true})
 }
 
-// handleRequest replies to a peer. If the digests are equal the reply holds no entry.
+// handleRequest replies to a peer. If the digests are equal the reply holds no entry,
+// unless the request is a join or made this entry refute a suspicion.
 func (t *Table) handleRequest(now time.Time, m Message) {
 	before := t.self.Sequence
 	t.receive(now, m, false)
@@ -93,7 +95,8 @@
 	}
 }
 
-// receive merges the content of a request or a response.
+// receive merges the content of a request or a response. all is set for the response
+// to a join.
 func (t *Table) receive(now time.Time, m Message, all bool) {
 	for _, e := range m.Entries {
 		t.merge(now, e, all)
@@ -137,7 +140,7 @@
 }
 
 // EntriesMissingFrom returns the entries that are missing from a peer's view, or
-// differ there, given the peer's EntryDigests.
+// differ there, given the peer's EntryDigests. Entries that left are excluded.
 func (t *Table) EntriesMissingFrom(digests []uint32) (entries []Entry) {
 	has := make(map[uint32]bool, len(digests))
 	for _, digest := range digests {
@@ -217,7 +220,7 @@
 }
 
 // followUp sends summaries of the buckets whose digests differ, as many as fit into
-// the message.
+// the message. If at least BulkThreshold buckets differ, it emits a Fetch instead.
 func (t *Table) followUp(now time.Time, to Ref, theirs []uint32) {
 	t.followedUp = true
 	differing := t.differingBuckets(theirs)
--- a/pkg/member/merge.go
+++ b/pkg/member/merge.go
@@ -7,7 +7,7 @@
 )
 
 // maxReportAge is the age up to which a suspicion or death is believed without
-// verification. An older one that reaches an entry in whose view the suspect is alive
+// verification. If an older one is news to an entry that believes the suspect alive, it
 // comes from the other side of a network partition.
 const maxReportAge = 15 * time.Second
 
@@ -15,7 +15,7 @@
 const maxUnverified = 64
 
 // merge merges a peer's update about an incarnation. all is set if the peer has sent
-// its whole view.
+// its view, in response to a join or a Fetch.
 func (t *Table) merge(now time.Time, e Entry, all bool) {
 	if e.ID.Name == t.self.ID.Name {
 		t.refute(now, e)
--- a/pkg/member/preferred.go
+++ b/pkg/member/preferred.go
@@ -42,6 +42,7 @@
 	return slices.ContainsFunc(preferred, func(e Entry) bool { return e.Place == place })
 }
 
+// mix spreads the bits of a combination of two hashes (the splitmix64 finalizer).
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= splitmixMultiplier
--- a/pkg/member/round.go
+++ b/pkg/member/round.go
@@ -21,10 +21,10 @@
 // watched from other regions.
 const smallRegionEntries = 3
 
-// largePlacePeers is the number of other entries in its own place from which an entry
-// watches only these, since traffic between places costs money. If such a place fails
-// as a whole, the random exchanges of the others detect it: each of 94 failed among 472
-// entries is contacted twice a round.
+// largePlacePeers makes a place large: an entry with at least so many others in its own
+// place watches only among these, since traffic between places costs money. If such a
+// place fails as a whole, the random exchanges of the other entries detect it: each of
+// 94 failed among 472 entries is contacted twice a round.
 const largePlacePeers = 16
 
 // Shares of the random exchanges by distance, in eighths. Other regions have the rest.
--- a/pkg/member/watch.go
+++ b/pkg/member/watch.go
@@ -19,7 +19,8 @@
 	t.startIndirectCheck(now, ex.to.ID)
 }
 
-// startIndirectCheck checks an incarnation that did not respond, through relays.
+// startIndirectCheck checks an incarnation that did not respond, through relays. Without
+// relays, or in a mass failure, the incarnation becomes a suspect at once.
 func (t *Table) startIndirectCheck(now time.Time, id ID) {
 	r, ok := t.records[id.Name]
 	if !ok || r.ID != id || r == t.self {
--- a/pkg/owner/assignment.go
+++ b/pkg/owner/assignment.go
@@ -23,7 +23,7 @@
 	live        []Candidate
 	placeIndex  []int // index of each entry's place
 	placeCount  int
-	ownedHosts  []int            // for each entry, the hosts that it is a first owner of
+	ownedHosts  []int            // for each entry, the number of hosts that it is a first owner of
 	firstOwners map[string][]int // by host, as indexes into live
 	scores      map[string][]uint64
 }
@@ -59,8 +59,9 @@
 // first of them decides the count.
 func (a *Assignment) FirstOwners(host string) []Entry { return a.entries(a.firstOwners[host]) }
 
-// Owners returns the entries that each host's callers are sent to. counts holds the
-// owner count of each host; MinOwners applies if it is lower or missing.
+// Owners returns the entries that each host's callers are sent to, the first owners
+// first. counts holds the owner count of each host; MinOwners applies if it is lower or
+// missing.
 func (a *Assignment) Owners(counts map[string]int) map[string][]Entry {
 	owned := slices.Clone(a.ownedHosts)
 	owners := make(map[string][]Entry, len(a.firstOwners))
@@ -71,7 +72,8 @@
 }
 
 // CapacityShares yields the capacity that each entry has for a host, in the order in
-// which entries become its owners. Of the other hosts only the first owners count.
+// which entries become its owners. An entry shares its capacity with the other hosts
+// that it is a first owner of; their further owners are not counted.
 func (a *Assignment) CapacityShares(host string) iter.Seq[float64] {
 	return func(yield func(float64) bool) {
 		owned := slices.Clone(a.ownedHosts)
@@ -136,9 +138,9 @@
 	}
 }
 
-// compare orders two entries for a host, the better one first. It prefers failure
-// domains with fewer owners of the host: owners prefer nearby targets, so owners in
-// different failure domains prefer different targets.
+// compare orders two entries for a host, the better one first. With equal load and
+// capacity it prefers failure domains with fewer owners of the host: owners prefer
+// nearby targets, so owners in different failure domains prefer different targets.
 func (a *Assignment) compare(i, j int, owned, places []int, scores []uint64) int {
 	x, y := &a.live[i], &a.live[j]
 	if x.Overloaded != y.Overloaded {
--- a/pkg/owner/count.go
+++ b/pkg/owner/count.go
@@ -40,8 +40,9 @@
 	return true
 }
 
-// minRateChange is the relative change of a rate that is announced. Retry budgets are
-// divided by rate, and half of each is held back.
+// minRateChange is the relative change above which a rate is announced again. Entries
+// divide the slack of the retry budgets by rate; half of it is held back, which leaves
+// room for smaller errors.
 const minRateChange = 0.1
 
 // Update sets the count that this entry decides as a host's first owner. urgent reports
--- a/pkg/owner/sizer.go
+++ b/pkg/owner/sizer.go
@@ -8,7 +8,7 @@
 
 // Sizer decides the number of owners of a host. The host's first owner decides it and
 // the others adopt the decision. If each entry computed it, from rates received at
-// different times, callers would be sent to different entries at once.
+// different times, callers would be sent to different entries at the same time.
 type Sizer struct {
 	count    int
 	lowSince time.Time // since when fewer owners would suffice; zero if they don't
@@ -17,8 +17,8 @@
 // Conditions for removing an owner.
 const (
 	// shrinkShare limits the load for removing an owner: it must stay below this share of
-	// the capacity that one owner fewer has. Measured rates vary by a tenth from second
-	// to second.
+	// the capacity of the remaining owners. Measured rates vary by a tenth from second to
+	// second.
 	shrinkShare = 0.75
 	// shrinkDelay is how long the load must stay below it. Each change sends callers to
 	// entries that have no data on the targets yet. When the owner count followed the
--- a/pkg/roster/vanished.go
+++ b/pkg/roster/vanished.go
@@ -4,9 +4,9 @@
 
 // Times of an outage of the store.
 const (
-	// OutageAge is the age of store data from which an outage counts. Records expire
-	// after three heartbeats of 1.5 s, hence 3 s into an outage at the earliest, and
-	// store data is at most 0.8 s old when an outage begins.
+	// OutageAge is the least age of store data at the store's return for which the gap
+	// counts as an outage. Records expire after three heartbeats of 1.5 s, hence 3 s into
+	// an outage at the earliest, and store data is at most 0.8 s old when an outage begins.
 	OutageAge = 2 * time.Second
 	// RetentionTime is how long after the store's return expired records are retained.
 	// Their owners write them again within about 2 s.
--- a/pkg/route/config.go
+++ b/pkg/route/config.go
@@ -22,7 +22,7 @@
 	Prefix        string            // begins and ends with a slash
 	Idempotent    bool              // a request may be run twice without harm
 	Timeout       time.Duration     // longest time to a final response
-	Objective     time.Duration     // a response within it is worth its full credit
+	Objective     time.Duration     // response time up to which a response counts in full
 	Priority      int               // rank among the routes of a service, 0 first
 	MaxDispatches int               // targets that one request may be sent to
 	Regions       []string          // regions whose targets may serve it; empty for all
--- a/pkg/route/table.go
+++ b/pkg/route/table.go
@@ -73,7 +73,7 @@
 // Regions returns the regions in which all routes of a host may be served. Routes
 // without a restriction to regions are ignored; the result is empty if all are. If no
 // region serves all the routes, Regions returns the regions of any of them, since
-// callers look up a host and not a route.
+// callers look up a host and not a route. host is a name as LookupHost returns it.
 func (t *Table) Regions(host string) []string {
 	var common, all []string
 	first := true
