--- a/pkg/call/action.go
+++ b/pkg/call/action.go
@@ -9,7 +9,7 @@
 const (
 	// ActionAcquire: request a target from the pool, excluding those already used.
 	ActionAcquire ActionKind = iota + 1
-	// ActionAcquireHedge: request a target from the pool that is free now, without queueing.
+	// ActionAcquireHedge: request a target that is free now from the pool, without queueing.
 	ActionAcquireHedge
 	// ActionWithdraw: withdraw the pending request for a target.
 	ActionWithdraw
--- a/pkg/call/bucket.go
+++ b/pkg/call/bucket.go
@@ -74,7 +74,8 @@
 	})
 }
 
-// startPeriod starts a period. What is left of the previous one expires.
+// startPeriod starts a period. The current one becomes the previous one, and what is left
+// of the one before it expires.
 func (b *bucket) startPeriod() {
 	b.update(func(s balance) (balance, bool) { return balance{previous: s.current}, true })
 }
--- a/pkg/call/budget.go
+++ b/pkg/call/budget.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// StartPeriod starts a period. Tokens added before the period that ends expire. Otherwise an
-// entry could spend tokens from requests of long ago on extra dispatches that its current
-// requests don't warrant.
+// StartPeriod ends the current period and starts the next one. Tokens that are older than
+// the period that has ended expire. Otherwise an entry could spend tokens from requests of
+// long ago on extra dispatches that its current requests don't warrant.
 func (b *Budget) StartPeriod() {
 	b.notRun.startPeriod()
 	for i := range b.mayHaveRun {
--- a/pkg/call/header.go
+++ b/pkg/call/header.go
@@ -13,8 +13,8 @@
 	HeaderRetryAfter = "Retry-After"
 	// HeaderTimeout is the time remaining for a request, as a Go duration.
 	HeaderTimeout = "Plumpitch-Timeout"
-	// HeaderAttempt counts the earlier dispatches of a request that may have
-	// run, at this level of the call tree or above it.
+	// HeaderAttempt is the number of earlier dispatches that may have run, of the
+	// request itself or of a request above it in the call tree.
 	HeaderAttempt = "Plumpitch-Attempt"
 	// HeaderDepth is the level of a request in its call tree; 0 is the root request.
 	// A target copies it, with HeaderAttempt, to its nested calls.
--- a/pkg/call/merge.go
+++ b/pkg/call/merge.go
@@ -10,7 +10,8 @@
 // Export returns at most n fingerprints to send to other entries, quarantined ones
 // first. For those not in quarantine it reports only crashes that this entry observed:
 // counts from peers would be added twice when they return through a third entry. A
-// quarantine is exported in full with its own age, whichever entries observed the crashes.
+// quarantine is exported as CrashLimit crashes with the age of the last one, whichever
+// entries observed them.
 func (s *Suspects) Export(now time.Time, n int) []Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/call/step.go
+++ b/pkg/call/step.go
@@ -24,8 +24,8 @@
 	return acts
 }
 
-// Choose dispatches to the target that the pool assigned. If no target is pending any
-// more, it releases the slot.
+// Choose dispatches to the target that the pool assigned. If the request no longer waits
+// for a target, or no time remains for a response, it releases the slot.
 func (c *Call) Choose(now time.Time, e Choice) (acts Actions) {
 	if c.state.Final() || c.pending == acquireNone {
 		acts.add(Action{Kind: ActionRelease, Target: e.Target})
@@ -105,8 +105,8 @@
 	c.token = Token{}
 }
 
-// stillPending reports whether a dispatch is in flight or a target is pending. If only a
-// target is pending, the request returns to Queued.
+// stillPending reports whether a dispatch is in flight or the pool still has to assign a
+// target. If only a target is awaited, the request returns to Queued.
 func (c *Call) stillPending() bool {
 	if c.inFlight() > 0 {
 		return true
@@ -119,7 +119,7 @@
 }
 
 // finishIfIdle finishes the request when no dispatch is in flight and no target is
-// pending. The reason of a failed dispatch takes precedence over r.
+// awaited. The reason of a failed dispatch takes precedence over r.
 func (c *Call) finishIfIdle(acts *Actions, r Reason, retry time.Duration) {
 	if c.stillPending() {
 		return
@@ -166,7 +166,8 @@
 }
 
 // retryOrFinish acquires another target if wanted and allowed, otherwise it finishes the
-// request. It does nothing while a dispatch or a target is pending.
+// request. It does nothing while a dispatch is in flight or a target is
+// awaited.
 func (c *Call) retryOrFinish(now time.Time, acts *Actions, wanted bool) {
 	if c.stillPending() {
 		return
@@ -233,8 +234,8 @@
 }
 
 // retryHead discards a response that shows that the target can't serve the request, when
-// another dispatch or a target is pending, or a retry is allowed. It reports whether it
-// discarded the response.
+// another dispatch is in flight, a target is awaited, or a retry is allowed. It reports
+// whether it discarded the response.
 func (c *Call) retryHead(now time.Time, e ResponseHead, acts *Actions) bool {
 	if !c.arrival.Idempotent || !isUnavailable(e.Status) && !e.TargetFailed {
 		return false
--- a/pkg/call/wait.go
+++ b/pkg/call/wait.go
@@ -49,16 +49,16 @@
 // Elapsed counts an attempt of a caller with the given remaining time, and returns how
 // long the caller has been waiting already, or 0 if that is unknown. The estimate is the
 // smallest one that a starting timeout allows.
-func (p *WaitEstimator) Elapsed(remaining time.Duration) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.count(remaining.Truncate(time.Millisecond))
-	if p.attempts < minAttempts {
+func (w *WaitEstimator) Elapsed(remaining time.Duration) time.Duration {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.count(remaining.Truncate(time.Millisecond))
+	if w.attempts < minAttempts {
 		return 0
 	}
 	timeout := time.Duration(math.MaxInt64)
-	for _, c := range p.counters {
-		if c.remaining >= remaining && c.count*commonDivisor >= p.attempts {
+	for _, c := range w.counters {
+		if c.remaining >= remaining && c.count*commonDivisor >= w.attempts {
 			timeout = min(timeout, c.remaining)
 		}
 	}
@@ -70,17 +70,17 @@
 
 // count counts the most frequent remaining times in bounded memory, by the Misra-Gries
 // algorithm.
-func (p *WaitEstimator) count(remaining time.Duration) {
-	p.attempts++
-	if p.attempts > maxAttempts {
-		p.attempts /= 2
-		for i := range p.counters {
-			p.counters[i].count /= 2
+func (w *WaitEstimator) count(remaining time.Duration) {
+	w.attempts++
+	if w.attempts > maxAttempts {
+		w.attempts /= 2
+		for i := range w.counters {
+			w.counters[i].count /= 2
 		}
 	}
 	free := -1
-	for i := range p.counters {
-		switch c := &p.counters[i]; {
+	for i := range w.counters {
+		switch c := &w.counters[i]; {
 		case c.count > 0 && c.remaining == remaining:
 			c.count++
 			return
@@ -89,10 +89,10 @@
 		}
 	}
 	if free >= 0 {
-		p.counters[free] = timeCounter{remaining, 1}
+		w.counters[free] = timeCounter{remaining, 1}
 		return
 	}
-	for i := range p.counters {
-		p.counters[i].count--
+	for i := range w.counters {
+		w.counters[i].count--
 	}
 }
--- a/pkg/claim/decide.go
+++ b/pkg/claim/decide.go
@@ -21,10 +21,10 @@
 	return Result{Kind: Uncertain, Reason: ReasonInProgress, RetryAfter: RetryDelay}
 }
 
-// replay returns the recorded response.
-func replay(a Response) Result {
-	r := Result{Kind: Replay, Response: a}
-	if !a.Complete {
+// replay returns the result with a recorded response.
+func replay(recorded Response) Result {
+	r := Result{Kind: Replay, Response: recorded}
+	if !recorded.Complete {
 		r.Reason = ReasonNotRecorded
 	}
 	return r
@@ -40,16 +40,16 @@
 // Finish returns the result for the caller after the run, and the response to record.
 // It records nothing if the request did not run, so that the key is free for the next
 // attempt.
-func Finish(e RunResult) (r Result, recorded *Response) {
-	switch e.Outcome {
+func Finish(run RunResult) (r Result, recorded *Response) {
+	switch run.Outcome {
 	case call.NotRun:
-		return Result{Kind: NotRun, Reason: e.Reason, RetryAfter: e.RetryAfter}, nil
+		return Result{Kind: NotRun, Reason: run.Reason, RetryAfter: run.RetryAfter}, nil
 	case call.Unknown:
-		return Result{Kind: Uncertain, Reason: e.Reason, RetryAfter: e.RetryAfter}, &Response{Outcome: call.Unknown}
+		return Result{Kind: Uncertain, Reason: run.Reason, RetryAfter: run.RetryAfter}, &Response{Outcome: call.Unknown}
 	}
-	a := e.Response
-	a.Outcome = call.Ran
-	return Result{Kind: Fresh, Response: a}, &a
+	response := run.Response
+	response.Outcome = call.Ran
+	return Result{Kind: Fresh, Response: response}, &response
 }
 
 // Retention is the time for which a record is kept. Callers retry within minutes; an
--- a/pkg/pool/admit.go
+++ b/pkg/pool/admit.go
@@ -4,10 +4,10 @@
 
 const queueIntervalWeight = 1.0 / 64
 
-// queueInterval is the mean time between completions while requests are queued: the
-// rate at which the queue advances, including the effect of other entries that use the
-// same targets. One sample counts for at most the mean service time, the rate of a
-// single slot. Otherwise a pause of all targets would make the pool refuse every
+// queueInterval is the mean time between completions while requests are queued: the time
+// in which the queue advances by one request, including the effect of other entries that
+// use the same targets. One sample counts for at most the mean service time, the interval
+// of a single slot. Otherwise a pause of all targets would make the pool refuse every
 // request, and the mean would never recover, because it is measured only while requests
 // are queued.
 type queueInterval struct {
--- a/pkg/pool/balancer.go
+++ b/pkg/pool/balancer.go
@@ -18,7 +18,7 @@
 	// Submit dispatches, queues or refuses a request.
 	Submit(now time.Time, a Arrival, out []Action) []Action
 	// Done processes the completion of a dispatched request.
-	Done(now time.Time, a Completion, out []Action) []Action
+	Done(now time.Time, c Completion, out []Action) []Action
 	// Cancel cancels a queued or dispatched request.
 	Cancel(now time.Time, id uint64, out []Action) []Action
 	// ProbeDone processes the result of a probe.
--- a/pkg/pool/freeslot.go
+++ b/pkg/pool/freeslot.go
@@ -57,7 +57,7 @@
 // the one least likely to keep all slots busy over the horizon, given the ages of its
 // requests.
 func soonestFree(c *PickInput) int {
-	best, bestStay, bestOver := -1, 0.0, 0
+	best, bestHazard, bestOver := -1, 0.0, 0
 	span := horizonFactor * c.Latencies.Mean(c.LoadHalfLife)
 	for i, m := range c.Members {
 		over := m.InFlight() - m.limit(c.Config)
@@ -67,20 +67,21 @@
 		if c.IsSuspect(m) {
 			over += suspectPenalty
 		}
-		stay := 0.0
+		hazard := 0.0
 		for _, d := range m.dispatches {
 			if d.inSlot {
-				stay += hazardOver(c, d, span)
+				hazard += hazardOver(c, d, span)
 			}
 		}
-		if best < 0 || over < bestOver || over == bestOver && stay > bestStay {
-			best, bestStay, bestOver = i, stay, over
+		if best < 0 || over < bestOver || over == bestOver && hazard > bestHazard {
+			best, bestHazard, bestOver = i, hazard, over
 		}
 	}
 	return best
 }
 
-// hazardOver returns the hazard that d finishes within span.
+// hazardOver returns the cumulative hazard of d over the next span: the negative logarithm
+// of the probability that it is still running then.
 func hazardOver(c *PickInput, d dispatch, span time.Duration) float64 {
 	age := c.Now - d.start
 	return c.Latencies.Hazard(age+span) - c.Latencies.Hazard(age)
--- a/pkg/pool/member.go
+++ b/pkg/pool/member.go
@@ -36,7 +36,7 @@
 	trialPause       time.Duration
 	trialsInFlight   int
 	nextTrialArrival int           // no trial before this number of arrivals at the pool
-	maybeGone        bool          // it may be gone by its last outcome or probe; a probe precedes a trial
+	maybeGone        bool          // its last outcome or probe suggests that it is gone; a probe then precedes a trial
 	probingUntil     time.Duration // a probe is pending until then at the latest
 
 	excluded      bool // leaving or evacuated: no new requests
--- a/pkg/pool/pool.go
+++ b/pkg/pool/pool.go
@@ -99,17 +99,17 @@
 
 // Done processes the completion of a dispatched request. An unknown ID is ignored, because
 // the request was cancelled before.
-func (p *Pool[P]) Done(now time.Time, a Completion, out []Action) []Action {
+func (p *Pool[P]) Done(now time.Time, c Completion, out []Action) []Action {
 	p.setClock(now)
-	m := p.inFlight[a.ID]
+	m := p.inFlight[c.ID]
 	if m == nil {
 		return out
 	}
-	delete(p.inFlight, a.ID)
-	out = p.applyLoad(m, a.Load, len(m.dispatches), out)
-	d := m.removeDispatch(a.ID, p.now)
+	delete(p.inFlight, c.ID)
+	out = p.applyLoad(m, c.Load, len(m.dispatches), out)
+	d := m.removeDispatch(c.ID, p.now)
 	p.queueInterval.observe(p.now, p.queue.len() > 0, p.latencies.Mean(p.cfg.InitialServiceTime))
-	p.applyOutcome(m, d, a.Outcome)
+	p.applyOutcome(m, d, c.Outcome)
 	return p.serveQueue(out)
 }
 
--- a/pkg/pool/queue.go
+++ b/pkg/pool/queue.go
@@ -32,7 +32,8 @@
 
 func (q *queue) len() int { return len(q.queued) }
 
-// countAhead returns the number of requests that precede a new one with the same deadline.
+// countAhead returns the number of queued requests that precede a new one if all of them
+// have the same deadline.
 func (q *queue) countAhead(idempotent bool) int {
 	if idempotent {
 		return len(q.queued)
--- a/pkg/slot/cold.go
+++ b/pkg/slot/cold.go
@@ -64,7 +64,7 @@
 	m.coldUntil = latest(m.coldUntil, now.Add(b.warmup.Duration))
 }
 
-// earliest returns the earlier of two times; the zero time counts as unset.
+// earliest returns the earlier of two times, or b if a is the zero time.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
--- a/pkg/slot/loadstats.go
+++ b/pkg/slot/loadstats.go
@@ -5,8 +5,8 @@
 // loadStats counts how many targets are busy and how many have an unknown load. With few
 // targets, every one has reported its load within the time in which its pace stays the same.
 // With hundreds of targets and several entries, nearly none has. A target with one request
-// of this entry may then have one of another entry too, and in a burst none of the few
-// probed targets may be idle although many others are.
+// of this entry may then have one of another entry too, and in a burst all of the few
+// probed targets may be busy although many others are idle.
 type loadStats struct {
 	total   int // available targets
 	busy    int // targets with a request, by the current estimate
--- a/pkg/slot/member.go
+++ b/pkg/slot/member.go
@@ -82,8 +82,8 @@
 	return m.inFlight + m.otherInFlight(now, c)
 }
 
-// currentLatencyRatio returns latencyRatio, which decays towards 1 with age: a target that
-// gets no requests could never show that it has recovered.
+// currentLatencyRatio returns latencyRatio, which decays towards 1 with age. Otherwise a
+// target that gets no requests could never show that it has recovered.
 func (m *member) currentLatencyRatio(now time.Time) float64 {
 	if m.latencyRatio == 1 {
 		return 1
--- a/pkg/tree/policy.go
+++ b/pkg/tree/policy.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Policy holds all settings in effect at one node. The table Fields documents each
-// setting under its name in lower case.
+// setting under its name in lower case, unless another name is given here.
 type Policy struct {
 	Timeout         time.Duration
 	Idempotent      []string // HTTP methods
@@ -14,17 +14,17 @@
 	MaxWait         time.Duration
 	Policy          string
 	RetryShare      float64 // of first dispatches
-	MaxDispatches   int
+	MaxDispatches   int     // setting attempts
 	Hedge           bool
 	HedgeAfter      time.Duration
 	ProbeShare      float64 // of the targets' time
 	ProbeCost       time.Duration
 	ProbePath       string
 	ProbeAfter      time.Duration
-	MaxEjectedShare float64 // of the targets
+	MaxEjectedShare float64 // setting ejectshare; of the targets
 	TrialMin        time.Duration
 	TrialMax        time.Duration
-	WarmupRequests  int // responses
+	WarmupRequests  int // setting warmup; responses
 	LeaveHold       time.Duration
 	DrainHold       time.Duration
 	MaxBody         int64 // bytes
