--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -108,6 +108,6 @@
 	}
 	gap := at.Sub(c.confirmed[resourceTargets])
 	if c.vanishedTargets.StoreAnswered(now, gap) {
-		c.gateway.log.WithField("gap", gap.Milliseconds()).Warn("store answers again after an outage; targets that vanish now are kept for a while")
+		c.gateway.log.WithField("gap", gap.Milliseconds()).Warn("store was away, records that vanish are awaited")
 	}
 }
