--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -52,8 +52,8 @@
 	cfg                 Config
 	log                 log.Interface
 	skipTargetResponses bool          // don't log requests that a target responded to
-	stop                chan struct{} // signals that a later incarnation is running
-	stopping            atomic.Bool   // leave has begun
+	supersededSignal    chan struct{} // signals that a later incarnation is running
+	leaving             atomic.Bool   // leave has begun
 
 	snapshot atomic.Pointer[snapshot]
 	forward  *forward.Forwarder
@@ -83,13 +83,13 @@
 func New(cfg Config) (e *Entry, err error) {
 	defer func() { err = errors.WithMessage(err, "entry "+cfg.File.Name) }()
 	e = &Entry{
-		cfg:      cfg,
-		log:      cfg.Log.WithField("entry", cfg.File.Name),
-		forward:  forward.New(forward.Config{}),
-		metrics:  metrics.New(cfg.File.Name),
-		stop:     make(chan struct{}, 1),
-		prober:   newProber(),
-		suspects: call.NewSuspects(call.SuspectsConfig{}),
+		cfg:              cfg,
+		log:              cfg.Log.WithField("entry", cfg.File.Name),
+		forward:          forward.New(forward.Config{}),
+		metrics:          metrics.New(cfg.File.Name),
+		supersededSignal: make(chan struct{}, 1),
+		prober:           newProber(),
+		suspects:         call.NewSuspects(call.SuspectsConfig{}),
 	}
 	e.snapshot.Store(&snapshot{})
 	e.skipTargetResponses = cfg.File.Level != "debug"
@@ -182,7 +182,7 @@
 	trafficDone := e.trafficSupervisor().ServeBackground(trafficCtx)
 	select {
 	case <-ctx.Done():
-	case <-e.stop:
+	case <-e.supersededSignal:
 		err = errSuperseded
 	case err = <-controlDone:
 		return errors.WithMessage(err, "control")
@@ -211,7 +211,7 @@
 // superseded stops this incarnation because a later one is running.
 func (e *Entry) superseded() {
 	select {
-	case e.stop <- struct{}{}:
+	case e.supersededSignal <- struct{}{}:
 	default:
 	}
 }
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -60,7 +60,7 @@
 // serveReady responds with status 200 while the entry is ready and isn't leaving.
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
-	case e.stopping.Load():
+	case e.leaving.Load():
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 	case !e.Ready():
 		http.Error(w, "no settings or no ring yet", http.StatusServiceUnavailable)
--- a/internal/entry/platform.go
+++ b/internal/entry/platform.go
@@ -20,7 +20,7 @@
 	store       *store.Client
 	control     *control
 	vms         []store.VM
-	drained     drainState
+	drains      drainState
 	drainsKnown bool // drains have been read at least once
 }
 
@@ -58,7 +58,7 @@
 
 func (p *platformWorker) readDrains(ctx context.Context, d drainState) {
 	p.drainsKnown = true
-	if !d.equal(p.drained) && p.control.enqueue(ctx, drainsListed{d}) {
-		p.drained = d
+	if !d.equal(p.drains) && p.control.enqueue(ctx, drainsListed{d}) {
+		p.drains = d
 	}
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -40,7 +40,7 @@
 		s := e.snapshot.Load()
 		out := statusJSON{
 			Entry: e.cfg.File.Name, Settings: s.revision,
-			Leaving: e.stopping.Load(), Entries: e.statusEntries(), Services: []statusService{},
+			Leaving: e.leaving.Load(), Entries: e.statusEntries(), Services: []statusService{},
 		}
 		for name, sv := range s.services {
 			addrs, _, _ := s.locate(name)
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -14,7 +14,7 @@
 // expired, but at most for stopTimeout. Otherwise a caller with a cached response
 // would connect to a closed port.
 func (e *Entry) leave() {
-	e.stopping.Store(true)
+	e.leaving.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	e.log.Info("leaving")
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// consumed reports whether any part of a streamed body may have been read, so that the
+// readBegun reports whether any part of a streamed body may have been read, so that the
 // body can't be sent again.
-func (b *body) consumed() bool {
+func (b *body) readBegun() bool {
 	return b.streamed && b.readStarted.Load()
 }
 
--- a/internal/forward/dispatch.go
+++ b/internal/forward/dispatch.go
@@ -115,7 +115,7 @@
 	}
 	f.Stage = d.stage(f.Status, err)
 	f.Execution = d.trace.execution()
-	f.Replayable = !d.body.consumed()
+	f.Replayable = !d.body.readBegun()
 	f.ConnectTime = d.trace.connectTime()
 	if isSuccess(f.Status) {
 		f.Execution = call.DidRun
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -48,20 +48,20 @@
 	confirmed      [resourceCount]time.Time
 	configRevision roster.Revision // last revision read from the configuration's history
 
-	members             *member.Table
-	pendingExchanges    []pendingExchange // membership exchanges that wait for a response
-	newestKnowledge     relay.Knowledge   // last advertised by another entry that has something newer
-	newestSource        string            // address of that entry
-	waitingPeers        map[string]bool   // addresses of entries that have no configuration yet
-	pullSource          string            // address of the entry that the current pull asks; empty after its reply
-	pullStarted         time.Time         // when that pull began
-	fetchPending        bool              // a fetch of another entry's members is in progress
-	lastFetch           time.Time
-	announcedCrashes    map[uint64]int // crashes of each suspected request, by fingerprint, as announced to the other entries
-	suspectSequence     uint64         // number of the last announcement of a suspected request
-	liveInstances       map[string]liveInstance
-	liveVersion         int // grows each time that the live entries are recomputed
-	suspectsSentVersion int // liveVersion up to which notifyStarted has handled newly started entries
+	members               *member.Table
+	pendingExchanges      []pendingExchange // membership exchanges that wait for a response
+	newestKnowledge       relay.Knowledge   // last advertised by another entry that has something newer
+	newestSource          string            // address of that entry
+	waitingPeers          map[string]bool   // addresses of entries that have no configuration yet
+	pullSource            string            // address of the entry that the current pull asks; empty after its reply
+	pullStarted           time.Time         // when that pull began
+	fetchPending          bool              // a fetch of another entry's members is in progress
+	lastFetch             time.Time
+	announcedCrashes      map[uint64]int // crashes of each suspected request, by fingerprint, as announced to the other entries
+	suspectSequence       uint64         // number of the last announcement of a suspected request
+	liveInstances         map[string]liveInstance
+	liveVersion           int // grows each time that the live entries are recomputed
+	startedHandledVersion int // liveVersion up to which notifyStarted has handled newly started entries
 
 	// State derived from membership; liveEntries is nil when the membership has changed.
 	liveEntries []owner.Candidate
@@ -205,7 +205,7 @@
 	}
 	c.shareRetries(now)
 	c.logChanges(now, live, owners)
-	initialized := c.table != nil && c.initialized()
+	initialized := c.table != nil && c.targetsKnown()
 	c.gateway.view.Store(&view{
 		table: c.table, initialized: initialized, services: c.services, live: live, owners: owners, rates: c.hosts.rates,
 	})
@@ -223,7 +223,7 @@
 // send requests to an evacuated domain, which the other entries avoid.
 func (c *control) updateServices(now time.Time) {
 	byService := make(map[string][]slot.Target)
-	if c.initialized() {
+	if c.targetsKnown() {
 		byService = c.targetsByService(now)
 	}
 	services := make(map[string]*service, len(c.config.Services))
@@ -244,10 +244,10 @@
 	c.services = services
 }
 
-// initialized reports whether the targets and, if the settings have a bound for them, the
+// targetsKnown reports whether the targets and, if the settings have a bound for them, the
 // evacuations are known: everything besides the configuration that the choice of a target
 // depends on.
-func (c *control) initialized() bool {
+func (c *control) targetsKnown() bool {
 	for _, r := range []resource{resourceTargets, resourceEvacuations} {
 		if c.gateway.needs(r) && c.confirmed[r].IsZero() {
 			return false
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -33,5 +33,5 @@
 // The settings bound the delay of each resource: until a configuration is in force, until
 // a leaving target gets no more requests, until an evacuated domain is empty. An entry
 // serves no request before it has all resources that the settings require
-// (control.initialized).
+// (view.initialized).
 package gateway
--- a/internal/gateway/firstread.go
+++ b/internal/gateway/firstread.go
@@ -39,9 +39,9 @@
 	minFirstReaders  = 2
 	maxFirstReaders  = 8
 	entriesPerReader = 4
-	// maxStartSteps bounds the number of such delays that an entry waits, as the entries
+	// maxStartStepCount bounds the number of such delays that an entry waits, as the entries
 	// that it waits for may have died since.
-	maxStartSteps = 10
+	maxStartStepCount = 10
 	// startWindow is the time within which entries count as started together; VMs start
 	// together within 0.5 s. With 5 s, all waited 0.35 s for entries that had been killed
 	// 3 s earlier and still had a record. An entry whose clock is off is not waited for,
@@ -75,7 +75,7 @@
 	}
 	step := min(max(c.enrollDuration, minStartStep), maxStartStep)
 	readers := min(max(len(c.live())/entriesPerReader, minFirstReaders), maxFirstReaders)
-	steps := min(max(c.enrolledBefore+1-readers, 0), maxStartSteps)
+	steps := min(max(c.enrolledBefore+1-readers, 0), maxStartStepCount)
 	if steps == 0 {
 		return true
 	}
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -89,7 +89,7 @@
 		if restored {
 			c.vanishedTargets.MissingFromCopy(now, it)
 		}
-		if restored || c.vanishedTargets.Removed(now, it) {
+		if restored || c.vanishedTargets.RetainRemoved(now, it) {
 			kept = append(kept, name)
 		}
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -152,7 +152,7 @@
 			q.service.cancel(time.Now(), q.pendingID)
 			q.pendingID = 0
 		case call.ActionDispatch:
-			q.dispatch(a)
+			q.sendDispatch(a)
 		case call.ActionCancel:
 			q.dispatches[a.Dispatch].cancel()
 		case call.ActionRespond:
@@ -201,8 +201,8 @@
 	return n
 }
 
-// dispatch sends the request to the chosen target.
-func (q *request) dispatch(a call.Action) {
+// sendDispatch sends the request to the chosen target.
+func (q *request) sendDispatch(a call.Action) {
 	d := &q.dispatches[a.Dispatch]
 	d.id, q.pendingID = q.pendingID, 0
 	d.began = time.Now()
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -18,9 +18,9 @@
 const (
 	// maxSuspects is how many suspects are checked for changes at a time.
 	maxSuspects = 16
-	// maxAnnounced bounds the suspects that are remembered as announced. When it is
+	// maxAnnouncedSuspects bounds the suspects that are remembered as announced. When it is
 	// exceeded, all are forgotten and announced once more.
-	maxAnnounced = 4096
+	maxAnnouncedSuspects = 4096
 )
 
 const (
@@ -42,10 +42,10 @@
 // again. Entries that were live when a quarantine began received it then.
 func (c *control) notifyStarted(now time.Time) {
 	live := c.live()
-	if c.liveVersion == c.suspectsSentVersion {
+	if c.liveVersion == c.startedHandledVersion {
 		return
 	}
-	c.suspectsSentVersion = c.liveVersion
+	c.startedHandledVersion = c.liveVersion
 	var started []owner.Candidate
 	instances := make(map[string]liveInstance, len(live))
 	for _, e := range live {
@@ -147,7 +147,7 @@
 			rumours.CrashReports = append(rumours.CrashReports, c.suspectRumour(now, s))
 		}
 	}
-	if len(c.announcedCrashes) > maxAnnounced {
+	if len(c.announcedCrashes) > maxAnnouncedSuspects {
 		clear(c.announcedCrashes)
 	}
 	if len(rumours.CrashReports) > 0 {
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -161,7 +161,7 @@
 	for _, tt := range tests {
 		v := NewVanished[string]()
 		v.StoreAnswered(start, tt.age)
-		v.Removed(start.Add(tt.removed), Item[string]{Name: "a"})
+		v.RetainRemoved(start.Add(tt.removed), Item[string]{Name: "a"})
 		qt.Assert(t, v.Items(start.Add(tt.checked)), qt.HasLen, tt.want, qt.Commentf("%s", tt.name))
 	}
 }
--- a/pkg/roster/vanished.go
+++ b/pkg/roster/vanished.go
@@ -38,8 +38,8 @@
 	return true
 }
 
-// Removed takes an object that vanished and reports whether it is retained.
-func (v *Vanished[T]) Removed(now time.Time, it Item[T]) (retained bool) {
+// RetainRemoved takes an object that vanished and reports whether it is retained.
+func (v *Vanished[T]) RetainRemoved(now time.Time, it Item[T]) (retained bool) {
 	if v.returned.IsZero() || now.Sub(v.returned) >= RetentionTime {
 		return false
 	}
--- a/pkg/slot/balancer.go
+++ b/pkg/slot/balancer.go
@@ -35,7 +35,7 @@
 type pendingRequest struct {
 	Request
 	serviceTime   time.Duration // baseline of its class: at a target that is idle and not slow
-	probed        int
+	probeCount    int
 	shortlist     [maxCandidates]*member // the most promising targets when it sent its probes
 	outstanding   int                    // probes that haven't been answered
 	probeDeadline time.Time              // end of the wait for their responses
@@ -329,7 +329,7 @@
 	pace := m.estimatedPace(now, b.meanPace, &b.config)
 	concurrent := m.totalInFlight(now, &b.config)
 	decision := Decision{
-		InFlight: concurrent, LoadKnown: m.loadKnown, Pace: m.pace, LoadAge: now.Sub(m.loadAt), Probed: p.probed, Waited: now.Sub(p.Arrived),
+		InFlight: concurrent, LoadKnown: m.loadKnown, Pace: m.pace, LoadAge: now.Sub(m.loadAt), Probed: p.probeCount, Waited: now.Sub(p.Arrived),
 		Expected: m.expectedLatency(now, p.serviceTime, pace, b.crowdedFactor, &b.config),
 	}
 	m.inFlight++
--- a/pkg/slot/choose.go
+++ b/pkg/slot/choose.go
@@ -127,7 +127,7 @@
 			continue
 		}
 		p.outstanding++
-		p.probed++
+		p.probeCount++
 		c.probeWaiters = append(c.probeWaiters, p)
 		if c.probing {
 			continue
