--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -12,9 +12,9 @@
 )
 
 // The targets of a service start to fail for all entries at once, after each entry has
-// saved up retries. Although no entry knows what the others spend, all together may make
-// at most the allowed share of the window's requests, plus the slack, in retries and
-// hedges.
+// saved up retries. No entry knows what the others spend. All together may make at most the
+// allowed share of the requests, plus the slack, in retries and hedges within a window. The
+// requests are those of this window or of the one before, whichever are more.
 func TestRetryBudgetOverAllEntries(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/internal/gateway/budget_views_test.go
+++ b/internal/gateway/budget_views_test.go
@@ -16,7 +16,7 @@
 	budget        *call.Budget
 	totalRate     float64 // requests per second at all entries, as last received; 0 if never
 	rate          float64 // requests per second at this entry
-	isolatedUntil int     // tick until which it is isolated
+	isolatedUntil int     // tick until which it receives no reports
 	lastAged      int     // tick at which its budget last aged
 }
 
@@ -111,7 +111,9 @@
 	}
 }
 
-// maxUsage returns the largest ratio of retries to allowed retries in any window.
+// maxUsage returns the largest ratio of retries to allowed retries in any window. The retries
+// allowed in a window depend on the requests in it, in the one before, or in the one that
+// begins half a window earlier, whichever are most.
 func (s *budgetSimulation) maxUsage() (usage float64) {
 	window := int(s.bounds.RetryWindow / tickInterval)
 	sum := func(counts []int, from int) (n int) {
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -37,7 +37,7 @@
 	for _, k := range w.workers[:2] {
 		k.StartCold(time.Minute, maxRate, true)
 	}
-	time.Sleep(1500 * time.Millisecond) // until a newly assigned share takes effect
+	time.Sleep(1500 * time.Millisecond) // until the entries' shares of the cold targets (package quota) take effect
 	w.store.EndEvacuation("hall")
 	var callers sync.WaitGroup
 	var mu sync.Mutex
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -52,7 +52,7 @@
 }
 
 // One request crashes each target that runs it, and its caller retries it again and again at two
-// entries. Both together may run it at most as often as the limits of the two allow, and must then
+// entries. Together they may run it at most twice the crash limit of one entry, and must then
 // refuse it, while other requests are served.
 func TestRequestThatCrashesTargets(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 6})
--- a/internal/gateway/fresh_test.go
+++ b/internal/gateway/fresh_test.go
@@ -101,6 +101,6 @@
 			delayed += a.took
 		}
 	}
-	// At most one wait for each resource.
+	// At most one wait for each of the two resources in use, and half a wait to spare.
 	w.c.Assert(delayed < 5*maxRefreshWait/2, qt.IsTrue, qt.Commentf("delayed by %v", delayed))
 }
--- a/internal/gateway/knowledge_test.go
+++ b/internal/gateway/knowledge_test.go
@@ -26,8 +26,8 @@
 	return v.table.Config.Version
 }
 
-// Without a configuration an entry can't distinguish a missing route from an unknown one: it
-// answers 503 and isn't ready.
+// Without a configuration an entry can't tell a route that doesn't exist from one that it hasn't
+// received yet: it answers 503 and isn't ready.
 func TestEntryWithoutConfiguration(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1})
 	w.store.SetFaults(func(*http.Request) objects.Fault { return objects.Fault{Down: true} })
@@ -68,7 +68,8 @@
 }
 
 // All entries start at once, as after a loss of all power. A few of them read the store and
-// announce the data, so that not all call it at once. Callers are served within half a second.
+// announce the data, so that not all call it at once. All must have the configuration and targets
+// within half a second, so that their callers are served.
 func TestStartTogether(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 2})
 	began := time.Now()
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// lastReader returns the entry with the lowest rank among the readers of a resource. The
-// store stops responding to all other entries.
+// lastReader returns the entry that comes last in the order of readers of a resource. It
+// makes the store stop responding to all other entries.
 func (w *world) lastReader(entries []*entry, d resource) (last *entry) {
 	readers := byReaderRank(entries, d)
 	last = readers[len(readers)-1]
@@ -120,7 +120,7 @@
 }
 
 // Nine of ten entries get no more responses from the store, and then a new configuration
-// moves a route. The tenth entry has callers and still reaches the store, so it must apply
+// is written. The tenth entry has callers and still reaches the store, so it must apply
 // the configuration within the bound.
 func TestEntryWithCallersAppliesConfigurationInTime(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1})
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -19,11 +19,12 @@
 )
 
 // maxLimited returns how many requests a target with this limit may get within
-// limitWindow.
+// limitWindow: half more than the limit, and five.
 func maxLimited(rate float64) int { return int(1.5*rate*limitWindow.Seconds() + 5) }
 
-// A target reports a limit. All entries together must keep to it, still use the target, and
-// refuse requests only if all targets are limited, with a Retry-After header.
+// A target reports a limit. If each entry applied it for itself, the target would get a
+// multiple of it. All entries together must keep to it as maxLimited allows, still use the
+// target, and refuse requests only if all targets are limited, with a Retry-After header.
 func TestLimitHoldsOverAllEntries(t *testing.T) {
 	const load = 9 * time.Second
 	tests := []struct {
--- a/internal/gateway/outage_test.go
+++ b/internal/gateway/outage_test.go
@@ -35,7 +35,7 @@
 	tests := []struct {
 		name  string
 		since func(c *control, from time.Time) // events before the removal is received
-		event func(asked time.Time) message    // receives the removal
+		event func(asked time.Time) message    // returns the message that contains the removal
 		kept  bool
 	}{
 		{"read late, the store is up", nil, read, false},
--- a/internal/gateway/pull_test.go
+++ b/internal/gateway/pull_test.go
@@ -14,7 +14,7 @@
 )
 
 // An entry that starts pulls the targets from one that the store hasn't served for seconds. If it
-// took them for as old as its own start, it would not read the store for longer than a leaving
+// counted their age from its own start, they would stay unconfirmed for longer than a leaving
 // target may get requests.
 func TestPulledAgeAfterStart(t *testing.T) {
 	c := parkedControl(t)
@@ -88,8 +88,8 @@
 }
 
 // An entry that has just started pulls the targets from another entry and reads the store itself.
-// The reply to the pull comes later and is older. A target in it that the store no longer lists must not
-// come back, neither at this entry nor at those that pull from it.
+// The reply to the pull comes later and is older. A target in it that the store no longer lists
+// must not come back, or entries that pull from this one would get it too.
 func TestOlderAnswerAfterFirstRead(t *testing.T) {
 	older := []roster.Change[slot.Target]{{Item: item("gone", 9)}, {Item: item("stays", 10)}}
 	tests := []struct {
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -111,7 +111,7 @@
 	const slots = 2 // of each target
 	tests := []struct {
 		name string
-		// lost is written after the copy, again is written once more after the restore.
+		// lost writes a change after the copy, and again writes it once more after the restore.
 		lost, again func(w *world)
 		used        []int // targets that get requests after the restore, the others get none
 	}{
@@ -138,7 +138,7 @@
 			time.Sleep(1500 * time.Millisecond) // until all have the changes
 			w.store.Restore(c)
 			restored := time.Now()
-			// All entries have detected the restore by detected; the lost writes are repeated later.
+			// Times since the restore: all entries have detected it, and the lost write is repeated.
 			const detected, rewritten = time.Second, 1800 * time.Millisecond
 			time.AfterFunc(rewritten, func() { tt.again(w) })
 			before := make([]int, len(w.workers))
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -17,8 +17,8 @@
 	const (
 		// heedAfter is how long after the refusal the entry must observe the pause.
 		heedAfter   = 500 * time.Millisecond
-		maxRequests = 2 // after heedAfter, until the pause ends
-		objective   = time.Second
+		maxRequests = 2           // after heedAfter, until the pause ends
+		objective   = time.Second // the route's target latency, see world.configure
 	)
 	tests := []struct {
 		name   string
--- a/internal/gateway/writers_test.go
+++ b/internal/gateway/writers_test.go
@@ -88,8 +88,8 @@
 	qt.Assert(t, len(h.Entries) <= 1+parseErrorBurst+10*parseErrorsPerSecond+1, qt.IsTrue, qt.Commentf("%d lines", len(h.Entries)))
 }
 
-// A request crashes the same target three times, which restarts with the same id each time. That
-// counts as three crashes, so that the request is sent to no target any more.
+// A request crashes the same target three times, and the target restarts with the same ID each
+// time. That counts as three crashes, so the request must be sent to no target any more.
 func TestCrashesOfOneTargetThatStartsAgain(t *testing.T) {
 	w := newWorld(t, worldConfig{targets: 1, attempts: 1})
 	e := w.startEntry("a").waitReady()
