--- a/pkg/call/budget_test.go
+++ b/pkg/call/budget_test.go
@@ -103,9 +103,10 @@
 	}
 }
 
-// A level beyond the limit, and a request that is itself a repetition of one that may
-// have run, get no token to execute the tree below them again, however many tokens are
-// available.
+// A hedge, or a retry after a dispatch that may have run, executes the call tree below it
+// again. It gets no token at a level beyond the limit, nor for a request that is itself
+// such an extra dispatch, however many tokens are available. A retry after a dispatch that
+// did not run gets a token at any level.
 func TestBudgetDeniesToken(t *testing.T) {
 	tests := []struct {
 		depth, attempt int
@@ -183,7 +184,8 @@
 }
 
 // The capacity shrinks while the bucket is full. The tokens beyond it must be dropped:
-// otherwise an entry whose callers moved to another one could still spend them.
+// otherwise an entry whose callers moved to another one could spend them in addition to
+// the tokens of that entry.
 func TestSetBurst(t *testing.T) {
 	b := NewBudget(BudgetConfig{RetryShare: 1, Burst: 10})
 	for range 100 {
--- a/pkg/call/crash_test.go
+++ b/pkg/call/crash_test.go
@@ -18,48 +18,49 @@
 }
 
 // send sends one request of the caller. The result doesn't depend on an idempotency key.
-func (o *crashLoop) send(s *Suspects, a Arrival) {
+func (l *crashLoop) send(s *Suspects, a Arrival) {
 	const fp = 7
-	a.Deadline = o.now.Add(time.Second)
-	a.QuarantineRemaining = s.QuarantineRemaining(o.now, fp)
+	a.Deadline = l.now.Add(time.Second)
+	a.QuarantineRemaining = s.QuarantineRemaining(l.now, fp)
 	c := New(Config{Budget: fullBudget(4)})
-	acts := c.Arrive(o.now, a)
+	acts := c.Arrive(l.now, a)
 	for !c.State().Final() {
 		var next Actions
 		for _, x := range acts.All() {
 			switch x.Kind {
 			case ActionAcquire:
-				next = c.Choose(o.now, Choice{Target: strconv.Itoa(o.crashed)})
+				next = c.Choose(l.now, Choice{Target: strconv.Itoa(l.crashed)})
 			case ActionDispatch:
-				next = o.crash(s, &c, x, fp)
+				next = l.crash(s, &c, x, fp)
 			}
 		}
 		acts = next
 	}
-	o.reasons[c.Final().Reason]++
+	l.reasons[c.Final().Reason]++
 }
 
-func (o *crashLoop) crash(s *Suspects, c *Call, x Action, fp uint64) Actions {
-	o.crashed++
-	began := o.now
-	o.now = o.now.Add(time.Millisecond)
-	quarantined := s.RecordCrash(o.now, fp, x.Target, began)
-	return c.Fail(o.now, Failed{Dispatch: x.Dispatch, Stage: StageSent, Replayable: true, Quarantined: quarantined})
+func (l *crashLoop) crash(s *Suspects, c *Call, x Action, fp uint64) Actions {
+	l.crashed++
+	began := l.now
+	l.now = l.now.Add(time.Millisecond)
+	quarantined := s.RecordCrash(l.now, fp, x.Target, began)
+	return c.Fail(l.now, Failed{Dispatch: x.Dispatch, Stage: StageSent, Replayable: true, Quarantined: quarantined})
 }
 
-func (o *crashLoop) gossip() {
-	for i, from := range o.entries {
-		for _, to := range o.entries {
+func (l *crashLoop) gossip() {
+	for i, from := range l.entries {
+		for _, to := range l.entries {
 			if to != from {
-				to.Merge(o.now, strconv.Itoa(i), from.Export(o.now, 10))
+				to.Merge(l.now, strconv.Itoa(i), from.Export(l.now, 10))
 			}
 		}
 	}
 }
 
 // A caller sends a request that crashes its target 100 times, one second apart, to one
-// entry or to all in turn. Exactly two targets crash per quarantine period. Without
-// the quarantine, each send would crash one target, or three with retries.
+// entry or to all in turn. All sends lie within one quarantine period, in which exactly
+// two targets may crash. Without the quarantine, each send would crash one target, or
+// three with retries.
 func TestCrashingRequest(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -74,17 +75,17 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			o := crashLoop{now: start, reasons: map[Reason]int{}}
+			l := crashLoop{now: start, reasons: map[Reason]int{}}
 			for range tt.entries {
-				o.entries = append(o.entries, NewSuspects(SuspectsConfig{}))
+				l.entries = append(l.entries, NewSuspects(SuspectsConfig{}))
 			}
 			for i := range 100 {
-				o.send(o.entries[i%tt.entries], Arrival{Idempotent: tt.idempotent})
-				o.now = o.now.Add(time.Second)
-				o.gossip()
+				l.send(l.entries[i%tt.entries], Arrival{Idempotent: tt.idempotent})
+				l.now = l.now.Add(time.Second)
+				l.gossip()
 			}
-			c.Assert(o.crashed, qt.Equals, 2)
-			c.Assert(o.reasons[ReasonQuarantined] >= 98, qt.IsTrue, qt.Commentf("%v", o.reasons))
+			c.Assert(l.crashed, qt.Equals, 2)
+			c.Assert(l.reasons[ReasonQuarantined] >= 98, qt.IsTrue, qt.Commentf("%v", l.reasons))
 		})
 	}
 }
--- a/pkg/call/wait_test.go
+++ b/pkg/call/wait_test.go
@@ -42,7 +42,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var p WaitEstimator
+			var w WaitEstimator
 			rnd := rand.New(rand.NewPCG(1, 2))
 			wrong, retries, known := 0, 0, 0
 			var left, waited time.Duration
@@ -52,7 +52,7 @@
 				} else {
 					waited = time.Duration(100+rnd.IntN(200)) * ms
 				}
-				got := p.Elapsed(left - waited)
+				got := w.Elapsed(left - waited)
 				switch {
 				case n < 2*minAttempts:
 				case waited == 0 && got != 0:
@@ -73,17 +73,17 @@
 // Callers change to a shorter timeout. Their first attempts must be recognized as such
 // after fewer than 100 attempts.
 func TestWaitEstimatorNewTimeouts(t *testing.T) {
-	var p WaitEstimator
+	var w WaitEstimator
 	for range 1000 {
-		p.Elapsed(800 * ms)
+		w.Elapsed(800 * ms)
 	}
 	n := 0
-	for p.Elapsed(600*ms) > 0 {
+	for w.Elapsed(600*ms) > 0 {
 		n++
 	}
 	qt.Assert(t, n < 100, qt.IsTrue, qt.Commentf("%d", n))
 	for range 20 {
-		p.Elapsed(600 * ms)
+		w.Elapsed(600 * ms)
 	}
-	qt.Assert(t, p.Elapsed(500*ms), qt.Equals, 100*ms)
+	qt.Assert(t, w.Elapsed(500*ms), qt.Equals, 100*ms)
 }
--- a/pkg/member/faults_test.go
+++ b/pkg/member/faults_test.go
@@ -72,10 +72,10 @@
 	}
 }
 
-// Callers keep an entry's address from locate. An entry that is gone must therefore
-// be gone in every view within the limit, and one that was only unreachable must
-// return, without effect on any other entry. Each row injects one fault into a settled
-// fleet, and checks what every entry must see and by when.
+// Callers keep using an entry's address that locate returned. An entry that is gone must
+// therefore be gone in every view within the limit, and one that was only unreachable
+// must return, without effect on any other entry. Each row injects one fault into a
+// settled fleet, and checks what every entry must see and by when.
 func TestFaults(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -204,12 +204,12 @@
 	}
 }
 
-// A network partition separates one region from the others for three minutes. Longer
-// makes no difference until dead entries are removed after a day. Each side believes
-// the other dead, and when the partition heals each receives old reports of the death
-// of its own entries. Merging these would leave locate without entries on both sides
-// at once. No entry may see one of its own side as gone at any time after the
-// partition heals, and all must agree soon.
+// A network partition separates one region from the others for three minutes. A
+// longer one makes no difference until dead entries are removed after a day. Each side
+// believes the other dead, and when the partition heals each receives old reports of the
+// death of its own entries. Merging these would leave locate without entries on both sides
+// at once. No entry may see one of its own side as gone in the 40 s after the
+// partition heals, and all must agree by then.
 func TestRegionsPartitioned(t *testing.T) {
 	c := qt.New(t)
 	f := settledFleet(c, grown, 7)
--- a/pkg/member/pause_test.go
+++ b/pkg/member/pause_test.go
@@ -20,7 +20,8 @@
 
 // The process is paused for 30 s right after it contacted its peers. When it resumes,
 // its exchanges and a suspicion have all timed out. The peers did not fail, so none may
-// be suspected or declared dead. After a gap of ordinary length they are.
+// be suspected or declared dead. After a gap of ordinary length, the same timeouts count
+// as failures.
 func TestOwnPause(t *testing.T) {
 	tests := []struct {
 		name string
--- a/pkg/owner/owner_test.go
+++ b/pkg/owner/owner_test.go
@@ -117,10 +117,11 @@
 	}
 }
 
-// Measures what an entry computes when another one has started or gone: the owners of
-// three hosts, and at the first owner of one of them also its owner count. Scoring all
-// entries again for each host takes 0.065 ms with 14 entries, 0.54 ms with 123, 1.9 ms
-// with 472 and 8.7 ms with 2,000; for the count 0.05, 1.5, 20 and 340 ms.
+// BenchmarkOwners measures what an entry computes when another one has started or gone:
+// the owners of three hosts, and at the first owner of one of them also its owner count.
+// An earlier version, which scored all entries again for each host, took 0.065 ms for the
+// owners with 14 entries, 0.54 ms with 123, 1.9 ms with 472 and 8.7 ms with 2,000, and
+// 0.05, 1.5, 20 and 340 ms for the count.
 func BenchmarkOwners(b *testing.B) {
 	counts := map[string]int{"a": 4, "b": 3, "c": 2}
 	hosts := []string{"a", "b", "c"}
--- a/pkg/pool/health_test.go
+++ b/pkg/pool/health_test.go
@@ -11,7 +11,8 @@
 
 const ms = time.Millisecond
 
-// behavior returns the response time and outcome of request n that a target gets at a time.
+// behavior returns the response time and outcome of request n, which a target gets at the
+// time at, counted from start.
 type behavior func(at time.Duration, n int) (took time.Duration, outcome pool.Outcome)
 
 // normal spreads response times over 2 to 10 ms.
@@ -106,8 +107,9 @@
 }
 
 // A target becomes bad at 1 s, without notice, so that callers would see its delays and
-// errors. It must be ejected by comparison with the other targets, get only trial
-// requests, and get its full share again 2 s after its recovery.
+// errors. Its responses, or their absence, compare badly with those of the other targets.
+// It must be ejected for that, get only trial requests, and get its full share again 2 s
+// after its recovery.
 func TestEjection(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -187,7 +189,7 @@
 	return n
 }
 
-// All targets stall for ten seconds while requests are queued, then continue. The queue did
+// All targets stall for ten seconds while requests are queued, then continue. The queue does
 // not advance meanwhile. If the mean interval between completions included the stall, every
 // request that finds the slots full would be refused, permanently, because the interval is
 // measured only while requests are queued.
--- a/pkg/pool/pool_test.go
+++ b/pkg/pool/pool_test.go
@@ -196,7 +196,7 @@
 	}
 }
 
-// announceLeaving completes a request of t0 with a load report that it is leaving.
+// announceLeaving completes a request of t0 with a load report that says that t0 is leaving.
 func announceLeaving(b *harness) {
 	for {
 		id, _ := b.arrive(time.Minute)
--- a/pkg/pool/probe_test.go
+++ b/pkg/pool/probe_test.go
@@ -119,7 +119,8 @@
 	c.Check(got <= 20, qt.IsTrue, qt.Commentf("%d", got))
 }
 
-// An idle pool must need no ticks: ticks of all services would use as much CPU as requests.
+// An idle pool without a share of the probe budget must need no ticks: ticks of all
+// services would use as much CPU as requests.
 func TestNextTick(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/pkg/probe/budget_test.go
+++ b/pkg/probe/budget_test.go
@@ -49,17 +49,16 @@
 	return 0
 }
 
-// Targets would lose more of their time than the budget allows, just when the load rises or
-// nothing responds. Entries want far more probes than the budget has, shares move between
-// entries that learn of it at different times, and clocks step. In no window may the time
-// that targets spend on probes exceed the budget.
+// Entries want far more probes than the budget allows, just when the load rises or no
+// target responds. Shares move between entries that learn of it at different times, and
+// clocks step. In no window may the time that targets spend on probes exceed the budget.
 func TestBudget(t *testing.T) {
 	tests := []struct {
 		name    string
 		budget  time.Duration // per window, for all entries
 		cost    time.Duration
-		asks    demand
-		turns   []event
+		want    demand
+		events  []event
 		atLeast int // total number of probes, so that the budget is of use
 	}{
 		{"one entry, cheap probes", 14 * ms, ms, steadyDemand, []event{{0, 0, share(0, 1), 0}}, 150},
@@ -123,7 +122,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			cfg := probe.Config{Window: window, Budget: test.budget, Cost: test.cost, SettleTime: settle}
-			sent := sentProbes(cfg, test.asks, test.turns)
+			sent := sentProbes(cfg, test.want, test.events)
 			c.Check(maxProbeTime(sent, test.cost) <= test.budget, qt.IsTrue, qt.Commentf("worst window: %v", maxProbeTime(sent, test.cost)))
 			c.Check(len(sent) >= test.atLeast, qt.IsTrue, qt.Commentf("sent %d", len(sent)))
 		})
@@ -131,14 +130,14 @@
 }
 
 // sentProbes returns the real times at which three entries sent probes.
-func sentProbes(cfg probe.Config, want demand, turns []event) (sent []time.Duration) {
+func sentProbes(cfg probe.Config, want demand, events []event) (sent []time.Duration) {
 	entries := make([]*probe.Budget, 3)
 	steps := make([]time.Duration, len(entries))
 	for i := range entries {
 		entries[i] = probe.New(cfg)
 	}
 	for at := time.Duration(0); at < runTime; at += ms {
-		for _, u := range turns {
+		for _, u := range events {
 			if u.at != at {
 				continue
 			}
--- a/pkg/quota/limit_test.go
+++ b/pkg/quota/limit_test.go
@@ -14,8 +14,8 @@
 func maxInLimitWindow(rate float64) int { return int(1.5*rate*limitWindow.Seconds() + 5) }
 
 // Entries learn of a limit, change their views of the senders and take over shares at
-// different times. The target must not get more than its limit from all of them together,
-// and a quarter of the limit must stay usable.
+// different times. Within limitWindow, the target must not get more than maxInLimitWindow
+// requests from all of them together, and a quarter of the limit must stay usable.
 func TestLimitUnderChangingViews(t *testing.T) {
 	const seeds, entries, maxDelay = 200, 12, 900 * time.Millisecond
 	rates := []float64{0.1, 0.5, 1, 1.9, 2.6, 7, 20, 150}
@@ -36,7 +36,7 @@
 			senders[i].limitKnownAt = now.Add(time.Duration(rnd.Int64N(int64(maxDelay))))
 		}
 		pending := make(map[int]time.Time)
-		named, changed := now, now
+		began, changed := now, now
 		var arrivals []time.Time
 		sent := 0
 		for range 4000 {
@@ -70,7 +70,7 @@
 			}
 			qt.Assert(t, len(arrivals) <= maxInLimitWindow(rate), qt.IsTrue, qt.Commentf("seed %d, %v a second: %d of %d", seed, rate, len(arrivals), maxInLimitWindow(rate)))
 		}
-		minSent := int(rate * (now.Sub(named) - 2*LimitSpan).Seconds() / 4)
+		minSent := int(rate * (now.Sub(began) - 2*LimitSpan).Seconds() / 4)
 		qt.Assert(t, sent >= minSent, qt.IsTrue, qt.Commentf("seed %d, %v a second: %d of at least %d", seed, rate, sent, minSent))
 	}
 }
--- a/pkg/roster/restore_test.go
+++ b/pkg/roster/restore_test.go
@@ -120,7 +120,7 @@
 	c.Assert(rev(MaxEpoch+1, MaxPosition+1), qt.Equals, rev(MaxEpoch, MaxPosition))
 }
 
-// Measures a merge without changes into a roster of 720 targets.
+// BenchmarkUnchanged measures a merge without changes into a roster of 720 targets.
 func BenchmarkUnchanged(b *testing.B) {
 	r := New(func(a, b int) bool { return a == b })
 	var list []Item[int]
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -82,8 +82,8 @@
 	qt.Assert(t, r.Revision(), qt.Equals, Revision(2))
 }
 
-// An entry that lacks changes receives only these, and then holds what the sender
-// holds. Heartbeats are not sent. An entry that has nothing receives the whole list.
+// An entry that lacks changes receives only those of ChangesSince, and must then hold
+// what the sender holds. An entry that has nothing receives the whole list.
 func TestChangesSince(t *testing.T) {
 	same := func(a, b string) bool { return a[0] == b[0] }
 	rnd := rand.New(rand.NewPCG(2, 2))
@@ -116,6 +116,7 @@
 	return out
 }
 
+// Heartbeats, which write a new revision without a significant change, are not sent.
 func TestChangesSinceExcludesHeartbeats(t *testing.T) {
 	r := New(func(a, b string) bool { return a[0] == b[0] })
 	r.Apply([]Change[string]{set("a", 1, "r1"), set("b", 2, "r1"), set("a", 3, "r2")}, 3)
--- a/pkg/slot/absent_test.go
+++ b/pkg/slot/absent_test.go
@@ -67,8 +67,8 @@
 	qt.Assert(t, len(h.absent) <= maxAbsent, qt.IsTrue)
 }
 
-// A record that is older than the one that reported that the target is leaving must not undo
-// it.
+// A record has marked a target as leaving. An older record of the same incarnation must not
+// undo that.
 func TestOlderRecordKeepsLeaving(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/pkg/slot/cold_test.go
+++ b/pkg/slot/cold_test.go
@@ -11,7 +11,7 @@
 	"plumpitch.example/plumpitch/pkg/quota"
 )
 
-// newColdHarness returns a balancer for targets that can serve 3.4 requests per second for
+// newColdHarness returns a harness for targets that can serve 3.4 requests per second for
 // 3 s after a start. The bound is 13 requests within a second, and this entry is the only
 // sender.
 func newColdHarness(list []Target) *harness {
@@ -25,8 +25,8 @@
 }
 
 // step submits a request and completes those that have run for serviceTime. Probed targets
-// report that they are idle, and the rest of their warm-up unless cold returns a negative
-// duration.
+// report only this entry's requests as running, and the remaining warm-up that cold returns
+// unless that is negative.
 func (h *harness) step(cold func(id string) time.Duration) (sent, refused []Action) {
 	var out []Action
 	for id, d := range h.dispatches {
--- a/pkg/slot/limit_test.go
+++ b/pkg/slot/limit_test.go
@@ -19,26 +19,26 @@
 }
 
 func newLimitHarness(targets int, limits map[string]float64) *limitHarness {
-	n := &limitHarness{harness: newHarness(targets), limits: limits, dispatchTimes: make(map[string][]time.Time)}
-	n.serviceTime = 60 * time.Millisecond
-	n.SetSenders(n.now, quota.NewSenders([]string{"a"}, "a"))
-	return n
+	h := &limitHarness{harness: newHarness(targets), limits: limits, dispatchTimes: make(map[string][]time.Time)}
+	h.serviceTime = 60 * time.Millisecond
+	h.SetSenders(h.now, quota.NewSenders([]string{"a"}, "a"))
+	return h
 }
 
-func (n *limitHarness) report(id string) Report {
-	rate, limited := n.limits[id]
+func (h *limitHarness) report(id string) Report {
+	rate, limited := h.limits[id]
 	return Report{Load: Load{Slots: 2, Pace: 1}, HasLoad: true, Limit: rate, HasLimit: limited, Unlimited: !limited}
 }
 
 // step completes requests that have run for serviceTime, and answers probes.
-func (n *limitHarness) step(out []Action) []Action {
-	n.now = n.now.Add(5 * time.Millisecond)
-	for id, d := range n.dispatches {
-		if n.now.Sub(d.sent) >= n.serviceTime {
-			out = n.Done(n.now, Completion{ID: id, Report: n.report(d.member.ID)}, out)
+func (h *limitHarness) step(out []Action) []Action {
+	h.now = h.now.Add(5 * time.Millisecond)
+	for id, d := range h.dispatches {
+		if h.now.Sub(d.sent) >= h.serviceTime {
+			out = h.Done(h.now, Completion{ID: id, Report: h.report(d.member.ID)}, out)
 		}
 	}
-	out = n.Tick(n.now, out)
+	out = h.Tick(h.now, out)
 	for {
 		probed := actionsOf(out, SendProbe)
 		if len(probed) == 0 {
@@ -46,42 +46,43 @@
 		}
 		out = slices.DeleteFunc(out, func(a Action) bool { return a.Kind == SendProbe })
 		for _, a := range probed {
-			r := n.report(a.Target.ID)
-			if m := n.members[a.Target.ID]; m != nil {
+			r := h.report(a.Target.ID)
+			if m := h.members[a.Target.ID]; m != nil {
 				r.Load.Running = m.inFlight
 			}
-			out = n.ProbeDone(n.now, ProbeResult{Target: a.Target.ID, Report: r, Healthy: true}, out)
+			out = h.ProbeDone(h.now, ProbeResult{Target: a.Target.ID, Report: r, Healthy: true}, out)
 		}
 	}
 	for _, a := range actionsOf(out, Dispatch) {
-		n.dispatchTimes[a.Target.ID] = append(n.dispatchTimes[a.Target.ID], n.now)
+		h.dispatchTimes[a.Target.ID] = append(h.dispatchTimes[a.Target.ID], h.now)
 	}
 	return out
 }
 
 // One of three targets reports a limit. It must get no more than that, the others must serve
-// the rest, and it must get its normal share soon after the limit has ended.
+// the rest, and soon after the limit has ended it must get more than half as many requests
+// as another one.
 func TestLimitedTargetAmongOthers(t *testing.T) {
 	c := qt.New(t)
-	n := newLimitHarness(3, nil)
+	h := newLimitHarness(3, nil)
 	run := func(d time.Duration) (refused int) {
-		for end := n.now.Add(d); n.now.Before(end); {
-			_, out := n.arrive()
-			out = n.step(out)
+		for end := h.now.Add(d); h.now.Before(end); {
+			_, out := h.arrive()
+			out = h.step(out)
 			refused += len(actionsOf(out, Refuse))
-			n.step(nil)
-			n.step(nil)
-			n.step(nil)
+			h.step(nil)
+			h.step(nil)
+			h.step(nil)
 		}
 		return refused
 	}
 	run(5 * time.Second)
-	n.limits = map[string]float64{"t0": 2}
-	from := n.now.Add(500 * time.Millisecond)
+	h.limits = map[string]float64{"t0": 2}
+	from := h.now.Add(500 * time.Millisecond)
 	refused := run(20 * time.Second)
 	c.Assert(refused, qt.Equals, 0)
 	most := 0
-	runs := slices.DeleteFunc(slices.Clone(n.dispatchTimes["t0"]), func(at time.Time) bool { return at.Before(from) })
+	runs := slices.DeleteFunc(slices.Clone(h.dispatchTimes["t0"]), func(at time.Time) bool { return at.Before(from) })
 	for i := range runs {
 		for i-most >= 0 && runs[i].Sub(runs[i-most]) <= 4*time.Second {
 			most++
@@ -89,20 +90,20 @@
 	}
 	c.Assert(most <= 9, qt.IsTrue, qt.Commentf("%d in 4 s", most))
 	c.Assert(len(runs) >= 25, qt.IsTrue, qt.Commentf("%d in 19.5 s", len(runs)))
-	n.limits = nil
+	h.limits = nil
 	run(2 * time.Second)
-	before := map[string]int{"t0": len(n.dispatchTimes["t0"]), "t1": len(n.dispatchTimes["t1"])}
+	before := map[string]int{"t0": len(h.dispatchTimes["t0"]), "t1": len(h.dispatchTimes["t1"])}
 	run(time.Second)
-	one, other := len(n.dispatchTimes["t0"])-before["t0"], len(n.dispatchTimes["t1"])-before["t1"]
+	one, other := len(h.dispatchTimes["t0"])-before["t0"], len(h.dispatchTimes["t1"])-before["t1"]
 	c.Assert(2*one > other, qt.IsTrue, qt.Commentf("%d in a second, another one gets %d", one, other))
 }
 
-// All targets have limits, and five times as many requests arrive as these allow. Requests
-// that can't be served in time must be refused at once, and urgent ones must be served
-// first.
+// All targets have limits, and five times as many requests arrive as these allow. Of the
+// requests that can't be served in time, nine in ten must be refused at once, and urgent
+// ones must be served first.
 func TestAllLimited(t *testing.T) {
 	c := qt.New(t)
-	n := newLimitHarness(4, map[string]float64{"t0": 3, "t1": 3, "t2": 3, "t3": 3})
+	h := newLimitHarness(4, map[string]float64{"t0": 3, "t1": 3, "t2": 3, "t3": 3})
 	const load, objective = 30 * time.Second, 250 * time.Millisecond
 	arrived := make(map[uint64]time.Time)
 	var served [2]int // by priority
@@ -115,20 +116,20 @@
 			case Refuse:
 				refused++
 				c.Assert(a.RetryAfter > 0 && a.RetryAfter <= time.Second, qt.IsTrue, qt.Commentf("%v", a.RetryAfter))
-				if took := n.now.Sub(arrived[a.ID]); took > objective/8 {
+				if took := h.now.Sub(arrived[a.ID]); took > objective/8 {
 					waited++
 				}
 			}
 		}
 	}
-	for end := n.now.Add(load); n.now.Before(end); {
-		n.lastID++
-		arrived[n.lastID] = n.now
-		count(n.step(n.Submit(n.now, Request{
-			ID: n.lastID, Arrived: n.now, Objective: n.now.Add(objective), Deadline: n.now.Add(2 * time.Second), Priority: int(n.lastID % 2),
+	for end := h.now.Add(load); h.now.Before(end); {
+		h.lastID++
+		arrived[h.lastID] = h.now
+		count(h.step(h.Submit(h.now, Request{
+			ID: h.lastID, Arrived: h.now, Objective: h.now.Add(objective), Deadline: h.now.Add(2 * time.Second), Priority: int(h.lastID % 2),
 		}, nil)))
-		count(n.step(nil))
-		count(n.step(nil))
+		count(h.step(nil))
+		count(h.step(nil))
 	}
 	c.Logf("served %v, refused %d, after a wait %d", served, refused, waited)
 	c.Assert(served[0]+served[1] >= 300, qt.IsTrue, qt.Commentf("%v of 360 that the limits allow", served))
@@ -136,8 +137,9 @@
 	c.Assert(waited*10 <= refused, qt.IsTrue, qt.Commentf("%d of %d", waited, refused))
 }
 
-// A response from before the limit that is read after the limit was reported must not end or
-// raise it.
+// The response to a request that was sent before the last response with the limit is read
+// after it, and must not end or raise the limit. Neither must a failure without a
+// response, or a probe response of a target that reports its limit only to requests.
 func TestStaleResponseKeepsLimit(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -171,23 +173,23 @@
 // It must probe the target, and send again once the limit has ended.
 func TestLimitEndsAtAnEntryWithoutAShare(t *testing.T) {
 	c := qt.New(t)
-	n := newLimitHarness(1, map[string]float64{"t0": 2})
-	n.SetSenders(n.now, quota.NewSenders([]string{"b", "c"}, "a"))
-	_, out := n.arrive()
-	n.step(out)
+	h := newLimitHarness(1, map[string]float64{"t0": 2})
+	h.SetSenders(h.now, quota.NewSenders([]string{"b", "c"}, "a"))
+	_, out := h.arrive()
+	h.step(out)
 	for range 40 {
-		n.step(nil)
+		h.step(nil)
 	}
-	_, out = n.arrive()
-	refused := actionsOf(n.step(out), Refuse)
+	_, out = h.arrive()
+	refused := actionsOf(h.step(out), Refuse)
 	c.Assert(refused, qt.HasLen, 1)
 	c.Assert(refused[0].Reason, qt.Equals, Limited)
-	n.limits = nil
+	h.limits = nil
 	for range 120 {
-		n.step(nil)
+		h.step(nil)
 	}
-	_, out = n.arrive() // sends a probe
-	n.step(out)
-	_, out = n.arrive()
-	c.Assert(actionsOf(n.step(out), Dispatch), qt.HasLen, 1)
+	_, out = h.arrive() // sends a probe
+	h.step(out)
+	_, out = h.arrive()
+	c.Assert(actionsOf(h.step(out), Dispatch), qt.HasLen, 1)
 }
--- a/pkg/slot/queue_test.go
+++ b/pkg/slot/queue_test.go
@@ -9,8 +9,8 @@
 )
 
 // The targets of a service refuse requests. If they have room, that is a fault, and the
-// caller should retry at once. If they are full or other requests wait, the retry should
-// follow after about the service time.
+// caller should retry at once. If they are full or other requests wait, room comes free only
+// when a request completes, and the retry should follow later.
 func TestRetryAfter(t *testing.T) {
 	tests := []struct {
 		name      string
--- a/pkg/slot/slot_test.go
+++ b/pkg/slot/slot_test.go
@@ -161,16 +161,16 @@
 	c.Assert(pending, qt.Equals, 0)
 }
 
-// A target leaves while requests wait. They must be dispatched to the others or refused, and
-// never go to it.
+// A leaving target must not be probed for a new request. If no target is left, the request
+// must be refused at once.
 func TestLeavingTarget(t *testing.T) {
 	c := qt.New(t)
 	h := newHarness(2)
 	h.SetTargets(h.now, []Target{{ID: "t0", Slots: 2, Leaving: true}, {ID: "t1", Slots: 2}}, nil)
 	_, out := h.arrive()
-	asks := actionsOf(out, SendProbe)
-	c.Assert(asks, qt.HasLen, 1)
-	c.Assert(asks[0].Target.ID, qt.Equals, "t1")
+	probes := actionsOf(out, SendProbe)
+	c.Assert(probes, qt.HasLen, 1)
+	c.Assert(probes[0].Target.ID, qt.Equals, "t1")
 	h.SetTargets(h.now, nil, nil)
 	_, out = h.arrive()
 	refused := actionsOf(out, Refuse)
@@ -188,7 +188,7 @@
 	tests := []struct {
 		name string
 		list []Target
-		want bool // t0 gets requests
+		want bool // t0 is probed for the next request
 	}{
 		{"same record", list("10.0.0.1:1"), false},
 		{"new address", list("10.0.0.2:1"), true},
@@ -216,17 +216,16 @@
 func TestKnownLoadBeforeUnknown(t *testing.T) {
 	h := newHarness(12)
 	_, out := h.arrive()
-	asks := actionsOf(out, SendProbe)
-	for i, a := range asks {
+	probes := actionsOf(out, SendProbe)
+	for i, a := range probes {
 		out = append(out, h.replyLoad(a.Target.ID, []float64{5, 1.2, 5, 1.3}[i], 0)...)
 	}
 	sent := actionsOf(out, Dispatch)
 	qt.Assert(t, sent, qt.HasLen, 1)
-	qt.Assert(t, sent[0].Target.ID, qt.Equals, asks[1].Target.ID)
+	qt.Assert(t, sent[0].Target.ID, qt.Equals, probes[1].Target.ID)
 }
 
-// A target that fails requests must get only trial requests until one of them succeeds. Half
-// of the targets must stay in use even if they fail.
+// A target that fails requests must get only trial requests until one of them succeeds.
 func TestFailingTargets(t *testing.T) {
 	tests := []struct {
 		name string
@@ -275,6 +274,7 @@
 	}
 }
 
+// All targets fail all requests. At least half of them must stay in use nevertheless.
 func TestAtMostHalfEjected(t *testing.T) {
 	h := newHarness(4)
 	for range 400 {
--- a/pkg/slot/targets_test.go
+++ b/pkg/slot/targets_test.go
@@ -54,7 +54,7 @@
 
 // A target leaves, its record is removed, or its failure domain is evacuated, while requests
 // may still be dispatched to it in several ways. From then on it must get none of them: they
-// go to the other target, or their callers are told to retry.
+// go to the other target, or are not dispatched if that one was tried before.
 func TestWaitingRequestsAvoidLeavingTarget(t *testing.T) {
 	other := Target{ID: "other", Slots: 2}
 	ways := []struct {
--- a/pkg/tree/merge_test.go
+++ b/pkg/tree/merge_test.go
@@ -13,7 +13,8 @@
 // The store loses its latest writes, and an entry without a connection to its peers
 // then gets an edit accepted on the older data. Both histories contain accepted
 // edits, so neither may replace the other: an accepted edit would vanish. The
-// merged document must contain all edits, and conflicting ones must be returned.
+// log of the merged document must contain all edits. A conflicting one is logged
+// without its changes and must be returned.
 func TestMergeDiverged(t *testing.T) {
 	for _, c := range []struct {
 		name    string
