--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -15,8 +15,8 @@
 )
 
 // A caller sends a request, then sends it again through another entry. The resend gets
-// the recorded response, or the result that the outcome is unknown. It runs only if the
-// first attempt certainly didn't run.
+// the recorded response, or the result that the outcome is unknown; with another body it
+// gets a conflict. It runs only if the first attempt certainly didn't run.
 func TestResend(t *testing.T) {
 	ended := func(e claim.RunResult) func(*testEntries) Run {
 		return func(s *testEntries) Run {
--- a/internal/claims/fake_test.go
+++ b/internal/claims/fake_test.go
@@ -32,7 +32,7 @@
 const lateDelay = 80 * time.Millisecond
 
 // tooLateDelay is longer than an attempt waits for the store, and shorter than
-// maxWriteDelay, for which it looks for its own record.
+// maxWriteDelay, the time after a write for which the attempt's own record is looked for.
 const (
 	tooLateDelay  = claimTimeout + 300*time.Millisecond
 	maxWriteDelay = 2 * time.Second
--- a/internal/entry/malformed_test.go
+++ b/internal/entry/malformed_test.go
@@ -28,7 +28,8 @@
 
 // Each invalid request gets a final response with the correct outcome and a detail
 // that describes the error. It reaches no target, unless the error appears in a
-// body that is already being streamed.
+// body that is already being streamed. An over-long header is rejected by net/http,
+// without an outcome.
 func TestBadRequests(t *testing.T) {
 	var began atomic.Int64
 	addr := startCountingTarget(t, &began)
--- a/internal/entry/policy_test.go
+++ b/internal/entry/policy_test.go
@@ -29,7 +29,7 @@
 
 // A target reports in a response that it is leaving, and the VM list doesn't show
 // that yet. An operator then changes a limit, which replaces the balancer. The new
-// balancer must inherit the leaving notice and give the target no new work.
+// balancer must inherit the leaving notice, so that it gives the target no new work.
 func TestLeavingNoticeSurvivesBalancerReplacement(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
--- a/internal/forward/conn_test.go
+++ b/internal/forward/conn_test.go
@@ -12,7 +12,7 @@
 )
 
 // The dispatch is cancelled if the first byte of the response was read before the
-// request was written.
+// request was written: such a response belongs to an earlier request.
 func TestResponseBeforeRequestIsStale(t *testing.T) {
 	tests := []struct {
 		name  string
--- a/internal/forward/copy_test.go
+++ b/internal/forward/copy_test.go
@@ -111,8 +111,9 @@
 	}
 }
 
-// Each part of the request body is echoed before the caller sends the next, and
-// both trailers follow at the end.
+// Each part of the request body is echoed before the caller sends the next. At the
+// end the request's trailer reaches the target, and the response's trailers reach the
+// caller, except for plumpitch's own.
 func TestBidirectionalStreaming(t *testing.T) {
 	c := qt.New(t)
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/forward/cross_test.go
+++ b/internal/forward/cross_test.go
@@ -134,7 +134,7 @@
 
 // Many callers send different requests over a few connections. The target
 // responds after different delays, and every third request has a timeout of 1 ms.
-// Each caller must get its own response.
+// Each caller must get its own response; with the short timeout it may get an error.
 func TestConcurrentCallersGetOwnResponses(t *testing.T) {
 	c := qt.New(t)
 	target := newRaw(t, func(p *targetConn) {
@@ -173,9 +173,9 @@
 	}
 }
 
-// The slower dispatch of a hedged request is cancelled. Its response is discarded
-// whether it arrives before, with or after the other one, and later requests on
-// both connections get their own responses.
+// The slower of two concurrent dispatches is cancelled, as for a hedged request, and
+// its target responds afterwards. That response must be discarded: later requests to
+// the target get their own responses.
 func TestLosingHedgeIsDropped(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
--- a/internal/logs/find.go
+++ b/internal/logs/find.go
@@ -28,9 +28,9 @@
 	Fields    map[string]any `json:"fields"`
 }
 
-// LookbackTime is how long before a request's first line the other lines of its entry are
-// included. An entry receives changes of the store within this time, so these lines show
-// which of them it knew when it served the request.
+// LookbackTime is how long before a request's first line Find starts to include the lines
+// about no request that the request's entry wrote. An entry receives a change of the store
+// within this time, so these lines show which changes it knew when it served the request.
 const LookbackTime = 5 * time.Second
 
 // maxLineBytes bounds the length of a line.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -125,7 +125,8 @@
 }
 
 // A peer of another version, or with a fault, sends invalid messages. The error names
-// the invalid field, and the message doesn't reach Members or SettingsSource.
+// the invalid field if the message can be decoded, and the message doesn't reach Members
+// or SettingsSource.
 func TestInvalidRequests(t *testing.T) {
 	ident := &wire.Ident{Name: "e1", Boot: 7}
 	tests := []struct {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -257,7 +257,7 @@
 
 // An entry of a release without evacuations sends its knowledge. The missing age
 // decodes to a very old age: as age 0 it would confirm that there are no evacuations,
-// and requests would go on to an evacuated failure domain.
+// and requests would still be sent to an evacuated failure domain.
 func TestMissingEvacuationsAgeIsUnknown(t *testing.T) {
 	c := qt.New(t)
 	k := decodeKnowledge(&wire.Knowledge{Config: 3, Targets: 9})
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,8 +15,8 @@
 // An operator's edit is sent to one of three entries while the store, the gossip
 // between the entries or an entry fails. In the end the edit must be in force at
 // every entry. No entry may return to an older revision in between, and no accepted
-// edit may be lost. The store's faults are an outage, a lost response, older data
-// and a silent watch.
+// edit may be lost. The store's faults are an outage, a lost response, older data,
+// a silent watch and a corrupt value.
 func TestEditUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/standin/objects/records.go
+++ b/internal/standin/objects/records.go
@@ -45,7 +45,7 @@
 	Prefix        string
 	NonIdempotent bool // requests are not idempotent
 	Timeout       string
-	TargetLatency string // latency within which a response counts in full
+	TargetLatency string // objective of the response time; a response within it counts in full
 	Attempts      int
 	Service       string
 	Kind          string // route type in the record; if empty, derived from NonIdempotent
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -21,9 +21,10 @@
 //	PUT    /v1/admin/rollback?to=N              removes every write after version N
 //
 // An object is {"kind", "name", "version", "value"}. A line of a watch is
-// {"object": object, "deleted": bool, "tag": ETag of a read of the object}. A VM is
-// {"id", "addr", "place", "service", "slots", "boot", "state"}, where the state is
-// live or leaving.
+// {"object": object, "deleted": bool, "tag": ETag of a read of the object}. If an
+// object has several changes that a watch has not sent yet, it sends only the last.
+// A VM is {"id", "addr", "place", "service", "slots", "boot", "state"}, where the
+// state is live or leaving.
 package platform
 
 import (
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -8,7 +8,7 @@
 //	GET  /-/log    JSON: the runs, oldest first
 //	POST /-/fault  JSON Fault: replaces the injected faults
 //	POST /-/drain  later responses say that the target is leaving
-//	GET  /-/load   the load report: inflight and slots
+//	GET  /-/load   the load report in the response header: inflight and leaving
 package target
 
 import (
--- a/internal/standin/worker/queue.go
+++ b/internal/standin/worker/queue.go
@@ -1,7 +1,7 @@
 package worker
 
-// LimitQueue limits the requests that run at once to Slots and the requests that wait
-// for a slot to queue. Requests beyond that are refused.
+// LimitQueue sets limits: at most Slots requests run at once, and at most queue requests
+// wait for a slot. Requests beyond that are refused.
 func (w *Worker) LimitQueue(queue int) {
 	w.set(func() {
 		w.Queue = queue
@@ -9,8 +9,8 @@
 	})
 }
 
-// admit reports whether a request may run or wait for a slot. Without a limit it is
-// always true.
+// admit takes a place among the requests that run or wait for a slot, and reports
+// whether one was free. Without a limit it always returns true.
 func (w *Worker) admit() bool {
 	if w.admitted == nil {
 		return true
@@ -23,8 +23,8 @@
 	}
 }
 
-// acquireSlot waits for a slot and returns the function that releases it. Without a
-// limit it doesn't wait.
+// acquireSlot waits for a slot. It returns the function that releases the slot and the
+// place that admit took. Without a limit it doesn't wait.
 func (w *Worker) acquireSlot() (release func()) {
 	if w.admitted == nil {
 		return func() {}
--- a/internal/store/backoff.go
+++ b/internal/store/backoff.go
@@ -13,7 +13,7 @@
 	Cap  time.Duration
 }
 
-// DefaultBackoff reaches its cap after six failures.
+// DefaultBackoff reaches its cap with the delay after the seventh failure.
 var DefaultBackoff = Backoff{Base: 100 * time.Millisecond, Cap: 5 * time.Second}
 
 // Next returns the delay before the next attempt; attempt is 0 after the first
--- a/internal/store/cache.go
+++ b/internal/store/cache.go
@@ -16,7 +16,7 @@
 // responseCache keeps the last response to each read together with its ETag, so
 // that a read can be made conditional and transfers only a changed response.
 // Without it every entry would fetch the whole VM list each second, which is
-// 283 KB at 2,000 workers; all other control traffic of an entry takes 6 KB.
+// 283 KB with 2,000 VMs; all other control traffic of an entry takes 6 KB.
 type responseCache struct {
 	mu        sync.Mutex
 	responses map[string]cachedResponse // by path
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -35,7 +35,7 @@
 // A watch can fail silently: the connection stays open but delivers no events, and
 // the entry would keep old settings forever. A slow poll detects this and opens a
 // new watch. The poll costs one read per Poll interval; polling without a watch
-// would need a read for each second of delay that is acceptable.
+// would need an interval as short as the delay that is acceptable for a change.
 func (s *Client) Follow(ctx context.Context, f Follow) error {
 	if f.Poll <= 0 {
 		f.Poll = DefaultPoll
@@ -87,9 +87,9 @@
 	}
 }
 
-// watch sends the object's changes to the first channel and closes the second one
-// when ctx is done or the stream ends. The first channel is unbuffered, so the
-// caller has received every change before the second one is closed.
+// watch sends the changes of the object's kind to the first channel and closes the
+// second one when ctx is done or the stream ends. The first channel is unbuffered, so
+// the caller has received every change before the second one is closed.
 func (w *follower) watch(ctx context.Context) (<-chan Change, <-chan struct{}) {
 	changes, ended := make(chan Change), make(chan struct{})
 	from := w.lastVersion
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,10 +19,10 @@
 	"golang.org/x/time/rate"
 )
 
-// Rate limits of one entry, in calls per second. The platform handles several
-// hundred writes and about 2,000 reads a second. 300 entries at these rates make
-// 300 writes and 600 reads a second, and 1,800 reads in a second in which all of
-// them use their bursts.
+// Rate limits of one entry: rates in calls per second, and bursts in calls. The
+// platform handles several hundred writes and about 2,000 reads a second. 300
+// entries at these rates make 300 writes and 600 reads a second, and 1,800 reads in
+// a second in which all of them use their bursts.
 const (
 	ReadRate   = 2
 	ReadBurst  = 4
