--- a/apply.go
+++ b/apply.go
@@ -126,8 +126,8 @@
 	return late, nil
 }
 
-// showProgress prints the entries that the command waits for to standard error, if that
-// is a terminal.
+// showProgress reports on standard error which entries the command waits for. It prints
+// nothing if standard error isn't a terminal.
 func showProgress(revision uint64, late []string) {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 || len(late) == 0 {
--- a/dev.go
+++ b/dev.go
@@ -19,10 +19,13 @@
 //go:embed examples/swanbourne.json
 var swanbourne []byte
 
-// Load that dev --seconds sends: about half of the targets' capacity.
 const (
-	devRate         = 600
-	devWriteShare   = 0.2
+	// devRate is the load that dev --seconds sends, in requests per second. With the mean
+	// service time of devSite it keeps about 3 of the targets' 54 slots busy.
+	devRate = 600
+	// devWriteShare is the share of keyed non-idempotent requests in this load.
+	devWriteShare = 0.2
+	// devStartTimeout is the time within which the site must be ready.
 	devStartTimeout = 20 * time.Second
 )
 
--- a/drain.go
+++ b/drain.go
@@ -33,7 +33,7 @@
 	return actionCommand(name, description, "PLACE", "name of a failure domain in the platform's VM list", "fremantle-hall")
 }
 
-// actionCommand returns a command that sends an action on a target or place to an
+// actionCommand returns a command that requests an action on a target or place from an
 // entry.
 func actionCommand(name, description, placeholder, help, example string) *command {
 	var addr, object string
--- a/fault_proxy_test.go
+++ b/fault_proxy_test.go
@@ -115,12 +115,12 @@
 	}
 }
 
-// The connection between an entry and a target is closed or stalls, before the request, in
-// the header of the response or in its body. An idempotent request is retried at another
-// target and gets a complete response, unless the connection stalls: then it ends with its
-// timeout. A keyed request isn't retried: its caller gets the outcome unknown, or ran if the
-// entry knows that it ran, and never a partial response as a complete one. A resend of the
-// key must not run it again.
+// The connection between an entry and a target is closed before the request, or is closed
+// or stalls before or within the response. An idempotent request must get a complete
+// response by a retry, unless the connection stalls: then the request times out. The caller
+// of a request that timed out or is keyed must get the outcome unknown, or ran if the request
+// ran, and never a partial response as a complete one. A resend of the key must not run it
+// again.
 func TestOutcomeAfterConnectionFault(t *testing.T) {
 	t.Parallel()
 	q := qt.New(t)
@@ -185,8 +185,8 @@
 	}
 }
 
-// faultSendPause is the pause between requests until one gets the fault. A target that an
-// earlier fault has ejected gets a trial request only after some seconds.
+// faultSendPause is the pause between the requests of sendUntilFault. If an earlier fault
+// has ejected the target, it takes some seconds until the target gets a trial request.
 const faultSendPause = 5 * time.Millisecond
 
 // sendUntilFault sends requests, each to a different path, until one gets the fault. It
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -201,8 +201,8 @@
 	return n
 }
 
-// Kill closes the fakes immediately and doesn't wait until the entries have stopped.
-// It is for measurements that need no graceful stop.
+// Kill tells the entries to stop and closes the fakes at once, without waiting for the
+// entries. It is for measurements that need no graceful stop.
 func (s *Site) Kill() {
 	if s.stopEntries != nil {
 		s.stopEntries()
--- a/internal/soak/check_repeats_test.go
+++ b/internal/soak/check_repeats_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// The users' bounds on extra dispatches (retries and hedges) and on what follows a crash
-// or a request for a pause.
+// The users' bounds on extra dispatches (retries and hedges), on requests that crash targets
+// and on requests to a target that asked for a pause. A target asks for a pause by refusing a
+// request with a Retry-After header.
 const (
 	retryBudgetWindow  = 10 * time.Second
 	retryBudgetRatio   = 0.2                    // extra dispatches per request
 	maxDeadlineOverrun = 500 * time.Millisecond // from the caller's deadline to the deadline that the target receives
-	maxCrashes         = 3                      // targets that a request may crash, and dispatches of it that may follow
-	pauseDelay         = 500 * time.Millisecond // from a request for a pause until the gateway has to apply it
+	maxCrashes         = 3                      // targets that a request may crash; as many dispatches may follow, see checkPoison
+	pauseDelay         = 500 * time.Millisecond // from the refusal that asks for a pause until the gateway has to apply it
 	pauseDuration      = 2 * time.Second        // as requested by the requestPause fault
 	maxRequestsInPause = 2                      // requests from one gateway to a target that asked for a pause
 )
 
-// peakValues are the highest values measured for the bounds on extra dispatches, crashes and
-// pauses.
+// peakValues are the highest measured values of the quantities that these bounds limit.
 type peakValues struct {
 	repeats float64       // extra dispatches to a service, relative to the number allowed
 	late    time.Duration // from a caller's deadline to the deadline of an extra dispatch
@@ -86,7 +86,7 @@
 func (c *checker) checkPauses(k *target) {
 	for _, refused := range k.Refusals() {
 		from := c.byID[refused.Request]
-		if refused.Body != "2" || from == nil {
+		if refused.Body != "2" || from == nil { // Body holds the Retry-After header
 			continue
 		}
 		n := 0
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// checkAll runs all checks. Requests sent after recoveredSince are expected to be served.
+// checkAll runs all checks. Of the requests sent after recoveredSince, at least the share
+// minServedShare must be served.
 func (c *checker) checkAll(recoveredSince time.Time) {
 	for _, a := range c.attempts {
 		c.checkResponse(a)
@@ -92,8 +93,8 @@
 }
 
 // checkResponse checks that a response with status 200 is the complete response of a target
-// that ran this request. It also checks that a request that must not run twice didn't run if the
-// status guarantees that.
+// that ran this request. If the status guarantees that the request didn't run, it checks this
+// for requests that must not run twice.
 func (c *checker) checkResponse(a *attempt) {
 	runs := c.runs[a.id]
 	switch {
@@ -136,6 +137,7 @@
 	if overlaps(a.gateway.disturbances(), around) && !overlaps(a.gateway.plannedStops, interval{a.sentAt, a.endedAt}) {
 		return
 	}
+	// A planned stop is followed by a start, which is recorded as a disturbance.
 	unplanned := slices.DeleteFunc(a.gateway.disturbances(), func(d interval) bool {
 		return slices.ContainsFunc(a.gateway.plannedStops, func(p interval) bool { return p.to.Equal(d.from) })
 	})
@@ -227,7 +229,7 @@
 		if l.to.IsZero() {
 			l.to = time.Now()
 		}
-		appliesFrom := make(map[*gateway]time.Time) // by gateways that have received the limit
+		appliesFrom := make(map[*gateway]time.Time) // has only the gateways that have received the limit
 		for _, g := range c.site.gateways {
 			if at := c.firstResponseAfter(g, k, l.from); !at.IsZero() && at.Before(l.to) {
 				appliesFrom[g] = at.Add(limitDelay)
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -14,9 +14,9 @@
 	"plumpitch.example/plumpitch/internal/standin/worker"
 )
 
-// fault is a kind of disturbance. start begins the fault. It returns the text for the timeline,
-// or an empty one if the fault can't be injected now, and a function that ends the fault, or
-// nil if it ends by itself.
+// fault is a kind of disturbance. Its function start begins the fault and returns two values.
+// name is the text for the timeline; it is empty if the fault can't be injected now. end ends
+// the fault; it is nil if the fault ends by itself.
 type fault struct {
 	weight int // probability, relative to the other faults
 	start  func(s *site, rnd *rand.Rand) (name string, end func())
--- a/internal/soak/gateway_test.go
+++ b/internal/soak/gateway_test.go
@@ -44,7 +44,7 @@
 	exited       chan struct{}
 	stopping     bool       // it was killed or received SIGTERM
 	badSettings  bool       // the settings file is invalid
-	disturbed    []interval // kills, starts and pauses
+	disturbed    []interval // unplanned exits, starts and pauses
 	plannedStops []interval // each from SIGTERM to exit
 }
 
@@ -106,7 +106,7 @@
 }
 
 // restart restarts a process that exited by itself, as the platform does. The test fails
-// unless the process was started with invalid settings.
+// unless the settings file was invalid when the process exited.
 func (g *gateway) restart(badSettings bool) {
 	const platformDelay = 300 * time.Millisecond
 	from := time.Now()
@@ -155,15 +155,15 @@
 	<-exited
 }
 
-// addDisturbance records a time when the process was down, started or paused.
+// addDisturbance records a time when the process was down, starting or paused.
 func (g *gateway) addDisturbance(from, to time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.disturbed = append(g.disturbed, interval{from, to})
 }
 
-// disturbances returns the times when the process was down because of a kill, started or
-// paused.
+// disturbances returns the times when the process was paused, starting, or down other than
+// by a planned stop.
 func (g *gateway) disturbances() []interval {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/soak/profile_test.go
+++ b/internal/soak/profile_test.go
@@ -34,13 +34,13 @@
 	service       string
 	method        string
 	prefix        string
-	runOnce       bool // it must not run twice
-	attempts      int  // most targets at which a request may run
-	targetLatency time.Duration
-	timeout       time.Duration
-	deadline      time.Duration
-	retries       int // by its clients
-	weight        int // relative to the other kinds
+	runOnce       bool          // it must not run twice
+	attempts      int           // most targets at which a request may run
+	targetLatency time.Duration // of its route
+	timeout       time.Duration // of its route
+	deadline      time.Duration // that its clients set
+	retries       int           // by its clients
+	weight        int           // relative to the other kinds
 }
 
 // smallSite is the profile of a site with one service, small enough to observe every target.
--- a/internal/soak/repeating_test.go
+++ b/internal/soak/repeating_test.go
@@ -158,8 +158,8 @@
 const (
 	// poison is in the path of a request that crashes the target that runs it.
 	poison = "poison"
-	// refusedSuffix ends the path of those poison requests of which targets refuse every
-	// second one.
+	// refusedSuffix is at the end of some poison paths. Targets refuse every second request
+	// with it, instead of crashing.
 	refusedSuffix = "refused"
 )
 
--- a/proof_test.go
+++ b/proof_test.go
@@ -82,7 +82,7 @@
 }
 
 // The store is unavailable. Callers send idempotent and non-idempotent requests without
-// keys. All of them are answered, since the entries keep the last known settings and
+// keys. All of them must be answered, since the entries keep the last known settings and
 // targets.
 func TestStoreOutageAffectsNoCaller(t *testing.T) {
 	t.Parallel()
--- a/upgrade_proof_test.go
+++ b/upgrade_proof_test.go
@@ -73,8 +73,8 @@
 	eventually(s.t, g.name+" ready again", g.ready)
 }
 
-// callerLoad is a set of callers that send requests until they are stopped, each to the
-// address from the directory.
+// callerLoad is a set of callers. Until they are stopped, they send requests to the address
+// that the directory returns.
 type callerLoad struct {
 	stop    chan struct{}
 	senders sync.WaitGroup
