--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -1,7 +1,8 @@
 // Package capacity measures how the cost of the control plane grows with the
-// number of entries, services, workers and keys: bytes, CPU time and memory. It
-// prints the points and the slope of each series. docs/CAPACITY.md multiplies
-// the slopes by the size of the deployment to design for.
+// number of entries, services and workers: bytes, CPU time, memory and the time
+// until a change has reached all entries. It prints the points and the slope of
+// each series. docs/CAPACITY.md multiplies the slopes by the size of the
+// deployment to design for.
 package capacity
 
 import (
@@ -21,7 +22,7 @@
 	QuietTime     time.Duration // length of a measurement without events, in virtual or real time; 0 means 20 s
 	SettleTime    time.Duration // wait before a measurement with real connections; 0 means 10 s
 	Exchanges     int           // gossip exchanges of each message size; 0 means 3000
-	PartitionTime time.Duration // length of the partition between a region and the others; 0 means 10 min
+	PartitionTime time.Duration // time that a region is partitioned before an edit; 0 means 10 min
 	Part          string        // name of the only part to run; empty runs all
 }
 
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -8,7 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Each part runs with small sizes and prints one section, with its series.
+// Each part except memory runs with small sizes without an error and prints one
+// section, which contains the name of a series of the part.
 func TestParts(t *testing.T) {
 	small := Config{
 		Entries: []int{8, 10}, Loopback: []int{3, 5}, Seeds: 1, Exchanges: 20,
--- a/internal/lab/capacity/gossip.go
+++ b/internal/lab/capacity/gossip.go
@@ -13,8 +13,8 @@
 const timeLimit = 3 * time.Minute
 
 // topology returns the numbers of failure domains and regions for a number of
-// entries: those of the present deployment up to 14 entries, and those of the
-// deployment to design for above.
+// entries. Up to 14 entries they are those of the present deployment, with more
+// entries those of the deployment to design for.
 func topology(entries int) (places, regions int) {
 	if entries <= 14 {
 		return 3, 1
@@ -157,8 +157,9 @@
 	return times
 }
 
-// runEvents measures the cost of one event per entry, above the cost without
-// events.
+// runEvents measures how many bytes each entry sends and receives because of one
+// event: those in the eventWindow after it, minus those in a window without events.
+// For the restart of all entries it prints the whole rate, without this subtraction.
 func runEvents(cfg Config, m *messageSizes, w io.Writer) error {
 	edit := &series{name: "an edit, B"}
 	restart := &series{name: "a restart, B"}
@@ -187,8 +188,8 @@
 	return nil
 }
 
-// announceReady makes every entry announce, spread over a second, that callers
-// may be sent to it.
+// announceReady makes the entries announce, one after the other within a second,
+// that callers may be sent to them.
 func announceReady(f *fleet.Fleet) {
 	for _, n := range f.Nodes {
 		f.Handle(n, member.Ready{})
@@ -208,8 +209,10 @@
 	return trafficPerEntry(f).meanBytes - quiet
 }
 
-// runPartition partitions one region from the others and measures the time and the
-// traffic until all entries agree after the partition ends.
+// runPartition partitions one region from the others for cfg.PartitionTime, edits
+// the settings, and ends the partition an eventWindow later. It measures the time
+// until all entries have the edit and agree, and the traffic until then, but over an
+// eventWindow at least.
 func runPartition(cfg Config, m *messageSizes, w io.Writer) error {
 	merged := &series{name: "agreement after the return, s", digits: 1}
 	edit := &series{name: "newest settings after the return, s", digits: 1}
--- a/internal/lab/capacity/store.go
+++ b/internal/lab/capacity/store.go
@@ -129,8 +129,8 @@
 	return r, err
 }
 
-// meanCost returns the mean cost of a step, which gets a function that creates
-// clients.
+// meanCost calls step readRepeats times and returns the mean cost of a call. The
+// function passed to step creates a client whose responses are counted.
 func meanCost(url string, step func(client func() *store.Client) error) (cost readCost, err error) {
 	c := &countingTransport{}
 	client := func() *store.Client {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -34,7 +34,7 @@
 	separated func(a, b *Node) bool
 	Nodes     []*Node
 
-	byPeer map[string]*Node
+	byPeer map[string]*Node // by peer address
 }
 
 // Node is one entry of the fleet.
@@ -55,7 +55,7 @@
 	lastTick uint64         // number of the latest scheduled tick; earlier ones are ignored
 }
 
-// Traffic counts what a node sent and received, including HTTP, and the time
+// Traffic counts what a node sent and received, including HTTP, and the real time
 // that its decisions and codecs took.
 type Traffic struct {
 	Messages     int // sent
--- a/internal/lab/pace/busy_test.go
+++ b/internal/lab/pace/busy_test.go
@@ -9,7 +9,7 @@
 
 // Guards against idle targets in a burst. Two entries get all requests of a service with
 // many targets, so each entry sees half of the requests and has no recent load report of
-// most targets. Requests take longer than a pace lasts: a second request at a target
+// most targets. Requests take longer than a pace lasts, so a second request at a target
 // makes the response late. A balancer that sends second requests to busy targets leaves a
 // third of the targets idle meanwhile, those in the failure domain without an entry.
 // Callers must still get most of the possible score.
--- a/internal/lab/pace/policy.go
+++ b/internal/lab/pace/policy.go
@@ -37,7 +37,8 @@
 }
 
 // newLeastLoaded returns a chooser that picks the target with the lowest product
-// of own requests in flight and reported pace.
+// of the entry's own requests in flight, including the new one, and the last
+// reported pace.
 func newLeastLoaded(m *simulator, entry int, r *rand.Rand) chooser {
 	c := &simpleChooser{m: m, rnd: r, entry: entry, inFlight: make([]int, m.shape.Targets), lastPace: make([]float64, m.shape.Targets)}
 	for i := range c.lastPace {
@@ -46,8 +47,7 @@
 	return c
 }
 
-// simpleChooser chooses targets at random, or by the product of its own requests
-// in flight and the last reported pace.
+// simpleChooser chooses targets at random, or as newLeastLoaded describes.
 type simpleChooser struct {
 	m        *simulator
 	rnd      *rand.Rand
--- a/internal/lab/pace/target.go
+++ b/internal/lab/pace/target.go
@@ -19,7 +19,7 @@
 	pace         float64
 	running      []job
 	waiting      []job
-	progressTime time.Duration // time up to which the progress of running is counted
+	progressTime time.Duration // time up to which the progress of the running requests is counted
 	generation   uint64        // generation of the scheduled workFinished event
 }
 
--- a/internal/lab/tail/experiments.go
+++ b/internal/lab/tail/experiments.go
@@ -38,7 +38,7 @@
 
 const (
 	defaultOwners  = 1     // preferred entries of a resolve response
-	probeTimeShare = 0.005 // share of the time of all slots
+	probeTimeShare = 0.005 // share of the time of all slots that probes may take
 )
 
 var experiments = []experiment{
--- a/internal/lab/tail/scenario.go
+++ b/internal/lab/tail/scenario.go
@@ -15,7 +15,7 @@
 	faultDrainReported                  // reports on each response that it is leaving, but accepts new requests
 	faultDrainShed                      // sheds new requests without reporting that it is leaving
 	faultDrainListed                    // accepts new requests; only the VM list shows, late, that it is leaving
-	faultRestart                        // becomes a new incarnation that is cold
+	faultRestart                        // becomes a new, cold incarnation at the start of the fault and again at its end
 )
 
 // fault is a fault of one worker for some time.
@@ -34,7 +34,7 @@
 	owners        int     // preferred entries that the callers use; 0: all entries
 	evenOwners    bool    // callers spread evenly over the owners; otherwise all use the first
 	strayShare    float64 // share of requests that go to a random entry
-	load          float64 // share of the capacity of all workers without faults
+	load          float64 // share of the capacity that all workers have while none has a fault
 	swingFactor   float64 // divides the load in the first half of each swingPeriod; the load is constant if it is 1 or less
 	swingPeriod   time.Duration
 	requests      int
--- a/internal/lab/tail/shape.go
+++ b/internal/lab/tail/shape.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// The services of the experiments.
+// The services of the users' requirements that the experiments use.
 var (
 	gownCatalogue = newShape("gown-catalogue", 14, time.Millisecond, time.Millisecond)
 	paydesk       = newShape("paydesk", 6, 8*time.Millisecond, 6*time.Millisecond)
--- a/internal/lab/tail/simulator.go
+++ b/internal/lab/tail/simulator.go
@@ -35,7 +35,7 @@
 	openRequests int // requests that have not ended
 }
 
-// timeOrigin is the wall-clock time at the start of a run.
+// timeOrigin is the time.Time at which the virtual time starts.
 var timeOrigin = time.Unix(0, 0)
 
 // schedule adds an event at the given virtual time.
--- a/internal/lab/tail/stats.go
+++ b/internal/lab/tail/stats.go
@@ -34,7 +34,7 @@
 	trials           int // trial requests to ejected targets
 	probes           []interval
 	denied           int
-	lastOffered      time.Duration // last request sent to a leaving worker, counted from the order to leave
+	lastOffered      time.Duration // arrival of the last request at a leaving worker, counted from the order to leave
 	lastAccepted     time.Duration // the same, of requests that the worker accepted
 	most             int           // peak of requests queued or in flight
 	lostDispatches   int           // dispatches that were shed or met a dead or crashing worker
@@ -48,7 +48,8 @@
 	return &stats{latency: hdr.New(minLatencyMicros, maxLatencyMicros, significantDigits), writeLatency: hdr.New(minLatencyMicros, maxLatencyMicros, significantDigits), workerArrivals: make([][]int, workers)}
 }
 
-// addDrainArrival counts a request that arrives at a leaving worker.
+// addDrainArrival records a request that arrives at a leaving worker. The age is
+// the time since the order to leave, in nanoseconds.
 func (t *stats) addDrainArrival(age int64, accepted bool) {
 	t.lastOffered = max(t.lastOffered, time.Duration(age))
 	if accepted {
--- a/internal/lab/tail/worker.go
+++ b/internal/lab/tail/worker.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	coldRequests = 30
-	coldSlowdown = 4
+	coldRequests = 30 // requests that a worker processes slowly after a crash or a restart
+	coldSlowdown = 4  // multiplies the service time of these requests
 )
 
 func (s *simulator) arriveAtWorker(j job) {
